--- a/beryltrack/daemon/group_connections.py
+++ b/beryltrack/daemon/group_connections.py
@@ -169,7 +169,7 @@
         for database, pool in runtime.pools.items():
             pool.set_ways(names)
             pool.retire(self._get_staleness(database, is_owner))
-        runtime.task.renew_ways(ways)
+        runtime.task.set_allowed_vias(ways)
 
     def _get_staleness(
         self, database: str, is_owner: bool
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_kit.py
@@ -13,7 +13,7 @@
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.failover.authority import PromotionAuthority
 from beryltrack.groups.control_calls import ControlCalls
-from beryltrack.groups.messages import LeadProof
+from beryltrack.groups.messages import LeadershipProof
 from beryltrack.groups.task import GroupTask
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
@@ -125,7 +125,11 @@
             options.CONTROL_IDLE,
         )
         adapter = LineDatabaseGroup(group, self._promotion, calls, self._is_fenced)
-        proof = LeadProof.OWN_WORD if self._is_fenced else LeadProof.WITNESSES
+        proof = (
+            LeadershipProof.SELF_REPORT
+            if self._is_fenced
+            else LeadershipProof.WITNESSES
+        )
         task = GroupTask(
             self._reactor,
             group,
@@ -137,7 +141,7 @@
             failover_policy=self._policies.failover,
             proof=proof,
         )
-        calls.set_hearing(task.was_heard)
+        calls.set_answer_check(task.has_answered_since)
         return task
 
     def make_pool(
--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -31,8 +31,8 @@
     interval=0.25,
     idle_interval=0.25,
     suspect_interval=0.1,
-    is_plain=True,
-    guard_interval=1.0,
+    is_poll_only=True,
+    idle_primary_interval=1.0,
 )
 
 FAILOVER = FailoverPolicy(
@@ -115,7 +115,7 @@
 # left for a new connection after that is enough for its 12 to 30 ms.
 # An owner may be at two such requests before it comes to that of another instance. With
 # 0.4 s for these too, instances took a full primary for lost and broke what ran on it.
-CONTROL = ControlLimits(request=0.4, doubt=0.2, relayed=3.0)
+CONTROL = ControlLimits(request_timeout=0.4, reconnect_after=0.2, relayed_factor=3.0)
 
 CONTROL_CONNECT = 0.4
 """Seconds until a new control connection counts as failed; it takes 12 to 30 ms."""
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -166,7 +166,7 @@
 
 _WITHOUT = {
     Mechanism.ADMISSION_BOUND: _change("admission", most_delay=math.inf),
-    Mechanism.CALM_GUARD: _change("probes", guard_interval=EAGER_GUARD),
+    Mechanism.CALM_GUARD: _change("probes", idle_primary_interval=EAGER_GUARD),
     Mechanism.DEADLINE_ORDER: lambda each: _change_pools(each, by_deadline=False),
     Mechanism.EARLY_REFUSAL: _refuse_late,
     Mechanism.FEW_CONNECTIONS: _change(
--- a/beryltrack/failover/decider.py
+++ b/beryltrack/failover/decider.py
@@ -29,10 +29,10 @@
     NEVER,
     DatabaseView,
     GroupView,
-    compute_electors,
+    compute_election_quorum,
     compute_majority,
-    count_electors,
-    get_led_term,
+    count_eligible_voters,
+    get_known_primary_term,
     get_primary,
     is_deposed,
 )
@@ -115,7 +115,7 @@
     def get_quorum(self, size: int) -> int:
         """Return how many of a group's databases an election needs."""
         if self.has_authority:
-            return compute_electors(size)
+            return compute_election_quorum(size)
         return compute_majority(size)
 
 
@@ -287,7 +287,7 @@
             for item in view.databases
             if item.reachable and not (self._policy.former_goes_on and item == leader)
         ]
-        has_quorum = count_electors(view, voters) >= quorum
+        has_quorum = count_eligible_voters(view, voters) >= quorum
         return has_quorum and get_successor(view) is not None
 
     def _is_stalled(
@@ -311,7 +311,7 @@
             and item.seen_at >= asked_after
             and item.term == leader.term
         ]
-        return count_electors(view, lacking) >= quorum
+        return count_eligible_voters(view, lacking) >= quorum
 
     def _is_fresh(self, item: DatabaseView, now: float) -> bool:
         """Return whether a database answered lately."""
@@ -327,7 +327,7 @@
         candidate that came to nothing, and with another database lost it would
         hold up the group for ever.
         """
-        if leader.knows_lead:
+        if leader.is_role_fenced:
             return self._is_fresh(leader, now)
         followers = sum(
             (item.term == leader.term and self._is_fresh(item, now))
@@ -390,7 +390,7 @@
         term that a promotion makes is the one after the last that had a primary.
         """
         if any(item.is_held for item in view.databases):
-            return max(get_led_term(item) for item in view.databases) + 1
+            return max(get_known_primary_term(item) for item in view.databases) + 1
         return max(item.term for item in view.databases) + 1
 
     def _make_election(self, view: GroupView, kind: ElectionKind) -> Election:
--- a/beryltrack/failover/detector.py
+++ b/beryltrack/failover/detector.py
@@ -13,7 +13,7 @@
     DatabaseView,
     GroupView,
     compute_majority,
-    count_electors,
+    count_eligible_voters,
     get_primary,
     is_deposed,
 )
@@ -115,7 +115,7 @@
     """
     losers = get_losers(view, detector, oldest)
     needed = quorum or compute_majority(len(view.databases))
-    return count_electors(view, losers) >= needed
+    return count_eligible_voters(view, losers) >= needed
 
 
 def compute_lost_at(
--- a/beryltrack/groups/adapter.py
+++ b/beryltrack/groups/adapter.py
@@ -53,19 +53,19 @@
 
     Parameters
     ----------
-    request : float
+    request_timeout : float
         Seconds until a request counts as failed.
-    doubt : float
+    reconnect_after : float
         Seconds without an answer after which a connection that was open before is
         given up and the request is sent over a new one, within the same limit.
-    relayed : float
+    relayed_factor : float
         Factor of both for requests that an owner passes on: it answers the ones
         before, and judges itself whether the database is silent.
     """
 
-    request: float
-    doubt: float
-    relayed: float = 1.0
+    request_timeout: float
+    reconnect_after: float
+    relayed_factor: float = 1.0
 
 
 class DatabaseGroup(Protocol):
--- a/beryltrack/groups/confirmations.py
+++ b/beryltrack/groups/confirmations.py
@@ -12,7 +12,7 @@
 
 from beryltrack.clock import get_seconds
 from beryltrack.groups.messages import PRIMARY
-from beryltrack.groups.plain_pace import WITNESS_TIME, get_witnesses
+from beryltrack.groups.poll_schedule import WITNESS_TIMEOUT, get_witnesses
 from beryltrack.groups.view import GroupView
 from beryltrack.groups.waiters import ProofWaiters
 
@@ -38,7 +38,7 @@
         """Ask a database now."""
 
 
-class LeadConfirmations:
+class LeadershipConfirmations:
     """The requests that wait until the primary's term is confirmed.
 
     Parameters
@@ -91,14 +91,14 @@
 
     def _plan_look(self) -> None:
         """Look in a while whether the first witnesses have answered."""
-        self._look_call = self._reactor.callLater(WITNESS_TIME, self._look)
+        self._look_call = self._reactor.callLater(WITNESS_TIMEOUT, self._look)
 
     def _look(self) -> None:
         """Ask all for what the first witnesses have not confirmed in time."""
         if not self._waiting:
             return
         oldest = self._waiting.oldest
-        if self._seconds() - oldest >= WITNESS_TIME / 2:
+        if self._seconds() - oldest >= WITNESS_TIMEOUT / 2:
             for item in self._owner.view.databases:
                 is_asked = self._owner.get_sent_at(item.name) >= oldest
                 if item.role != PRIMARY and not is_asked:
--- a/beryltrack/groups/control_calls.py
+++ b/beryltrack/groups/control_calls.py
@@ -94,9 +94,11 @@
         self._ways: tuple[str, ...] | None = None
         self._locks: dict[str, DeferredLock] = {}
 
-    def set_hearing(self, was_heard: Callable[[str, float], bool]) -> None:
-        """Ask `was_heard` whether a database has answered others since a time."""
-        self._was_heard = was_heard
+    def set_answer_check(
+        self, has_answered_since: Callable[[str, float], bool]
+    ) -> None:
+        """Set the check whether a database has answered others since a time."""
+        self._was_heard = has_answered_since
 
     def set_databases(self, databases: tuple[DatabaseSettings, ...]) -> None:
         """Take the group's members from new settings."""
@@ -106,11 +108,11 @@
         for name in self._locks.keys() - self._databases.keys():
             del self._locks[name]
 
-    def renew(self, ways: tuple[str, ...]) -> None:
+    def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
         """Open new connections in place of those that go another way than these."""
-        self._ways = ways
+        self._ways = vias
         for name, connection in tuple(self._connections.items()):
-            if connection.way not in ways:
+            if connection.way not in vias:
                 self._connections.pop(name).end_session()
 
     def close(self) -> None:
@@ -166,7 +168,7 @@
                 return await self._ask(kept, wire, left, database)
             except (TargetLost, TimeoutError) as error:
                 log.info("groups: A connection to %s fails: %s", database, error)
-                left -= self._limits.doubt / self._limits.request
+                left -= self._limits.reconnect_after / self._limits.request_timeout
                 self._observe_silence(kept)
             finally:
                 if lent is not None:
@@ -212,9 +214,9 @@
         sink = CollectingSink()
         running = connection.run(wire, sink)
         since = connection.run_since
-        factor = self._limits.relayed if connection.way else 1.0
-        limit = self._limits.request * part * factor
-        doubt_after = min(self._limits.doubt * factor, limit)
+        factor = self._limits.relayed_factor if connection.way else 1.0
+        limit = self._limits.request_timeout * part * factor
+        doubt_after = min(self._limits.reconnect_after * factor, limit)
 
         def doubt() -> None:
             if doubted and not self._was_heard(doubted, since):
--- a/beryltrack/groups/decider.py
+++ b/beryltrack/groups/decider.py
@@ -10,11 +10,11 @@
 
 import math
 
-from beryltrack.groups.lagging import is_lacking, note_refusal, note_shown
+from beryltrack.groups.lagging import is_presumed_behind, note_refusal, note_shown
 from beryltrack.groups.messages import (
     PRIMARY,
     DatabaseStatus,
-    LeadProof,
+    LeadershipProof,
     LogPosition,
 )
 from beryltrack.groups.restarts import Told, has_fallen_back
@@ -42,7 +42,7 @@
         Names of all members, in the order of the settings.
     draining : frozenset of str
         Names of the members that an operator drains.
-    proof : LeadProof
+    proof : LeadershipProof
         What proves the term of a primary.
     """
 
@@ -51,7 +51,7 @@
         group: str,
         databases: tuple[str, ...],
         draining: frozenset[str] = frozenset(),
-        proof: LeadProof = LeadProof.MAJORITY,
+        proof: LeadershipProof = LeadershipProof.MAJORITY,
     ):
         self._proof = proof
         self._leaders: dict[int, str] = {}
@@ -151,13 +151,13 @@
             seen_at=sent_at,
             heard_age=self._get_heard_age(status, sent_at),
             is_held=status.is_held,
-            knows_lead=status.knows_lead,
+            is_role_fenced=status.is_role_fenced,
             lag=note_shown(before.lag, status.applied),
         )
         if status.role == PRIMARY:
             self._leaders[status.term] = status.name
             self.observe_sample(status.name, status.received, sent_at, now)
-        if status.role == PRIMARY and self._proof is LeadProof.OWN_WORD:
+        if status.role == PRIMARY and self._proof is LeadershipProof.SELF_REPORT:
             self._confirm_until(status.term, sent_at)
         self._confirm_term(status.term)
         self._update_fresh(status.name)
@@ -233,7 +233,7 @@
         if database == self.view.primary:
             self.observe_primary_heard(now)
 
-    def observe_lead(
+    def observe_leadership(
         self, database: str, position: LogPosition, sent_at: float, now: float
     ) -> None:
         """Take in that a database led, by its own word, when it answered a statement.
@@ -260,7 +260,7 @@
         )
         self.observe_primary_heard(now)
         self._samples.add(Sample(position, sent_at))
-        if self._proof is LeadProof.OWN_WORD:
+        if self._proof is LeadershipProof.SELF_REPORT:
             self._confirm_until(position.term, sent_at)
         self._view = None
         self._end_recoveries()
@@ -273,12 +273,12 @@
         Whoever led a term shows all that was acknowledged in it. Where others
         confirm the term later on, that is a sample without a question of its own.
         """
-        if self._proof is LeadProof.WITNESSES:
+        if self._proof is LeadershipProof.WITNESSES:
             self.observe_sample(database, position, sent_at, sent_at)
 
     def observe_proof(self, proof: Sample, now: float) -> None:
         """Take in a proven position of the primary from another instance."""
-        self.observe_lead(self.view.primary, proof.position, proof.sent_at, now)
+        self.observe_leadership(self.view.primary, proof.position, proof.sent_at, now)
         if self._leaders.get(proof.position.term) == self.view.primary:
             self._confirm_until(proof.position.term, proof.sent_at)
         self._end_recoveries()
@@ -291,14 +291,14 @@
             self._databases[database] = item._replace(lag=lag)
             self._view = None
 
-    def lacks(
-        self, database: str, position: LogPosition, now: float, least_pause: float
+    def is_presumed_behind(
+        self, database: str, position: LogPosition, now: float, min_pause: float
     ) -> bool:
         """Return whether a replica has refused a position too lately to be asked."""
         item = self._databases.get(database)
         if item is None or has_applied(item, position):
             return False
-        return is_lacking(item.lag, position, now, least_pause)
+        return is_presumed_behind(item.lag, position, now, min_pause)
 
     def get_needed_position(self, since: float) -> LogPosition | None:
         """Return what shows all that was acknowledged before a time, if proven."""
@@ -453,7 +453,7 @@
     def _confirm_term(self, term: int) -> None:
         """Mark the samples that enough databases have now confirmed."""
         needed, left_out = self.majority, ""
-        if self._proof is LeadProof.WITNESSES and self.witness_count:
+        if self._proof is LeadershipProof.WITNESSES and self.witness_count:
             needed, left_out = self.witness_count, self._leaders.get(term)
             if left_out is None or term < max(self._leaders):
                 # Any of those in the term may be its primary, or it is over.
--- a/beryltrack/groups/lagging.py
+++ b/beryltrack/groups/lagging.py
@@ -52,7 +52,7 @@
     return None if lag is None or position >= lag.lacked else lag
 
 
-def is_lacking(
+def is_presumed_behind(
     lag: Lag | None, position: LogPosition, now: float, least: float
 ) -> bool:
     """Return whether a replica is taken to lack a position still.
--- a/beryltrack/groups/messages.py
+++ b/beryltrack/groups/messages.py
@@ -11,12 +11,12 @@
 REPLICA = "replica"
 
 
-class LeadProof(Enum):
+class LeadershipProof(Enum):
     """What proves that no later term had a primary before a time."""
 
     MAJORITY = "majority"
     """A majority of the databases was asked later, and all were in its term."""
-    OWN_WORD = "own word"
+    SELF_REPORT = "self report"
     """The primary was asked later and leads: one that is replaced loses its lead at
     that moment, wherever it is."""
     WITNESSES = "witnesses"
@@ -85,7 +85,7 @@
     is_held : bool
         True if `term` was only promised to a candidate that can take it back.
         Until then the database receives nothing.
-    knows_lead : bool
+    is_role_fenced : bool
         True if a database of this kind loses its lead at the very moment at which
         another one gains it. Its own word that it leads then proves its term.
     incarnation : str
@@ -102,7 +102,7 @@
     heard_age: float | None
     leaving: bool
     is_held: bool = False
-    knows_lead: bool = False
+    is_role_fenced: bool = False
     incarnation: str = ""
 
 
--- a/beryltrack/groups/policy.py
+++ b/beryltrack/groups/policy.py
@@ -28,16 +28,16 @@
         delays a grant that is asked for over it.
     use_time : float
         Seconds after a request for which the group counts as in use.
-    is_plain : bool
+    is_poll_only : bool
         True if databases of this kind answer at once, whatever is waited for, and
         do not tell whether they hear their primary.
     poll_interval : float
         Seconds between two probes of a replica whose progress somebody waits
         for, where there are no long polls: about a round trip.
-    guard_interval : float
+    idle_primary_interval : float
         Seconds between two questions of the instance that is first to act to a
         primary that it has not heard from otherwise.
-    rest_interval : float
+    background_interval : float
         Seconds between two probes of plain databases that nothing calls for.
     suspect_time : float
         Seconds for which a group stays suspect after a sign of a loss.
@@ -48,10 +48,10 @@
     suspect_interval: float = 0.02
     wait_slice: float = 0.05
     use_time: float = 1.0
-    is_plain: bool = False
+    is_poll_only: bool = False
     poll_interval: float = 0.005
-    guard_interval: float = 0.4
-    rest_interval: float = 20.0
+    idle_primary_interval: float = 0.4
+    background_interval: float = 20.0
     suspect_time: float = 1.5
 
 
--- a/beryltrack/groups/plain_pace.py
+++ b/beryltrack/groups/poll_schedule.py
@@ -13,12 +13,12 @@
 from beryltrack.groups.policy import ProbePolicy
 from beryltrack.groups.view import NEVER, DatabaseView, GroupView, get_primary
 
-WITNESS_TIME = 0.012
+WITNESS_TIMEOUT = 0.012
 """Seconds after which a commit's receipt is asked of all replicas. The first one asked
 has nearly always received it, and each question is paid for."""
 
 
-class PaceFacts(NamedTuple):
+class PollContext(NamedTuple):
     """What the pace of one database rests on beside its view.
 
     Parameters
@@ -39,7 +39,7 @@
     heard_at: float
 
 
-class PlainPace:
+class PollSchedule:
     """What one instance keeps to pace its questions to one group.
 
     Parameters
@@ -82,7 +82,7 @@
         """Take that a database has answered a statement."""
         self._heard_at[database] = now
 
-    def was_heard(self, database: str, since: float) -> bool:
+    def has_answered_since(self, database: str, since: float) -> bool:
         """Return whether a database has answered any statement after a time."""
         return self._heard_at.get(database, NEVER) > since
 
@@ -112,14 +112,14 @@
 
     def turns_to_all(self, now: float) -> bool:
         """Return whether from now on all replicas are asked for a receipt."""
-        is_late = now - self._confirming_since > WITNESS_TIME
+        is_late = now - self._confirming_since > WITNESS_TIMEOUT
         if not is_late or self._asks_all:
             return False
         self._asks_all = True
         return True
 
     def compute_delay(
-        self, view: GroupView, item: DatabaseView, facts: PaceFacts, now: float
+        self, view: GroupView, item: DatabaseView, facts: PollContext, now: float
     ) -> float:
         """Return the seconds until a database is asked again."""
         policy = self._policy
@@ -133,11 +133,11 @@
             return policy.interval
         if item.name == view.primary and facts.is_first:
             since_heard = now - facts.heard_at
-            return max(policy.poll_interval, policy.guard_interval - since_heard)
-        return policy.rest_interval
+            return max(policy.poll_interval, policy.idle_primary_interval - since_heard)
+        return policy.background_interval
 
     def _is_watched_closely(
-        self, view: GroupView, item: DatabaseView, facts: PaceFacts, now: float
+        self, view: GroupView, item: DatabaseView, facts: PollContext, now: float
     ) -> bool:
         """Return whether something is going on that no traffic tells of."""
         leader = get_primary(view)
--- a/beryltrack/groups/task.py
+++ b/beryltrack/groups/task.py
@@ -21,15 +21,14 @@
 from beryltrack.failover.messages import FailoverReport
 from beryltrack.failover.task import FailoverTask
 from beryltrack.groups.adapter import DatabaseGroup
-from beryltrack.groups.confirmations import LeadConfirmations
+from beryltrack.groups.confirmations import LeadershipConfirmations
 from beryltrack.groups.decider import GroupDecider
 from beryltrack.groups.messages import (
     PRIMARY,
     DatabaseStatus,
-    LeadProof,
+    LeadershipProof,
     LogPosition,
 )
-from beryltrack.groups.plain_pace import PaceFacts, PlainPace, get_witness
 from beryltrack.groups.policy import (
     ProbePolicy,
     compute_delay,
@@ -37,6 +36,7 @@
     make_probe_policy,
     make_wait,
 )
+from beryltrack.groups.poll_schedule import PollContext, PollSchedule, get_witness
 from beryltrack.groups.samples import Sample
 from beryltrack.groups.view import (
     NEVER,
@@ -85,7 +85,7 @@
         Gives the permits to promote; None where the databases need none.
     failover_policy : FailoverPolicy
         Times of the failover.
-    proof : LeadProof
+    proof : LeadershipProof
         What proves the term of a primary.
     """
 
@@ -100,7 +100,7 @@
         detector: LossDetector | None = None,
         authority: PromotionAuthority | None = None,
         failover_policy: FailoverPolicy = DEFAULT_POLICY,
-        proof: LeadProof = LeadProof.MAJORITY,
+        proof: LeadershipProof = LeadershipProof.MAJORITY,
     ):
         databases = group_settings.databases
         names = tuple(item.name for item in databases)
@@ -127,11 +127,11 @@
         self._last_time = 0.0
         self._used_at = NEVER
         self._waiters = ViewWaiters(reactor)
-        self._confirmations = LeadConfirmations(reactor, self)
+        self._confirmations = LeadershipConfirmations(reactor, self)
         self._subscribers: list[Callable[[GroupView], None]] = []
         self._failover_subscribers: list[Callable[[FailoverReport], None]] = []
         self._running = False
-        self._pace = PlainPace(self._policy)
+        self._pace = PollSchedule(self._policy)
         self._awake = get_awake_clock(reactor)
         self._reported = self._decider.view
 
@@ -215,9 +215,9 @@
         """
         self._failover.set_nodes(nodes, is_candidate)
 
-    def renew_ways(self, ways: tuple[str, ...]) -> None:
+    def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
         """Ask over new connections where the open ones go another way than these."""
-        self._adapter.renew(ways)
+        self._adapter.set_allowed_vias(vias)
 
     def subscribe(self, callback: Callable[[GroupView], None]) -> None:
         """Call back with the view when the primary, or who is reachable, changes."""
@@ -253,11 +253,11 @@
         self._decider.observe_position(database, position, self._seconds())
         self._waiters.answer_applied(self.view)
 
-    def observe_lead(
+    def observe_leadership(
         self, database: str, position: LogPosition, sent_at: float
     ) -> None:
         """Take in that a database led, by its word, when it answered a statement."""
-        self._decider.observe_lead(database, position, sent_at, self._seconds())
+        self._decider.observe_leadership(database, position, sent_at, self._seconds())
         self._answer_samples()
 
     async def ask_status(self, database: str) -> StatusResult:
@@ -266,7 +266,7 @@
         result = await self._adapter.get_status(database)
         if isinstance(result, Success):
             self.take_status(result.unwrap(), sent_at)
-        elif self.was_heard(database, sent_at):
+        elif self.has_answered_since(database, sent_at):
             # The other instance must not take it for lost either.
             return Failure(result.failure()._replace(is_answered=True))
         return result
@@ -289,17 +289,21 @@
         self._pace.note_heard(database, self._seconds())
         self._decider.observe_lagging(database, position, self._seconds())
 
-    def lacks(self, database: str, position: LogPosition, least_pause: float) -> bool:
+    def is_presumed_behind(
+        self, database: str, position: LogPosition, min_pause: float
+    ) -> bool:
         """Return whether a replica has refused a position too lately to be asked."""
-        return self._decider.lacks(database, position, self._seconds(), least_pause)
+        return self._decider.is_presumed_behind(
+            database, position, self._seconds(), min_pause
+        )
 
     def get_needed_position(self, since: float) -> LogPosition | None:
         """Return what shows all that was acknowledged before a time, if proven."""
         return self._decider.get_needed_position(since)
 
-    def was_heard(self, database: str, since: float) -> bool:
+    def has_answered_since(self, database: str, since: float) -> bool:
         """Return whether a database has answered any statement after a time."""
-        return self._pace.was_heard(database, since)
+        return self._pace.has_answered_since(database, since)
 
     def suspect(self, database: str, since: float) -> None:
         """Take in a sign that a database may be lost: look closely for a while.
@@ -348,7 +352,7 @@
             self._watches.wake_all()
         return answer
 
-    def confirm_lead(self) -> Deferred:
+    def confirm_leadership(self) -> Deferred:
         """Have it proven that no later term had a primary before this call.
 
         All who wait share the questions that are made.
@@ -385,7 +389,7 @@
         answer = self._commits.wait(position, timeout, database)
         if answer.called:
             return answer
-        if self._policy.is_plain:
+        if self._policy.is_poll_only:
             self._pace.begin_confirming(self._seconds())
             answer.addBoth(self._end_confirming)
             witness = get_witness(self.view)
@@ -439,7 +443,7 @@
             self._decider.observe_primary_asked(sent_at)
         if database == self.view.primary:
             self._decider.observe_primary_asked(sent_at)
-            if self._waiters.has_samples and not self._policy.is_plain:
+            if self._waiters.has_samples and not self._policy.is_poll_only:
                 self._watches.wake_replicas(self.view)
         return sent_at
 
@@ -450,7 +454,7 @@
         answer comes at once when one of them is promoted or hears a primary.
         """
         item = get_database(self.view, database)
-        if item is None or self._policy.is_plain:
+        if item is None or self._policy.is_poll_only:
             return None
         if self._failover.busy or item.role == PRIMARY or not item.reachable:
             return None
@@ -475,8 +479,8 @@
             return self._policy.suspect_interval
         if self.get_wait(database) is not None:
             return 0.0
-        if self._policy.is_plain:
-            facts = PaceFacts(
+        if self._policy.is_poll_only:
+            facts = PollContext(
                 self._is_awaited(item),
                 self._failover.is_suspect(self.view),
                 self._failover.is_first,
@@ -499,7 +503,7 @@
         if result.failure().is_answered:
             self._decider.observe_answer(database, self._seconds())
             return
-        if self.was_heard(database, sent_at):
+        if self.has_answered_since(database, sent_at):
             # It works and only has no slot for this: to break its connections would
             # make it open them all again, each for 12 to 30 ms of a slot.
             return
@@ -590,7 +594,7 @@
         before, self._reported = self._reported, self.view
         if get_outline(before) == get_outline(self.view):
             return
-        if self._policy.is_plain:
+        if self._policy.is_poll_only:
             # They may rest for long: what has changed may concern them too.
             self._watches.wake_all()
         if before.term != self.view.term or before.primary != self.view.primary:
@@ -608,7 +612,7 @@
         now = self._seconds()
         was_idle = now >= self._used_at + self._policy.use_time
         self._used_at = now
-        if was_idle and not self._policy.is_plain:
+        if was_idle and not self._policy.is_poll_only:
             self._watches.wake_all()
 
 
--- a/beryltrack/groups/view.py
+++ b/beryltrack/groups/view.py
@@ -56,7 +56,7 @@
         do not tell, seconds since this node heard from that primary.
     is_held : bool
         True if `term` is a promise that the candidate can take back.
-    knows_lead : bool
+    is_role_fenced : bool
         True if its own word that it leads proves its term.
     lag : Lag or None
         What its refusals of positions that reads asked for say; None without any.
@@ -81,7 +81,7 @@
     fresh_at: float = NEVER
     heard_age: float = math.inf
     is_held: bool = False
-    knows_lead: bool = False
+    is_role_fenced: bool = False
     lag: Lag | None = None
     recovering_since: float | None = None
     needed: LogPosition | None = None
@@ -163,7 +163,7 @@
     return now - database.fresh_at
 
 
-def get_led_term(database: DatabaseView) -> int:
+def get_known_primary_term(database: DatabaseView) -> int:
     """Return the highest term that a database knows a primary of.
 
     A promise that a candidate can take back is no such term.
@@ -193,7 +193,7 @@
     return database.role == REPLICA and not database.received.offset
 
 
-def count_electors(view: GroupView, voters: Collection[DatabaseView]) -> int:
+def count_eligible_voters(view: GroupView, voters: Collection[DatabaseView]) -> int:
     """Return how many of some databases count in an election among them.
 
     Parameters
@@ -245,7 +245,7 @@
     return size // 2 + 1
 
 
-def compute_electors(size: int) -> int:
+def compute_election_quorum(size: int) -> int:
     """Return how many databases an election needs where an authority is fenced.
 
     An elected database must be chosen from a set that meets each set of databases
--- a/beryltrack/groups/waiters.py
+++ b/beryltrack/groups/waiters.py
@@ -107,7 +107,7 @@
     ) -> Deferred:
         """Return what fires with whether a database shows a token in time."""
         waiter = AppliedWaiter(
-            database, token, make_answer(self._reactor, timeout, False)
+            database, token, make_timed_deferred(self._reactor, timeout, False)
         )
         self._applied.append(waiter)
         return waiter.answer.addBoth(_drop, self._applied, waiter)
@@ -149,7 +149,7 @@
     return result
 
 
-def make_answer(reactor, timeout: float, otherwise: object) -> Deferred:
+def make_timed_deferred(reactor, timeout: float, otherwise: object) -> Deferred:
     """Return a Deferred that fires with `otherwise` unless it fires before.
 
     Parameters
--- a/beryltrack/platform/group.py
+++ b/beryltrack/platform/group.py
@@ -81,7 +81,7 @@
         The service that carries out promotions.
     calls : ControlCalls
         Sends the control requests.
-    knows_lead : bool
+    is_role_fenced : bool
         True if databases lose their lead at the moment of a promotion.
     """
 
@@ -90,9 +90,9 @@
         group: GroupSettings,
         promotion: PromotionCalls,
         calls: ControlCalls,
-        knows_lead: bool = True,
+        is_role_fenced: bool = True,
     ):
-        self._knows_lead = knows_lead
+        self._is_role_fenced = is_role_fenced
         self._group = group.name
         self._promotion = promotion
         self._calls = calls
@@ -147,9 +147,9 @@
         """Let a replica receive again."""
         return await self._call(database, b"RESUME")
 
-    def renew(self, ways: tuple[str, ...]) -> None:
+    def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
         """Open new connections in place of those that go another way than these."""
-        self._calls.renew(ways)
+        self._calls.set_allowed_vias(vias)
 
     def close(self) -> None:
         """Close all control connections."""
@@ -165,7 +165,7 @@
             return Failure(ControlFailure(database, str(refused), is_at_work))
         except (TargetLost, TimeoutError, OSError) as error:
             return Failure(ControlFailure(database, f"no answer: {error}"))
-        return _make_status(database, rows, end, self._knows_lead)
+        return _make_status(database, rows, end, self._is_role_fenced)
 
 
 def _has_granted(status: DatabaseStatus, term: int, lost_after: float) -> bool:
@@ -176,7 +176,7 @@
 
 
 def _make_status(
-    database: str, rows: bytes, end: ResponseEnd, knows_lead: bool
+    database: str, rows: bytes, end: ResponseEnd, is_role_fenced: bool
 ) -> StatusResult:
     """Return the status that an answer holds."""
     if end.error is not None:
@@ -197,6 +197,6 @@
         None,
         False,
         row.held > row.term,
-        knows_lead,
+        is_role_fenced,
     )
     return Success(status)
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -245,7 +245,9 @@
         lender = self._find_lender(session.group, session.database)
         if lender is None or unit.after is None:
             return False
-        return lender.task.lacks(session.database, unit.after, self._lagging_pause)
+        return lender.task.is_presumed_behind(
+            session.database, unit.after, self._lagging_pause
+        )
 
     def _find_lender(self, group: str, database: str) -> Lender | None:
         """Return what lends connections to a database, None once this one leaves."""
@@ -330,7 +332,7 @@
     shown_at = sent_at if is_first and end.error is None else None
     task.observe_position(database, end.position, shown_at)
     if end.error is None and unit.proves_lead:
-        task.observe_lead(database, end.position, sent_at)
+        task.observe_leadership(database, end.position, sent_at)
 
 
 def _is_lagging(unit: RelayedUnit, end: ResponseEnd) -> bool:
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/course.py
@@ -291,7 +291,7 @@
                 target.database, end.position, shown_at
             )
             if end.error is None and protocol.proves_lead(context.plan):
-                context.runtime.task.observe_lead(
+                context.runtime.task.observe_leadership(
                     target.database, end.position, self._sent_at
                 )
         if end.error is None:
--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -221,7 +221,7 @@
     def proves_lead(self, plan: UnitPlan) -> bool:
         """Return whether a database that ran a unit without an error says it leads.
 
-        What that word proves depends on the databases; see `LeadProof`.
+        What that word proves depends on the databases; see `LeadershipProof`.
         """
 
     def has_committed(
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -236,7 +236,7 @@
     services: RequestServices, runtime: GroupRuntime, timeout: float
 ) -> bool:
     """Wait until the primary's term is confirmed from now on; False at the timeout."""
-    confirming = runtime.task.confirm_lead()
+    confirming = runtime.task.confirm_leadership()
     confirming.addTimeout(timeout, services.reactor)
     try:
         await confirming
--- a/beryltrack/routing/decider.py
+++ b/beryltrack/routing/decider.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from beryltrack.groups.lagging import is_lacking
+from beryltrack.groups.lagging import is_presumed_behind
 from beryltrack.groups.messages import NO_POSITION, REPLICA, LogPosition
 from beryltrack.groups.view import (
     NEVER,
@@ -152,7 +152,7 @@
     if has_applied(database, after):
         return True
     is_young = now - request.written_at < policy.usual_lag
-    is_behind = is_lacking(database.lag, after, now, policy.lagging_pause)
+    is_behind = is_presumed_behind(database.lag, after, now, policy.lagging_pause)
     return request.sample is None and not (is_young or is_behind)
 
 
--- a/beryltrack/transactions/waits.py
+++ b/beryltrack/transactions/waits.py
@@ -7,7 +7,7 @@
 
 from beryltrack.awake_clock import get_awake_clock
 from beryltrack.groups.messages import DatabaseStatus, LogPosition
-from beryltrack.groups.waiters import make_answer
+from beryltrack.groups.waiters import make_timed_deferred
 from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
 
 
@@ -49,7 +49,7 @@
         key = next(self._keys)
         primary = self._decider.get_primary(position.term)
         # A receipt that has come during a pause of this process is read first.
-        answer = make_answer(self._awake, timeout, CommitOutcome.UNKNOWN)
+        answer = make_timed_deferred(self._awake, timeout, CommitOutcome.UNKNOWN)
         self._waiting[key] = answer
         answer.addBoth(self._drop, key)
         if database and primary and primary != database:
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -52,7 +52,7 @@
         self.pool = Pool()
         task = SimpleNamespace(
             set_nodes=lambda *words: self.told.append(words),
-            renew_ways=lambda ways: self.told.append(ways),
+            set_allowed_vias=lambda ways: self.told.append(ways),
         )
         self.runtime = SimpleNamespace(
             settings=GROUP,
--- a/tests/daemon/test_node_options.py
+++ b/tests/daemon/test_node_options.py
@@ -4,7 +4,7 @@
 
 from beryltrack.daemon import node_options as options
 from beryltrack.groups.messages import PRIMARY, LogPosition
-from beryltrack.groups.plain_pace import PaceFacts, PlainPace
+from beryltrack.groups.poll_schedule import PollContext, PollSchedule
 from beryltrack.groups.view import DatabaseView, GroupView
 from beryltrack.routing.decider import choose_target
 from beryltrack.routing.messages import NeedSample, UseTarget, WriteRequest
@@ -34,12 +34,12 @@
 
 
 def test_a_primary_that_is_heard_of_is_not_asked():
-    pace = PlainPace(options.PROBES)
+    pace = PollSchedule(options.PROBES)
     delays = [
         pace.compute_delay(
             make_view(9.0),
             PRIMARY_VIEW,
-            PaceFacts(False, False, True, heard_at),
+            PollContext(False, False, True, heard_at),
             10.0,
         )
         for heard_at in (10.0, 9.5, 9.0)
--- a/tests/failover/test_decider.py
+++ b/tests/failover/test_decider.py
@@ -274,7 +274,7 @@
 
 def test_a_replica_that_is_held_for_nobody_is_reclaimed():
     held = make_replica("b", term=2, is_held=True)
-    view = make_view(held, make_replica("c"), knows_lead=True)
+    view = make_view(held, make_replica("c"), is_role_fenced=True)
     decider = make_decider(get_first())
     assert decider.decide(view, 10.0) is None
     again = view._replace(
--- a/tests/groups/test_confirmations.py
+++ b/tests/groups/test_confirmations.py
@@ -2,9 +2,9 @@
 
 from twisted.internet.task import Clock
 
-from beryltrack.groups.confirmations import LeadConfirmations
+from beryltrack.groups.confirmations import LeadershipConfirmations
 from beryltrack.groups.messages import PRIMARY, LogPosition
-from beryltrack.groups.plain_pace import WITNESS_TIME
+from beryltrack.groups.poll_schedule import WITNESS_TIMEOUT
 from beryltrack.groups.view import DatabaseView, GroupView
 
 
@@ -28,7 +28,7 @@
                 DatabaseView("b", term=1, received=LogPosition(1, 8), reachable=True),
             ),
         )
-        self.waits = LeadConfirmations(self.clock, self)
+        self.waits = LeadershipConfirmations(self.clock, self)
 
     def get_time(self):
         return self.clock.seconds()
@@ -54,9 +54,9 @@
 def test_the_others_are_asked_when_it_does_not_answer():
     owner = Owner()
     owner.waits.wait()
-    owner.clock.advance(WITNESS_TIME)
+    owner.clock.advance(WITNESS_TIMEOUT)
     assert owner.asked == ["b", "c"]
-    owner.clock.advance(WITNESS_TIME)
+    owner.clock.advance(WITNESS_TIMEOUT)
     assert owner.asked == ["b", "c"]
 
 
@@ -89,5 +89,5 @@
     waiting = owner.waits.wait()
     waiting.addErrback(lambda failure: None)
     waiting.cancel()
-    owner.clock.advance(WITNESS_TIME)
+    owner.clock.advance(WITNESS_TIMEOUT)
     assert owner.asked == ["b"] and owner.clock.getDelayedCalls() == []
--- a/tests/groups/test_plain.py
+++ b/tests/groups/test_plain.py
@@ -16,8 +16,8 @@
     GrantReply,
     LogPosition,
 )
-from beryltrack.groups.plain_pace import get_witness
 from beryltrack.groups.policy import ProbePolicy
+from beryltrack.groups.poll_schedule import get_witness
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import get_database
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
@@ -25,7 +25,7 @@
 
 NAMES = ("a", "b", "c")
 POLICY = ProbePolicy(
-    interval=0.25, idle_interval=0.25, suspect_interval=0.1, is_plain=True
+    interval=0.25, idle_interval=0.25, suspect_interval=0.1, is_poll_only=True
 )
 DELAY = 0.001
 SLOW = 0.03
--- a/tests/groups/test_plain_pace.py
+++ b/tests/groups/test_plain_pace.py
@@ -3,17 +3,17 @@
 import pytest
 
 from beryltrack.groups.messages import PRIMARY, REPLICA, LogPosition
-from beryltrack.groups.plain_pace import (
-    WITNESS_TIME,
-    PaceFacts,
-    PlainPace,
+from beryltrack.groups.policy import ProbePolicy
+from beryltrack.groups.poll_schedule import (
+    WITNESS_TIMEOUT,
+    PollContext,
+    PollSchedule,
     get_witness,
 )
-from beryltrack.groups.policy import ProbePolicy
 from beryltrack.groups.view import DatabaseView, GroupView
 
-POLICY = ProbePolicy(0.25, 0.25, suspect_interval=0.1, is_plain=True)
-CALM = PaceFacts(False, False, False, 0.0)
+POLICY = ProbePolicy(0.25, 0.25, suspect_interval=0.1, is_poll_only=True)
+CALM = PollContext(False, False, False, 0.0)
 
 
 def make_item(name, role=REPLICA, received=5, **fields):
@@ -32,40 +32,40 @@
 
 
 def test_a_database_at_rest_is_asked_seldom():
-    assert compute(PlainPace(POLICY)) == POLICY.rest_interval
+    assert compute(PollSchedule(POLICY)) == POLICY.background_interval
 
 
 def test_the_first_instance_guards_a_primary_that_it_does_not_hear():
     facts = CALM._replace(is_first=True, heard_at=9.9)
-    delay = compute(PlainPace(POLICY), LEADER, facts)
-    assert delay == pytest.approx(POLICY.guard_interval - 0.1)
+    delay = compute(PollSchedule(POLICY), LEADER, facts)
+    assert delay == pytest.approx(POLICY.idle_primary_interval - 0.1)
 
 
 def test_a_suspicion_ends_with_an_answer_from_after_it():
-    pace = PlainPace(POLICY)
+    pace = PollSchedule(POLICY)
     assert pace.note_suspicion(10.0) and not pace.note_suspicion(10.1)
     assert compute(pace, now=10.2) == POLICY.suspect_interval
     pace.note_primary_status(9.9)
     assert compute(pace, now=10.2) == POLICY.suspect_interval
     pace.note_primary_status(10.1)
-    assert compute(pace, now=10.2) == POLICY.rest_interval
+    assert compute(pace, now=10.2) == POLICY.background_interval
 
 
 def test_a_receipt_is_asked_for_ever_more_seldom_and_then_of_all():
-    pace, facts = PlainPace(POLICY), CALM._replace(is_awaited=True)
+    pace, facts = PollSchedule(POLICY), CALM._replace(is_awaited=True)
     pace.begin_confirming(10.0)
     assert compute(pace, facts=facts, now=10.0) == POLICY.poll_interval
     assert 0.049 < compute(pace, facts=facts, now=10.2) < 0.051
-    assert not pace.turns_to_all(10.0 + WITNESS_TIME / 2)
-    assert pace.turns_to_all(10.0 + WITNESS_TIME * 2)
-    assert not pace.turns_to_all(10.0 + WITNESS_TIME * 3)
+    assert not pace.turns_to_all(10.0 + WITNESS_TIMEOUT / 2)
+    assert pace.turns_to_all(10.0 + WITNESS_TIMEOUT * 2)
+    assert not pace.turns_to_all(10.0 + WITNESS_TIMEOUT * 3)
     pace.end_confirming()
     assert not pace.asks_all
 
 
 def test_a_group_without_a_primary_is_watched_closely():
     view = VIEW._replace(primary="")
-    assert compute(PlainPace(POLICY), view=view) == POLICY.suspect_interval
+    assert compute(PollSchedule(POLICY), view=view) == POLICY.suspect_interval
 
 
 def test_the_witness_is_the_replica_that_received_most():
--- a/tests/groups/test_restarts.py
+++ b/tests/groups/test_restarts.py
@@ -18,7 +18,7 @@
     PRIMARY,
     REPLICA,
     ControlFailure,
-    LeadProof,
+    LeadershipProof,
     LogPosition,
 )
 from beryltrack.groups.task import GroupTask
@@ -129,7 +129,7 @@
             POLICY,
             authority=Permits(),
             failover_policy=FailoverPolicy(has_authority=True),
-            proof=LeadProof.OWN_WORD,
+            proof=LeadershipProof.SELF_REPORT,
         )
         self.task.start()
         self.run(seconds)
@@ -327,7 +327,7 @@
     site.databases.restart_empty("a", "a@2")
     site.tell("a@2", "b", "c")
     site.task.observe_position("a", LogPosition(1, 9), 0.5)
-    site.task.observe_lead("a", LogPosition(1, 9), 0.5)
+    site.task.observe_leadership("a", LogPosition(1, 9), 0.5)
     site.task.suspect("a", 0.0)
     site.task.observe_lagging("a", LogPosition(1, 9))
     assert site.task.get_age("a") > 1e9
--- a/tests/groups/test_witnesses.py
+++ b/tests/groups/test_witnesses.py
@@ -7,7 +7,7 @@
     PRIMARY,
     REPLICA,
     DatabaseStatus,
-    LeadProof,
+    LeadershipProof,
     LogPosition,
 )
 from beryltrack.groups.samples import Sample
@@ -28,7 +28,7 @@
     """A decider that is told of statuses; the first one leads term 1."""
 
     def __init__(self, names=NAMES):
-        self.decider = GroupDecider("main", names, proof=LeadProof.WITNESSES)
+        self.decider = GroupDecider("main", names, proof=LeadershipProof.WITNESSES)
         self.observe("a", 1.0, PRIMARY)
 
     def observe(self, name, sent_at, role=REPLICA, **fields):
@@ -42,15 +42,15 @@
 
 def test_the_word_of_a_primary_proves_nothing():
     group = Group()
-    group.decider.observe_lead("a", LogPosition(1, 6), 2.0, 2.0)
+    group.decider.observe_leadership("a", LogPosition(1, 6), 2.0, 2.0)
     assert group.confirmed_at == NEVER
     assert group.decider.get_needed_position(1.5) is None
 
 
 def test_one_other_of_three_proves_it_up_to_when_it_was_asked():
     group = Group()
-    group.decider.observe_lead("a", LogPosition(1, 6), 2.0, 2.0)
-    group.decider.observe_lead("a", LogPosition(1, 7), 4.0, 4.0)
+    group.decider.observe_leadership("a", LogPosition(1, 6), 2.0, 2.0)
+    group.decider.observe_leadership("a", LogPosition(1, 7), 4.0, 4.0)
     group.observe("b", 3.0)
     assert group.confirmed_at == 3.0
     assert group.decider.get_needed_position(1.5) == LogPosition(1, 6)
@@ -77,7 +77,7 @@
 
 
 def test_a_term_whose_primary_is_unknown_is_not_proven():
-    decider = GroupDecider("main", NAMES, proof=LeadProof.WITNESSES)
+    decider = GroupDecider("main", NAMES, proof=LeadershipProof.WITNESSES)
     for name in NAMES:
         decider.observe_status(make_status(name), 2.0, 2.0)
     assert decider.view.confirmed_at == NEVER
--- a/tests/platform/test_group.py
+++ b/tests/platform/test_group.py
@@ -70,7 +70,7 @@
     assert (status.role, status.term) == (PRIMARY, 3)
     assert status.received == LogPosition(3, 9)
     assert status.applied == LogPosition(3, 7)
-    assert status.heard_age is None and status.knows_lead and not status.is_held
+    assert status.heard_age is None and status.is_role_fenced and not status.is_held
 
 
 def test_a_paused_replica_has_granted(site):
@@ -154,7 +154,7 @@
         reactor.callLater(0.3, take, data)
 
     first.dataReceived = answer_late
-    site.calls.set_hearing(lambda database, since: True)
+    site.calls.set_answer_check(lambda database, since: True)
     assert site.call("get_status").unwrap().role == PRIMARY
     assert len(site.database.sessions) == 1
 
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -66,7 +66,7 @@
     def get_time(self):
         return self.now
 
-    def lacks(self, database, position, least_pause):
+    def is_presumed_behind(self, database, position, min_pause):
         return False
 
     def get_proof(self):
@@ -75,7 +75,7 @@
     def observe_position(self, database, position, sent_at=None):
         self.told.append(("position", database, position))
 
-    def observe_lead(self, database, position, sent_at):
+    def observe_leadership(self, database, position, sent_at):
         self.told.append(("lead", database, position, sent_at))
 
     async def ask_status(self, database):
--- a/tests/relay/test_lagging_replica.py
+++ b/tests/relay/test_lagging_replica.py
@@ -23,8 +23,8 @@
     def observe_lagging(self, database, position):
         self.decider.observe_lagging(database, position, self.now)
 
-    def lacks(self, database, position, least_pause):
-        return self.decider.lacks(database, position, self.now, least_pause)
+    def is_presumed_behind(self, database, position, min_pause):
+        return self.decider.is_presumed_behind(database, position, self.now, min_pause)
 
 
 @pytest.fixture
--- a/tests/transactions/test_restart_safety.py
+++ b/tests/transactions/test_restart_safety.py
@@ -18,12 +18,12 @@
     REPLICA,
     DatabaseStatus,
     GrantReply,
-    LeadProof,
+    LeadershipProof,
     LogPosition,
 )
 from beryltrack.groups.view import (
-    compute_electors,
-    get_led_term,
+    compute_election_quorum,
+    get_known_primary_term,
     get_recovering,
 )
 from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
@@ -74,7 +74,7 @@
     """What one instance knows."""
 
     def __init__(self, names):
-        self.group = GroupDecider("main", names, proof=LeadProof.OWN_WORD)
+        self.group = GroupDecider("main", names, proof=LeadershipProof.SELF_REPORT)
         self.commits = ConfirmDecider(SIZE)
 
     def take(self, status, sent_at, now):
@@ -181,7 +181,7 @@
         """A node holds replicas for the next term and has one promoted."""
         node = self.nodes[number]
         view = node.group.view
-        term = max(get_led_term(item) for item in view.databases) + 1
+        term = max(get_known_primary_term(item) for item in view.databases) + 1
         places = range(SIZE) if all_answer else sorted({first, second})
         replies, sent_at = [], self.tick()
         for database in (self.databases[place] for place in places):
@@ -199,7 +199,7 @@
             SIZE,
             "",
             frozenset(),
-            compute_electors(SIZE),
+            compute_election_quorum(SIZE),
             "",
             get_recovering(node.group.view),
         )
