--- a/beryltrack/connections/exclusive.py
+++ b/beryltrack/connections/exclusive.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from beryltrack.connections.messages import RunObserver, TargetLost
-from beryltrack.load.messages import NO_DEMAND
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.messages import DEFAULT_DEMAND
+from beryltrack.load.reports import TimedReport
 from beryltrack.wire.line_buffer import MalformedMessage
 from beryltrack.wire.messages import ResponseEnd, ResponseSink
 from beryltrack.wire.sockets import SocketLimits, tune_socket
@@ -53,14 +53,16 @@
         # True if that instance need not count the next operation of the account.
         self.is_counted = False
         # What the next operation asks for, as that instance is told.
-        self.demand = NO_DEMAND
+        self.demand = DEFAULT_DEMAND
         # Number of that instance's process if it understands demands; else zero.
         self.incarnation = 0
         # Whose statement that instance was last told.
         self.terms = b""
         # Called with what that instance tells of its load, and with when the statement
         # was sent that it came with an answer to.
-        self.on_report: Callable[[ToldReport, float], object] = lambda told, since: None
+        self.on_report: Callable[[TimedReport, float], object] = lambda told, since: (
+            None
+        )
         # Who follows the statements of the operation that it is lent for, if any.
         self.observer: RunObserver | None = None
         # Called if that instance says that it does not reach the database, or (True)
--- a/beryltrack/connections/task.py
+++ b/beryltrack/connections/task.py
@@ -29,7 +29,7 @@
 from beryltrack.connections.pool import LEAST_RETRY_AFTER, PoolDecider
 from beryltrack.connections.pool_policy import PoolPolicy
 from beryltrack.errors import TOO_MANY_CONNECTIONS
-from beryltrack.load.messages import NO_DEMAND, Demand, Expected
+from beryltrack.load.messages import DEFAULT_DEMAND, Demand, ExpectedTimes
 from beryltrack.settings.messages import DatabaseSettings
 
 log = logging.getLogger(__name__)
@@ -105,9 +105,9 @@
     def _now(self) -> float:
         return self._reactor.seconds()
 
-    def get_expected(self, demand: Demand) -> Expected:
+    def get_expected(self, demand: Demand) -> ExpectedTimes:
         """Return what is known of the target's load: nothing by its connections."""
-        return Expected()
+        return ExpectedTimes()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Call `callback` after each change that may concern a budget."""
@@ -118,7 +118,7 @@
         self._tick()
 
     def acquire(
-        self, deadline: float, demand: Demand = NO_DEMAND
+        self, deadline: float, demand: Demand = DEFAULT_DEMAND
     ) -> Deferred[PooledConnection]:
         """Get a connection for one request or transaction.
 
--- a/beryltrack/daemon/group_connections.py
+++ b/beryltrack/daemon/group_connections.py
@@ -8,7 +8,7 @@
 
 from beryltrack.daemon.groups import GroupTable
 from beryltrack.daemon.node_policies import NodePolicies
-from beryltrack.load.limit import Bounds
+from beryltrack.load.limit import SharedCapacity
 from beryltrack.relay.access import DatabaseAccess
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.handler import Lender
@@ -122,8 +122,12 @@
         is_gated = load.is_limited or load.is_ordered
         is_asked = is_gated and owners and self._is_owner(runtime)
         for item in runtime.settings.databases:
-            bounds = Bounds(item.slots, len(owners), connections) if is_asked else None
-            runtime.pools[item.name].set_bounds(bounds)
+            capacity = (
+                SharedCapacity(item.slots, len(owners), connections)
+                if is_asked
+                else None
+            )
+            runtime.pools[item.name].set_capacity(capacity)
 
     def owns(self, group: str) -> bool:
         """Return whether this instance opens connections to a group's databases."""
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_kit.py
@@ -17,9 +17,9 @@
 from beryltrack.groups.task import GroupTask
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.messages import DatabaseReport, Demand, Expected
-from beryltrack.load.outlook import ReportedOutlook
-from beryltrack.load.verdicts import FrontDecider
+from beryltrack.load.ingress_admission import IngressAdmission
+from beryltrack.load.messages import DatabaseReport, Demand, ExpectedTimes
+from beryltrack.load.owner_loads import ReportedOwnerLoads
 from beryltrack.platform.group import LineDatabaseGroup
 from beryltrack.platform.promotion import PromotionCalls
 from beryltrack.platform.target import LineTarget, connect_line_target
@@ -91,9 +91,9 @@
         self._by_database: WeakValueDictionary[str, DatabaseAccess] = (
             WeakValueDictionary()
         )
-        self.outlook = ReportedOutlook(self._seconds, self._get_report)
+        self.owner_loads = ReportedOwnerLoads(self._seconds, self._get_report)
         self._retries: RetryBudget | None = None
-        self._front = FrontDecider(self.outlook, rng)
+        self._ingress = IngressAdmission(self.owner_loads, rng)
         self._incarnation = incarnation
         self._pools: WeakValueDictionary[tuple[str, str], DatabaseAccess] = (
             WeakValueDictionary()
@@ -106,7 +106,7 @@
             OpenLimits(
                 options.RELAY_CONNECT, options.CONTROL_CONNECT, policies.takes_detours
             ),
-            self.outlook,
+            self.owner_loads,
         )
 
     def set_retries(self, retries: RetryBudget) -> None:
@@ -201,17 +201,17 @@
         access = self._by_database.get(database)
         return access.get_report() if access is not None else None
 
-    def _expect(self, way: str, database: str, demand: Demand) -> Expected:
+    def _expect(self, way: str, database: str, demand: Demand) -> ExpectedTimes:
         """Return what an operation may expect of a database through an instance."""
-        outlook = self.outlook
-        wait = outlook.get_wait(way, database, demand.priority)
-        return Expected(wait, outlook.get_work(database))
+        owner_loads = self.owner_loads
+        wait = owner_loads.get_wait(way, database, demand.priority)
+        return ExpectedTimes(wait, owner_loads.get_service_time(database))
 
     def _judge(self, way: str, database: str, demand: Demand) -> float:
         """Decide whether an operation goes to another instance."""
         if not self._policies.takes_reports:
             return 0.0
-        return self._front.judge(way, database, demand, self._seconds())
+        return self._ingress.decide(way, database, demand, self._seconds())
 
     def _make_gate(self) -> GateTask:
         """Return what decides which operations run at a database."""
--- a/beryltrack/daemon/load_status.py
+++ b/beryltrack/daemon/load_status.py
@@ -16,8 +16,8 @@
 from beryltrack.accounts.slots import SLOTS
 from beryltrack.daemon.group_connections import get_most_connections
 from beryltrack.daemon.plain_pages import JSON, Page, RenderPage
-from beryltrack.load.gate_counts import GateCounts, GateSource
-from beryltrack.load.messages import LOWEST_PRIORITY, Outlook
+from beryltrack.load.gate_status import GateSource, GateStatus
+from beryltrack.load.messages import LOWEST_PRIORITY, OwnerLoads
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.requests.runtime import GroupRuntime
 
@@ -91,7 +91,7 @@
         Version of the settings in force.
     groups : tuple of GroupLoad
         All groups.
-    gates : tuple of GateCounts
+    gates : tuple of GateStatus
         What it decides as an owner.
     account_slots : mapping of str to int
         Of the slots of accounts, how many each owner decides for as this instance sees
@@ -103,7 +103,7 @@
     state: str
     settings_version: int
     groups: tuple[GroupLoad, ...]
-    gates: tuple[GateCounts, ...]
+    gates: tuple[GateStatus, ...]
     account_slots: Mapping[str, int]
 
 
@@ -119,21 +119,21 @@
     def __init__(self, get_runtimes: GetRuntimes):
         self._get_runtimes = get_runtimes
 
-    def get_counts(self) -> Iterable[GateCounts]:
+    def list_gates(self) -> Iterable[GateStatus]:
         """Return what each gate reports."""
         for runtime in self._get_runtimes():
             for name, pool in runtime.pools.items():
-                report, tally = pool.get_report(), pool.get_tally()
-                if report is not None and tally is not None:
-                    yield GateCounts(
+                report, counters = pool.get_report(), pool.get_counters()
+                if report is not None and counters is not None:
+                    yield GateStatus(
                         runtime.settings.name,
                         name,
                         report.limit,
                         report.running,
-                        tally.waiting,
+                        counters.waiting,
                         report.waits,
-                        tally.refused,
-                        tally.put_out,
+                        counters.refused,
+                        counters.put_out,
                     )
 
 
@@ -146,7 +146,7 @@
         Says who owns each group.
     get_runtimes : callable
         Returns the groups.
-    outlook : Outlook or None
+    owner_loads : OwnerLoads or None
         What is known of the load through owners.
     """
 
@@ -154,12 +154,12 @@
         self,
         directory: RelayDirectory,
         get_runtimes: GetRuntimes,
-        outlook: Outlook | None = None,
+        owner_loads: OwnerLoads | None = None,
     ):
         self.gates: GateSource = PoolGates(get_runtimes)
         self._directory = directory
         self._get_runtimes = get_runtimes
-        self._outlook = outlook
+        self._owner_loads = owner_loads
 
     def build(
         self, instance: str, zone: str, state: str, settings_version: int
@@ -171,7 +171,7 @@
             state,
             settings_version,
             tuple(map(self._build_group, self._get_runtimes())),
-            tuple(self.gates.get_counts()),
+            tuple(self.gates.list_gates()),
             self._count_slots(),
         )
 
@@ -202,10 +202,10 @@
 
     def _get_waits(self, owner: str, database: str) -> tuple[float, ...]:
         """Return the expected waits through an owner, by priority."""
-        if self._outlook is None or not owner:
+        if self._owner_loads is None or not owner:
             return ()
         return tuple(
-            round(self._outlook.get_wait(owner, database, priority), 4)
+            round(self._owner_loads.get_wait(owner, database, priority), 4)
             for priority in range(LOWEST_PRIORITY + 1)
         )
 
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -35,7 +35,7 @@
 from beryltrack.daemon.store_clients import make_store_clients
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.events.log import EventLog
-from beryltrack.load.gate_counts import render_gates
+from beryltrack.load.gate_status import render_gates
 from beryltrack.metrics.messages import Gauge, format_label
 from beryltrack.metrics.plain import PlainMetrics
 from beryltrack.objects.eras import EraTracker, get_latest_era, get_revision
@@ -189,7 +189,7 @@
             self._accounts.was_heard,
         )
         self._load = LoadView(
-            directory, lambda: self._groups.runtimes, self._kit.outlook
+            directory, lambda: self._groups.runtimes, self._kit.owner_loads
         )
         directory.set_block_observer(self._connections.share)
         self._groups.subscribe_started(self._connections.start_group)
@@ -550,7 +550,7 @@
                 yield "beryltrack_pool_waiting", labels, pool.load.waiting
         yield from self._accounts.get_gauges()
         yield from self._traffic.get_gauges()
-        yield from render_gates(self._load.gates.get_counts())
+        yield from render_gates(self._load.gates.list_gates())
 
     def _get_status(self) -> LoadStatus:
         """Return who decides for which group, and what waits."""
--- a/beryltrack/daemon/node_process.py
+++ b/beryltrack/daemon/node_process.py
@@ -10,7 +10,7 @@
 from beryltrack.daemon.logs import configure_logs
 from beryltrack.events.log import NonBlockingStream
 from beryltrack.findings import Finding, format_finding
-from beryltrack.load.settings import read_load
+from beryltrack.load.settings import read_load_policy
 from beryltrack.platform.boot import read_node_settings
 from beryltrack.settings.mechanisms import read_disabled
 from beryltrack.settings.node import NodeSettings
@@ -27,7 +27,7 @@
     """
     settings, findings = read_node_settings(os.environ)
     disabled, wrong = read_disabled(os.environ)
-    load, faulty = read_load(os.environ)
+    load, faulty = read_load_policy(os.environ)
     findings = [*findings, *wrong, *faulty]
     if settings is None or wrong:
         return None, findings
--- a/beryltrack/load/turns.py
+++ b/beryltrack/load/fair_queue.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 
 
-class AccountTurns:
+class FairQueue:
     """Operations that wait, served by turns among accounts, the earliest aim first.
 
     All steps take a time that grows with the logarithm of what waits.
--- a/beryltrack/load/gate.py
+++ b/beryltrack/load/gate.py
@@ -15,7 +15,7 @@
 
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.load.estimate import BoundedEstimate
-from beryltrack.load.limit import Bounds, Outcome, StatementLimit
+from beryltrack.load.limit import Outcome, SharedCapacity, StatementLimit
 from beryltrack.load.messages import (
     DatabaseReport,
     Demand,
@@ -24,7 +24,7 @@
     Run,
 )
 from beryltrack.load.policy import LoadPolicy
-from beryltrack.load.queue import PRIORITIES, OperationQueue, Waiting
+from beryltrack.load.queue import PRIORITIES, OperationQueue, WaitingOperation
 from beryltrack.load.running import RunningStatements
 
 FIRST_TIME = 0.005
@@ -98,12 +98,12 @@
         """Operations that run."""
         return len(self._running)
 
-    def set_bounds(self, bounds: Bounds, now: float) -> list[GateAction]:
+    def set_capacity(self, bounds: SharedCapacity, now: float) -> list[GateAction]:
         """Take in what this instance's part of the database follows from."""
-        self._limit.set_bounds(bounds)
+        self._limit.set_capacity(bounds)
         return self._fill(now)
 
-    def arrive(self, number: int, demand: Demand, now: float) -> list[GateAction]:
+    def submit(self, number: int, demand: Demand, now: float) -> list[GateAction]:
         """Take in an operation; it waits unless an action is about it.
 
         Parameters
@@ -117,7 +117,7 @@
         """
         if not self._policy.is_ordered:
             demand = Demand(time_left=demand.time_left)
-        operation = Waiting(number, demand, now)
+        operation = WaitingOperation(number, demand, now)
         if demand.time_left <= 0.0:
             step = self._compute_step(now)
             return [self._refuse(operation, RefusalReason.TOO_LATE, step)]
@@ -154,13 +154,13 @@
             The current time, seconds.
         """
         if number in self._running:
-            self._end_statement(number, seconds, outcome, now)
+            self._record_end(number, seconds, outcome, now)
         spent = self._spent.pop(number, 0.0)
         if spent:
             self._time.observe(spent)
         return self._fill(now)
 
-    def rest(
+    def end_statement(
         self, number: int, seconds: float | None, outcome: Outcome, now: float
     ) -> list[GateAction]:
         """Take in that a statement has ended and its operation may go on.
@@ -169,10 +169,10 @@
         """
         if number not in self._running:
             return []
-        self._end_statement(number, seconds, outcome, now)
+        self._record_end(number, seconds, outcome, now)
         return self._fill(now)
 
-    def resume(self, number: int, now: float) -> list[GateAction]:
+    def start_statement(self, number: int, now: float) -> list[GateAction]:
         """Take in that an operation that rested runs its next statement."""
         if number in self._spent and number not in self._running:
             self._running.add(number, self._limit.mean, now)
@@ -186,7 +186,7 @@
         self._spent.pop(number, None)
         return self._fill(now)
 
-    def open(self, now: float) -> list[GateAction]:
+    def admit_all(self, now: float) -> list[GateAction]:
         """Let all run that wait; whoever comes next decides what becomes of them."""
         return [self._run(self._queue.pop().number, now) for _ in range(self.waiting)]
 
@@ -225,7 +225,7 @@
         self._spent[number] = 0.0
         return Run(number)
 
-    def _end_statement(
+    def _record_end(
         self, number: int, seconds: float | None, outcome: Outcome, now: float
     ) -> None:
         """Take in how a statement ended."""
@@ -267,7 +267,7 @@
         return actions
 
     def _judge(
-        self, operation: Waiting, demand: Demand, step: float
+        self, operation: WaitingOperation, demand: Demand, step: float
     ) -> RefusalReason | None:
         """Return why an operation that comes is refused, None if it may wait."""
         if not self._policy.refuses_early:
@@ -280,12 +280,12 @@
 
     def _bound(self, demand: Demand) -> float:
         """Return how long an operation waits at most, seconds."""
-        if demand.aim_left == math.inf:
+        if demand.latency_left == math.inf:
             return UNKNOWN_WAIT
-        by_aim = self._policy.most_wait * demand.aim_left
+        by_aim = self._policy.most_wait * demand.latency_left
         return min(MOST_DRAIN, max(by_aim, LATE_PART * demand.time_left))
 
-    def _make_room(self, operation: Waiting, step: float) -> list[GateAction]:
+    def _make_room(self, operation: WaitingOperation, step: float) -> list[GateAction]:
         """Return who is refused so that all that waits is done in time."""
         is_full = (len(self._queue) + 1) * step > MOST_DRAIN
         if not (self._policy.refuses_early and is_full and self._queue):
@@ -293,7 +293,9 @@
         victim = self._queue.pop_victim(operation.priority, operation.account)
         return [self._refuse(victim or operation, RefusalReason.QUEUE_FULL, step)]
 
-    def _refuse(self, operation: Waiting, reason: RefusalReason, step: float) -> Refuse:
+    def _refuse(
+        self, operation: WaitingOperation, reason: RefusalReason, step: float
+    ) -> Refuse:
         """Return a refusal with the time until what is as urgent has run."""
         ahead = self._queue.count_until(operation.priority) + 1
         wait = ahead * step * self._rng.uniform(*RETRY_SPREAD)
--- a/beryltrack/load/gate_counts.py
+++ b/beryltrack/load/gate_status.py
@@ -7,7 +7,7 @@
 from beryltrack.metrics.messages import Gauge, format_label
 
 
-class GateCounts(NamedTuple):
+class GateStatus(NamedTuple):
     """One database as the gate of one owner sees it.
 
     Parameters
@@ -43,11 +43,11 @@
 class GateSource(Protocol):
     """Where the counts of an instance's gates come from."""
 
-    def get_counts(self) -> Iterable[GateCounts]:
+    def list_gates(self) -> Iterable[GateStatus]:
         """Return what each gate has counted; nothing where the instance owns none."""
 
 
-def render_gates(counts: Iterable[GateCounts]) -> Iterable[Gauge]:
+def render_gates(counts: Iterable[GateStatus]) -> Iterable[Gauge]:
     """Return the values of gates in the form of the metrics page."""
     for gate in counts:
         labels = ",".join(
--- a/beryltrack/load/gate_task.py
+++ b/beryltrack/load/gate_task.py
@@ -10,11 +10,11 @@
 
 from beryltrack.connections.messages import PoolRefusal, PoolRefused, RefusalReason
 from beryltrack.load.gate import GateDecider
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import DatabaseReport, Demand, GateAction, Refuse, Run
 
 
-class GateTally(NamedTuple):
+class GateCounters(NamedTuple):
     """What a gate has counted since it was made.
 
     Parameters
@@ -68,13 +68,13 @@
         """Return the load of the database as it is now."""
         return self._decider.get_report(self._now)
 
-    def get_tally(self) -> GateTally:
+    def get_counters(self) -> GateCounters:
         """Return what was counted, for the metrics."""
-        return GateTally(self._decider.lengths, self._refused, self._put_out)
+        return GateCounters(self._decider.lengths, self._refused, self._put_out)
 
-    def set_bounds(self, bounds: Bounds) -> None:
+    def set_capacity(self, bounds: SharedCapacity) -> None:
         """Take in what this instance's part of the database follows from."""
-        self._perform(self._decider.set_bounds(bounds, self._now))
+        self._perform(self._decider.set_capacity(bounds, self._now))
 
     def enter(self, deadline: float, demand: Demand) -> Deferred[int]:
         """Ask to run an operation.
@@ -97,7 +97,7 @@
         self._waiters[number] = result
         time_left = min(demand.time_left, deadline - self._now)
         demand = demand._replace(time_left=time_left)
-        self._perform(self._decider.arrive(number, demand, self._now), number)
+        self._perform(self._decider.submit(number, demand, self._now), number)
         return result
 
     def finish(self, number: int) -> None:
@@ -105,22 +105,24 @@
         # Its last statement was told of when it ended.
         self._perform(self._decider.finish(number, None, Outcome.UNKNOWN, self._now))
 
-    def rest(self, number: int, seconds: float | None, outcome: Outcome) -> None:
+    def end_statement(
+        self, number: int, seconds: float | None, outcome: Outcome
+    ) -> None:
         """Take in how a statement of an operation ended."""
-        self._perform(self._decider.rest(number, seconds, outcome, self._now))
+        self._perform(self._decider.end_statement(number, seconds, outcome, self._now))
 
-    def resume(self, number: int) -> None:
+    def start_statement(self, number: int) -> None:
         """Take in that an operation that rested runs its next statement."""
-        self._perform(self._decider.resume(number, self._now))
+        self._perform(self._decider.start_statement(number, self._now))
 
     def cancel(self, number: int) -> None:
         """Forget an operation that is not to run any more, or did not."""
         self._waiters.pop(number, None)
         self._perform(self._decider.cancel(number, self._now))
 
-    def open(self) -> None:
+    def admit_all(self) -> None:
         """Let all run that wait: the pool decides what becomes of them."""
-        self._perform(self._decider.open(self._now))
+        self._perform(self._decider.admit_all(self._now))
 
     def _count(self, actions: list[GateAction], arriving: int) -> None:
         """Count who is refused."""
--- a/beryltrack/load/verdicts.py
+++ b/beryltrack/load/ingress_admission.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from beryltrack.load.messages import LOWEST_PRIORITY, Demand, Outlook
+from beryltrack.load.messages import LOWEST_PRIORITY, Demand, OwnerLoads
 
 QUEUED_PART = 0.8
 """Part of an operation's time that it may wait at an owner; the rest is for the
@@ -46,24 +46,24 @@
 """What the most urgent are told to wait, in parts of what the least urgent are."""
 
 
-class FrontDecider:
+class IngressAdmission:
     """Refuses what an owner could not serve in time.
 
     Parameters
     ----------
-    outlook : Outlook
+    owner_loads : OwnerLoads
         What is known of the owners' load; it forgets what is old.
     rng : random.Random
         Spreads what would happen at once.
     """
 
-    def __init__(self, outlook: Outlook, rng: random.Random):
-        self._outlook = outlook
+    def __init__(self, owner_loads: OwnerLoads, rng: random.Random):
+        self._owner_loads = owner_loads
         self._rng = rng
         self._probes: dict[tuple[str, str], float] = {}
         self._returns: dict[tuple[str, str], float] = {}
 
-    def judge(self, owner: str, database: str, demand: Demand, now: float) -> float:
+    def decide(self, owner: str, database: str, demand: Demand, now: float) -> float:
         """Decide whether an operation goes to an owner.
 
         Parameters
@@ -80,16 +80,16 @@
         float
             Zero to ask the owner; else the seconds after which to come back.
         """
-        wait = self._outlook.get_wait(owner, database, demand.priority)
+        wait = self._owner_loads.get_wait(owner, database, demand.priority)
         if wait <= QUEUED_PART * demand.time_left:
             return 0.0
         key = (owner, database)
         # Who was refused and comes back when told to would not believe it twice.
-        if demand.is_returning and self._may_return(key, now):
+        if demand.is_retry and self._may_return(key, now):
             return 0.0
         if self._may_probe(key, now):
             return 0.0
-        return compute_return(wait, demand.priority, self._rng)
+        return compute_retry_after(wait, demand.priority, self._rng)
 
     def _may_return(self, key: tuple[str, str], now: float) -> bool:
         """Return whether a caller that returns asks a full owner."""
@@ -112,7 +112,7 @@
         return True
 
 
-def compute_return(wait: float, priority: int, rng: random.Random) -> float:
+def compute_retry_after(wait: float, priority: int, rng: random.Random) -> float:
     """Return after how many seconds a caller is to come back.
 
     What waits now has been served by then; the urgent come back sooner, when what they
@@ -124,7 +124,7 @@
     return min(max(LEAST_RETURN, wait * part), MOST_RETURN) * spread
 
 
-class HoldPolicy(NamedTuple):
+class TargetWaitPolicy(NamedTuple):
     """For how long a request waits while no database can take it.
 
     Parameters
@@ -145,11 +145,14 @@
     most_held: int = 8
 
 
-HOLD = HoldPolicy()
+TARGET_WAIT = TargetWaitPolicy()
 
 
-def compute_hold(
-    limit: float, target_latency: float, is_crowded: bool, policy: HoldPolicy = HOLD
+def compute_target_wait(
+    limit: float,
+    target_latency: float,
+    is_crowded: bool,
+    policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> float:
     """Return for how many seconds a request waits for a database that can take it.
 
@@ -161,7 +164,7 @@
         Seconds within which its caller wants it done; infinite if that is not known.
     is_crowded : bool
         True if instances outnumber what databases take.
-    policy : HoldPolicy
+    policy : TargetWaitPolicy
         The figures.
     """
     if not is_crowded:
@@ -169,8 +172,11 @@
     return min(limit, max(policy.least, policy.part * target_latency))
 
 
-def may_hold(
-    held: int, has_primary: bool, is_crowded: bool, policy: HoldPolicy = HOLD
+def may_wait_for_target(
+    held: int,
+    has_primary: bool,
+    is_crowded: bool,
+    policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> bool:
     """Return whether one more request waits for a database that can take it.
 
@@ -182,7 +188,7 @@
         False if the group is known to have none.
     is_crowded : bool
         True if instances outnumber what databases take.
-    policy : HoldPolicy
+    policy : TargetWaitPolicy
         The figures.
     """
     return has_primary or not is_crowded or held < policy.most_held
--- a/beryltrack/load/limit.py
+++ b/beryltrack/load/limit.py
@@ -69,7 +69,7 @@
     """It tells nothing of the database, or it did not run."""
 
 
-class Bounds(NamedTuple):
+class SharedCapacity(NamedTuple):
     """What an owner's part of a database follows from.
 
     Parameters
@@ -101,7 +101,7 @@
     def __init__(self, per_slot: float, is_adaptive: bool = True):
         self._per_slot = per_slot
         self._is_adaptive = is_adaptive
-        self._bounds = Bounds(1, 1, 1)
+        self._bounds = SharedCapacity(1, 1, 1)
         self._limit = 1.0
         self._cut_at = -math.inf
         self._lost = 0
@@ -145,7 +145,7 @@
         even = math.ceil(self._per_slot * bounds.slots / bounds.owners)
         return max(LEAST_LIMIT, even)
 
-    def set_bounds(self, bounds: Bounds) -> None:
+    def set_capacity(self, bounds: SharedCapacity) -> None:
         """Start anew with the even part if what it follows from has changed."""
         if bounds == self._bounds:
             return
@@ -186,17 +186,17 @@
         if outcome is Outcome.FULL:
             self._cut(FULL_FACTOR, started_at, now)
         elif seconds is not None:
-            is_calm = not is_short and running * self._bounds.owners <= max(
+            is_uncongested = not is_short and running * self._bounds.owners <= max(
                 self._bounds.slots, self._bounds.owners
             )
-            self._learn(seconds, is_calm)
+            self._learn(seconds, is_uncongested)
             self._adapt(started_at, is_short, now)
 
-    def _learn(self, seconds: float, is_calm: bool) -> None:
+    def _learn(self, seconds: float, is_uncongested: bool) -> None:
         """Take in how long a statement took."""
         self._mean.observe(seconds)
         shown = self._mean
-        if is_calm:
+        if is_uncongested:
             self._calm.observe(seconds)
             shown = self._calm
         if self._calm.count <= CALM_SAMPLES:
--- a/beryltrack/load/messages.py
+++ b/beryltrack/load/messages.py
@@ -21,7 +21,7 @@
     ----------
     priority : int
         Zero is the most urgent, `LOWEST_PRIORITY` the least.
-    aim_left : float
+    latency_left : float
         Seconds within which its caller wants it done; below zero once it is late.
     time_left : float
         Seconds after which its result is of no use.
@@ -29,26 +29,26 @@
         Whose operation it is; empty where there are no accounts.
     is_displaced : bool
         True for a read that a replica would run if it were not behind.
-    is_returning : bool
+    is_retry : bool
         True if its caller was refused, and comes back when it was told to. Other
         instances are not told.
     """
 
     priority: int = 0
-    aim_left: float = math.inf
+    latency_left: float = math.inf
     time_left: float = math.inf
     account: str = ""
     is_displaced: bool = False
-    is_returning: bool = False
+    is_retry: bool = False
 
     def after(self, elapsed: float) -> "Demand":
         """Return the demand as it is some seconds later."""
         return self._replace(
-            aim_left=self.aim_left - elapsed, time_left=self.time_left - elapsed
+            latency_left=self.latency_left - elapsed, time_left=self.time_left - elapsed
         )
 
 
-NO_DEMAND = Demand()
+DEFAULT_DEMAND = Demand()
 """Of an operation of which nothing is known, as instances of earlier releases send."""
 
 
@@ -64,7 +64,7 @@
     waits : tuple of float
         Expected wait of an operation that comes now, seconds, by priority from zero on.
         A priority beyond the last entry waits as long as the last one.
-    work : float
+    service_time : float
         Usual time of a statement at the database, seconds.
     incarnation : int
         Number of the owner's process; reports of an earlier one are void.
@@ -73,7 +73,7 @@
     limit: int
     running: int
     waits: tuple[float, ...]
-    work: float
+    service_time: float
     incarnation: int
 
     def get_wait(self, priority: int) -> float:
@@ -109,22 +109,22 @@
 """What a gate decides; an operation without an action waits."""
 
 
-class Expected(NamedTuple):
+class ExpectedTimes(NamedTuple):
     """What an operation may expect of a database.
 
     Parameters
     ----------
     wait : float
         Seconds until it runs there; 0 if unknown.
-    work : float
+    service_time : float
         Usual seconds of a statement there; 0 if unknown.
     """
 
     wait: float = 0.0
-    work: float = 0.0
+    service_time: float = 0.0
 
 
-class Outlook(Protocol):
+class OwnerLoads(Protocol):
     """What is known of the databases' load through each owner."""
 
     def get_wait(self, owner: str, database: str, priority: int) -> float:
@@ -134,5 +134,5 @@
         empty for this instance's own connections.
         """
 
-    def get_work(self, database: str) -> float:
+    def get_service_time(self, database: str) -> float:
         """Return the usual time of a statement at a database, seconds; 0 if unknown."""
--- a/beryltrack/load/outlook.py
+++ b/beryltrack/load/owner_loads.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.reports import TimedReport
 
 VOID_AFTER = 1.0
 """Seconds after which a report says nothing any more: some tens of statements have run
@@ -29,7 +29,7 @@
 class _Heard(NamedTuple):
     """A report, and when it was told at the latest by this instance's clock."""
 
-    told: ToldReport
+    told: TimedReport
     known_at: float
 
 
@@ -48,8 +48,8 @@
     return None
 
 
-class ReportedOutlook:
-    """Keeps what owners told; see `Outlook`.
+class ReportedOwnerLoads:
+    """Keeps what owners told; see `OwnerLoads`.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
         self._paces: dict[str, _Pace] = {}
 
     def observe(
-        self, owner: str, database: str, told: ToldReport, sent_at: float
+        self, owner: str, database: str, told: TimedReport, sent_at: float
     ) -> None:
         """Take in what an owner told with an answer.
 
@@ -79,7 +79,7 @@
         ----------
         owner, database : str
             Who told, and of what.
-        told : ToldReport
+        told : TimedReport
             What it told. It is void if it is not newer than what is known.
         sent_at : float
             When the statement was sent that it answers, by this instance's clock: it
@@ -111,15 +111,15 @@
         # What waited then has moved on since; nothing is known of what came.
         return max(0.0, heard.told.report.get_wait(priority) - age)
 
-    def get_work(self, database: str) -> float:
+    def get_service_time(self, database: str) -> float:
         """Return the usual time of a statement at a database, seconds; 0 if unknown."""
         own = self._get_own(database)
-        if own is not None and own.work:
-            return own.work
+        if own is not None and own.service_time:
+            return own.service_time
         oldest = self._seconds() - VOID_AFTER
         newest = max(
             (
-                (heard.known_at, heard.told.report.work)
+                (heard.known_at, heard.told.report.service_time)
                 for heard in self._heard.get(database, _NONE_HEARD).values()
                 if heard.known_at > oldest
             ),
@@ -128,7 +128,7 @@
         return newest[1]
 
     def _compute_known_at(
-        self, owner: str, told: ToldReport, sent_at: float
+        self, owner: str, told: TimedReport, sent_at: float
     ) -> float | None:
         """Return when a report was told at the latest; None if its process is over.
 
@@ -146,12 +146,12 @@
             self._forget(owner)
             pace = None
         if pace is None or now - pace.seen_at > PACE_TIME:
-            self._paces[owner] = _Pace(incarnation, now - told.told_at, now)
+            self._paces[owner] = _Pace(incarnation, now - told.reported_at, now)
             return sent_at
         least = pace.least + DRIFT * (now - pace.seen_at)
-        taken = min(least, now - told.told_at)
+        taken = min(least, now - told.reported_at)
         self._paces[owner] = _Pace(incarnation, taken, now)
-        return max(sent_at, told.told_at + taken)
+        return max(sent_at, told.reported_at + taken)
 
     def _forget(self, owner: str) -> None:
         """Forget all that an owner told."""
@@ -160,7 +160,7 @@
             heard.pop(owner, None)
 
 
-def _is_newer(told: ToldReport, last: ToldReport) -> bool:
+def _is_newer(told: TimedReport, last: TimedReport) -> bool:
     """Return whether a report was told after another one."""
-    new = (told.report.incarnation, told.told_at)
-    return new > (last.report.incarnation, last.told_at)
+    new = (told.report.incarnation, told.reported_at)
+    return new > (last.report.incarnation, last.reported_at)
--- a/beryltrack/load/queue.py
+++ b/beryltrack/load/queue.py
@@ -4,8 +4,8 @@
 from heapq import heappop, heappush
 
 from beryltrack.load.counts import AccountCounts
+from beryltrack.load.fair_queue import FairQueue
 from beryltrack.load.messages import LOWEST_PRIORITY, Demand
-from beryltrack.load.turns import AccountTurns
 
 PRIORITIES = range(LOWEST_PRIORITY + 1)
 
@@ -25,7 +25,7 @@
 where one has no floor."""
 
 
-class Waiting:
+class WaitingOperation:
     """One operation that waits.
 
     Parameters
@@ -51,7 +51,7 @@
     def __init__(self, number: int, demand: Demand, now: float):
         self.number = number
         self.account = demand.account
-        self.aim = now + demand.aim_left
+        self.aim = now + demand.latency_left
         self.over = now + demand.time_left
         self.is_displaced = demand.is_displaced
         self.is_late = False
@@ -74,11 +74,11 @@
 
     def __init__(self, floors: tuple[float, ...]):
         self._floors = floors
-        self._lanes = [[AccountTurns() for _ in LANES] for _ in PRIORITIES]
+        self._lanes = [[FairQueue() for _ in LANES] for _ in PRIORITIES]
         self._credits = [0.0 for _ in PRIORITIES]
         self._urgent = [0.0 for _ in PRIORITIES]
         self._lengths = [0 for _ in PRIORITIES]
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, WaitingOperation] = {}
         self._aims: list[tuple[float, int]] = []
         self._overs: list[tuple[float, int]] = []
         self._counts = [AccountCounts() for _ in PRIORITIES]
@@ -97,7 +97,7 @@
             heappop(overs)
         return overs[0][0] if overs else math.inf
 
-    def add(self, operation: Waiting) -> None:
+    def add(self, operation: WaitingOperation) -> None:
         """Add an operation."""
         self._waiting[operation.number] = operation
         self._lengths[operation.priority] += 1
@@ -112,14 +112,14 @@
         """Take in that an operation had its turn while none waited."""
         self._urgent = [each - URGENT_WEIGHT * each for each in self._urgent]
 
-    def remove(self, number: int) -> Waiting:
+    def remove(self, number: int) -> WaitingOperation:
         """Take out an operation, which must wait."""
         operation = self._waiting[number]
         self._get_lane(operation).remove(operation.account, operation.aim, number)
         self._forget(operation)
         return operation
 
-    def pop(self) -> Waiting:
+    def pop(self) -> WaitingOperation:
         """Take out the operation whose turn it is; one must wait."""
         priority = self._choose_priority()
         number = next(lane for lane in self._lanes[priority] if lane).pop()
@@ -127,7 +127,7 @@
         self._forget(operation)
         return operation
 
-    def pop_over(self, now: float) -> Waiting | None:
+    def pop_over(self, now: float) -> WaitingOperation | None:
         """Take out an operation whose time is over, None if there is none."""
         if self.next_over > now:
             return None
@@ -143,12 +143,12 @@
                 operation.is_late = True
                 self._put(operation)
 
-    def pop_victim(self, priority: int, account: str) -> Waiting | None:
+    def pop_victim(self, priority: int, account: str) -> WaitingOperation | None:
         """Take out an operation that has to make room for one that comes.
 
         Returns
         -------
-        Waiting or None
+        WaitingOperation or None
             One of the least urgent that wait, of the account that has the most there;
             None unless the new one is more urgent, or as urgent and of an account with
             fewer operations that wait.
@@ -161,7 +161,7 @@
             return None
         return self._pop_last(lowest, longest)
 
-    def pop_least(self) -> Waiting:
+    def pop_least(self) -> WaitingOperation:
         """Take out one of the least urgent, of the account that has the most there."""
         lowest = max(each for each in PRIORITIES if self._lengths[each])
         return self._pop_last(lowest, self._counts[lowest].get_longest()[0])
@@ -186,7 +186,7 @@
         floor = self._floors[priority]
         return min(by_order, (own + 1) / floor) if floor else by_order
 
-    def count_own(self, operation: Waiting) -> int:
+    def count_own(self, operation: WaitingOperation) -> int:
         """Return how many of its priority come before an operation that comes."""
         better = self._lanes[operation.priority][: operation.lane]
         own = self._get_lane(operation).count_ahead(operation.account)
@@ -213,21 +213,21 @@
             urgent[each] += URGENT_WEIGHT * ((chosen < each) - urgent[each])
         return chosen
 
-    def _pop_last(self, priority: int, account: str) -> Waiting:
+    def _pop_last(self, priority: int, account: str) -> WaitingOperation:
         """Take out the last operation of an account in a priority."""
         lanes = reversed(self._lanes[priority])
         numbers = (lane.get_last(account) for lane in lanes)
         return self.remove(next(each for each in numbers if each is not None))
 
-    def _get_lane(self, operation: Waiting) -> AccountTurns:
+    def _get_lane(self, operation: WaitingOperation) -> FairQueue:
         return self._lanes[operation.priority][operation.lane]
 
-    def _put(self, operation: Waiting) -> None:
+    def _put(self, operation: WaitingOperation) -> None:
         """Put an operation into its lane."""
         lane = self._get_lane(operation)
         lane.add(operation.account, operation.aim, operation.number)
 
-    def _forget(self, operation: Waiting) -> None:
+    def _forget(self, operation: WaitingOperation) -> None:
         """Count an operation no more that has left its lane."""
         del self._waiting[operation.number]
         priority = operation.priority
--- a/beryltrack/load/reports.py
+++ b/beryltrack/load/reports.py
@@ -27,29 +27,29 @@
 the same instance may have been told of waits for as long as a report counts."""
 
 
-class ToldReport(NamedTuple):
+class TimedReport(NamedTuple):
     """A report as an owner tells it.
 
     Parameters
     ----------
     report : DatabaseReport
         The report.
-    told_at : float
+    reported_at : float
         When it was told, seconds since the owner's process started.
     """
 
     report: DatabaseReport
-    told_at: float
+    reported_at: float
 
 
-def is_calm(report: DatabaseReport) -> bool:
+def is_uncongested(report: DatabaseReport) -> bool:
     """Return whether an operation that comes now would run at once."""
     is_waiting = any(wait >= LEAST_WAIT for wait in report.waits)
     return report.running < report.limit and not is_waiting
 
 
-def must_tell(
-    report: DatabaseReport, last: ToldReport | None, busy_at: float, now: float
+def must_report(
+    report: DatabaseReport, last: TimedReport | None, busy_at: float, now: float
 ) -> bool:
     """Return whether a session is told of the load with its next answer.
 
@@ -57,24 +57,26 @@
     ----------
     report : DatabaseReport
         The load of its database now.
-    last : ToldReport or None
+    last : TimedReport or None
         What it was told last.
     busy_at : float
         When the database was last seen with something waiting.
     now : float
         Seconds since this process started, as the other times.
     """
-    if is_calm(report):
-        was_told = last is not None and last.told_at >= busy_at
-        return now - busy_at < CALM_TIME and not (was_told and is_calm(last.report))
-    if last is None or now - last.told_at >= REPORT_GAP:
+    if is_uncongested(report):
+        was_told = last is not None and last.reported_at >= busy_at
+        return now - busy_at < CALM_TIME and not (
+            was_told and is_uncongested(last.report)
+        )
+    if last is None or now - last.reported_at >= REPORT_GAP:
         return True
     return has_changed(last.report, report)
 
 
 def has_changed(before: DatabaseReport, after: DatabaseReport) -> bool:
     """Return whether two reports differ so that decisions would."""
-    if is_calm(before) or before.limit != after.limit:
+    if is_uncongested(before) or before.limit != after.limit:
         return True
     if len(before.waits) != len(after.waits):
         return True
--- a/beryltrack/load/settings.py
+++ b/beryltrack/load/settings.py
@@ -17,21 +17,21 @@
 from beryltrack.settings.options import Option, OptionKind, OptionTable
 
 LOAD_VARIABLE = "BERYLTRACK_LOAD"
-"""Environment variable with the options of `LOAD`, as a JSON object."""
+"""Environment variable with the options of `LOAD_OPTIONS`, as a JSON object."""
 
-MOST_TEXT = 10_000
+MAX_TEXT_LENGTH = 10_000
 """Characters that the variable may have: far more than all options need, and few enough
 that no nesting of it exhausts the stack of the reader."""
 
 PRIORITIES = LOWEST_PRIORITY + 1
 
-MOST_FLOORS = 0.9
+MAX_FLOORS_SUM = 0.9
 """What floors add up to at most: with all turns given away by floors, none would be
 left for the most urgent, and its expected wait would have no bound."""
 
 _DEFAULTS = LoadPolicy()
 
-LOAD = OptionTable(
+LOAD_OPTIONS = OptionTable(
     "load",
     "The figures of the decisions under load at each owner and database, in the "
     f"environment variable `{LOAD_VARIABLE}` of each process, read once at its start. "
@@ -72,7 +72,7 @@
             OptionKind.NUMBERS,
             "Least part of the turns that each priority gets while it waits, from zero "
             f"(the most urgent) on. At most {PRIORITIES} parts, together at most "
-            f"{MOST_FLOORS}; zero for what is left out.",
+            f"{MAX_FLOORS_SUM}; zero for what is left out.",
             _DEFAULTS.floors,
             "of the turns",
             0,
@@ -103,7 +103,7 @@
     wrong: tuple[tuple[Place, str], ...] = ()
 
 
-def read_load(
+def read_load_policy(
     environment: Mapping[str, str],
 ) -> tuple[LoadPolicy, tuple[Finding, ...]]:
     """Return the figures that the environment sets.
@@ -117,8 +117,8 @@
     text = environment.get(LOAD_VARIABLE, "")
     if not text.strip():
         return _DEFAULTS, ()
-    if len(text) > MOST_TEXT:
-        return _DEFAULTS, (_find((), f"is longer than {MOST_TEXT} characters"),)
+    if len(text) > MAX_TEXT_LENGTH:
+        return _DEFAULTS, (_find((), f"is longer than {MAX_TEXT_LENGTH} characters"),)
     value, findings = load_json(text, LOAD_VARIABLE)
     if findings:
         return _DEFAULTS, findings
@@ -131,7 +131,7 @@
     value: dict[str, object],
 ) -> tuple[LoadPolicy, tuple[Finding, ...]]:
     """Return what an object's options set, and what is wrong with them."""
-    known = {option.name: option for option in LOAD.options}
+    known = {option.name: option for option in LOAD_OPTIONS.options}
     unknown = tuple(
         _find((name,), "names no option") for name in value if name not in known
     )
@@ -170,8 +170,8 @@
     )
     if len(value) > PRIORITIES:
         wrong += (((), f"has {len(value)} parts, and there are {PRIORITIES}"),)
-    elif not wrong and math.fsum(value) > MOST_FLOORS:
-        wrong += (((), f"adds up to {math.fsum(value):g}, over {MOST_FLOORS}"),)
+    elif not wrong and math.fsum(value) > MAX_FLOORS_SUM:
+        wrong += (((), f"adds up to {math.fsum(value):g}, over {MAX_FLOORS_SUM}"),)
     if wrong:
         return _Reading(None, wrong)
     absent = repeat(0.0, PRIORITIES - len(value))
--- a/beryltrack/platform/relay.py
+++ b/beryltrack/platform/relay.py
@@ -12,8 +12,8 @@
 from beryltrack.errors import SqlError
 from beryltrack.groups.messages import DatabaseStatus, LogPosition
 from beryltrack.groups.view import NEVER
-from beryltrack.load.messages import NO_DEMAND
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.messages import DEFAULT_DEMAND
+from beryltrack.load.reports import TimedReport
 from beryltrack.platform import lines
 from beryltrack.platform.caller import LineSpeaker
 from beryltrack.platform.codes import encode_refusal
@@ -72,12 +72,12 @@
         super().__init__(factory)
         self.group = ""
         self.database = ""
-        self.demand = NO_DEMAND
+        self.demand = DEFAULT_DEMAND
         self.is_counted = True
         self.pinned: LineTarget | None = None
         self.proven_at = NEVER
         self.tells_demands = False
-        self.told: ToldReport | None = None
+        self.told: TimedReport | None = None
 
     def take(self, message: bytes) -> "Deferred[None] | None":
         """Take one message."""
@@ -104,7 +104,7 @@
         self.write(encode_refusal(error))
         self.send_ready(self.status)
 
-    def send_report(self, told: ToldReport) -> None:
+    def send_report(self, told: TimedReport) -> None:
         """Tell of the database's load; the end of an answer follows."""
         self.write(words.format_report(told))
 
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -21,9 +21,14 @@
     RefusalReason,
 )
 from beryltrack.connections.task import PoolTask
-from beryltrack.load.gate_task import GateTally, GateTask
-from beryltrack.load.limit import Bounds
-from beryltrack.load.messages import NO_DEMAND, DatabaseReport, Demand, Expected
+from beryltrack.load.gate_task import GateCounters, GateTask
+from beryltrack.load.limit import SharedCapacity
+from beryltrack.load.messages import (
+    DEFAULT_DEMAND,
+    DatabaseReport,
+    Demand,
+    ExpectedTimes,
+)
 from beryltrack.relay.gated import GatedPool
 from beryltrack.relay.ways import RelayedConnection
 
@@ -36,7 +41,7 @@
 Admit = Callable[[str], float]
 ObserveSpent = Callable[[str, str], bool]
 Judge = Callable[[str, Demand], float]
-Expect = Callable[[str, Demand], Expected]
+Expect = Callable[[str, Demand], ExpectedTimes]
 
 
 class _Lent(NamedTuple):
@@ -112,7 +117,7 @@
         observe_spent: ObserveSpent = lambda account, way: False,
         counts_here: Callable[[str], bool] = lambda account: False,
         judge: Judge = lambda way, demand: 0.0,
-        expect: Expect = lambda way, demand: Expected(),
+        expect: Expect = lambda way, demand: ExpectedTimes(),
         seconds: Callable[[], float] = lambda: 0.0,
         may_repeat: Callable[[], bool] = lambda: True,
         make_gate: Callable[[], GateTask] | None = None,
@@ -175,7 +180,7 @@
             self.direct.start()
 
     def acquire(
-        self, deadline: float, demand: Demand = NO_DEMAND
+        self, deadline: float, demand: Demand = DEFAULT_DEMAND
     ) -> Deferred[PooledConnection]:
         """Get a connection for one request or transaction of an account.
 
@@ -228,17 +233,17 @@
         if operation is not None:
             operation.finish()
 
-    def set_bounds(self, bounds: Bounds | None) -> None:
+    def set_capacity(self, capacity: SharedCapacity | None) -> None:
         """Limit the operations that run at the database; see `GatedPool`."""
-        self._gated.set_bounds(bounds)
+        self._gated.set_capacity(capacity)
 
-    def get_expected(self, demand: Demand) -> Expected:
+    def get_expected(self, demand: Demand) -> ExpectedTimes:
         """Return what is known of the database's load on the way of the moment."""
         return self._expect(self._choose_way(demand.account), demand)
 
-    def get_tally(self) -> GateTally | None:
+    def get_counters(self) -> GateCounters | None:
         """Return what this instance's gate has counted; None without one."""
-        return self._gated.get_tally()
+        return self._gated.get_counters()
 
     def get_report(self) -> DatabaseReport | None:
         """Return the load of the database through this instance's own connections.
--- a/beryltrack/relay/gated.py
+++ b/beryltrack/relay/gated.py
@@ -12,8 +12,8 @@
 from beryltrack.connections.messages import PooledConnection
 from beryltrack.connections.task import PoolTask
 from beryltrack.errors import TOO_MANY_CONNECTIONS
-from beryltrack.load.gate_task import GateTally, GateTask
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.gate_task import GateCounters, GateTask
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import DatabaseReport, Demand
 from beryltrack.wire.messages import ResponseEnd
 
@@ -38,20 +38,20 @@
 
     def observe_start(self) -> None:
         """Take in that a statement is sent."""
-        self._gate.resume(self._number)
+        self._gate.start_statement(self._number)
 
     def observe_end(self, seconds: float, end: ResponseEnd | Failure) -> None:
         """Take in that a statement has ended."""
         if isinstance(end, Failure):
-            self._gate.rest(self._number, seconds, Outcome.LOST)
+            self._gate.end_statement(self._number, seconds, Outcome.LOST)
         elif end.error is None:
-            self._gate.rest(self._number, seconds, Outcome.ANSWERED)
+            self._gate.end_statement(self._number, seconds, Outcome.ANSWERED)
         elif end.error.sqlstate == TOO_MANY_CONNECTIONS:
             # When it was sent says which crowd at the database it has met.
-            self._gate.rest(self._number, seconds, Outcome.FULL)
+            self._gate.end_statement(self._number, seconds, Outcome.FULL)
         else:
             # Most errors come at once, and tell nothing of how long statements take.
-            self._gate.rest(self._number, None, Outcome.ANSWERED)
+            self._gate.end_statement(self._number, None, Outcome.ANSWERED)
 
     def finish(self) -> None:
         """Take in that the connection was given back."""
@@ -85,25 +85,25 @@
         """Operations that wait for the database to have room for them."""
         return self._gate.waiting if self._gate is not None else 0
 
-    def set_bounds(self, bounds: Bounds | None) -> None:
+    def set_capacity(self, capacity: SharedCapacity | None) -> None:
         """Decide which operations run at the database from now on.
 
         Parameters
         ----------
-        bounds : Bounds or None
+        capacity : SharedCapacity or None
             What this instance's part follows from; None if as many operations are to
             run as there are connections.
         """
-        if bounds is not None and self._make_gate is not None:
+        if capacity is not None and self._make_gate is not None:
             self._gate = self._gate or self._make_gate()
-            self._gate.set_bounds(bounds)
+            self._gate.set_capacity(capacity)
         elif self._gate is not None:
             gate, self._gate = self._gate, None
-            gate.open()
+            gate.admit_all()
 
-    def get_tally(self) -> GateTally | None:
+    def get_counters(self) -> GateCounters | None:
         """Return what the gate has counted; None without one."""
-        return self._gate.get_tally() if self._gate is not None else None
+        return self._gate.get_counters() if self._gate is not None else None
 
     def get_report(self) -> DatabaseReport | None:
         """Return the load of the database; None while there is no gate."""
@@ -112,7 +112,7 @@
     def open(self) -> None:
         """Send on all that waits: the pool decides what becomes of it."""
         if self._gate is not None:
-            self._gate.open()
+            self._gate.admit_all()
 
     def acquire(self, deadline: float, demand: Demand) -> Deferred[PooledConnection]:
         """Get a connection once the database has room; see `PoolTask.acquire`."""
--- a/beryltrack/relay/load_teller.py
+++ b/beryltrack/relay/load_teller.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.reports import ToldReport, is_calm, must_tell
+from beryltrack.load.reports import TimedReport, is_uncongested, must_report
 
 
 class ToldSession(Protocol):
@@ -17,9 +17,9 @@
 
     database: str
     tells_demands: bool
-    told: ToldReport | None
+    told: TimedReport | None
 
-    def send_report(self, told: ToldReport) -> None:
+    def send_report(self, told: TimedReport) -> None:
         """Tell of the database's load; the end of an answer follows."""
 
 
@@ -55,9 +55,9 @@
         if report is None:
             return
         now = self._seconds() - self._started_at
-        if not is_calm(report):
+        if not is_uncongested(report):
             self._busy_at[session.database] = now
         busy_at = self._busy_at.get(session.database, -math.inf)
-        if must_tell(report, session.told, busy_at, now):
-            session.told = ToldReport(report, now)
+        if must_report(report, session.told, busy_at, now):
+            session.told = TimedReport(report, now)
             session.send_report(session.told)
--- a/beryltrack/relay/opener.py
+++ b/beryltrack/relay/opener.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred, fail
 
 from beryltrack.connections.messages import ConnectRefused, TargetUnreachable
-from beryltrack.load.outlook import ReportedOutlook
+from beryltrack.load.owner_loads import ReportedOwnerLoads
 from beryltrack.relay.directory import DETOUR_TIME, RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.relay.ways import RelayedConnection
@@ -60,7 +60,7 @@
         Says whether a group's database is still used.
     limits : OpenLimits
         Times.
-    outlook : ReportedOutlook
+    owner_loads : ReportedOwnerLoads
         Takes what other instances tell of their load.
     """
 
@@ -71,9 +71,9 @@
         open_at: Open,
         is_used: Callable[[str, str], bool],
         limits: OpenLimits,
-        outlook: ReportedOutlook,
+        owner_loads: ReportedOwnerLoads,
     ):
-        self._outlook = outlook
+        self._owner_loads = owner_loads
         self._reactor = reactor
         self._directory = directory
         self._open_at = open_at
@@ -168,8 +168,8 @@
             directory.avoid(owner.name)
             raise
         connection.way = owner.name
-        self._outlook.observe_owner(owner.name, connection.incarnation)
-        connection.on_report = lambda told, sent_at: self._outlook.observe(
+        self._owner_loads.observe_owner(owner.name, connection.incarnation)
+        connection.on_report = lambda told, sent_at: self._owner_loads.observe(
             owner.name, name, told, sent_at
         )
         connection.on_useless = lambda has_left: (
--- a/beryltrack/relay/ways.py
+++ b/beryltrack/relay/ways.py
@@ -10,7 +10,7 @@
 
 from beryltrack.connections.messages import PooledConnection
 from beryltrack.load.messages import Demand
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.reports import TimedReport
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     busy: bool
     on_useless: Callable[[bool], object]
     incarnation: int
-    on_report: Callable[[ToldReport, float], object]
+    on_report: Callable[[TimedReport, float], object]
 
 
 class ConnectionPool(Protocol):
--- a/beryltrack/relay/words.py
+++ b/beryltrack/relay/words.py
@@ -16,12 +16,12 @@
 from beryltrack.connections.exclusive import ExclusiveConnection
 from beryltrack.groups.messages import LogPosition
 from beryltrack.load.messages import (
+    DEFAULT_DEMAND,
     LOWEST_PRIORITY,
-    NO_DEMAND,
     DatabaseReport,
     Demand,
 )
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.reports import TimedReport
 from beryltrack.wire.line_buffer import MalformedMessage
 
 ACCOUNT, COUNTED = b"ACCOUNT ", b"counted"
@@ -104,17 +104,17 @@
     Only the first statement of an operation has one, and only if the instance at the
     other end understands it.
     """
-    demand, connection.demand = connection.demand, NO_DEMAND
+    demand, connection.demand = connection.demand, DEFAULT_DEMAND
     is_told = connection.way and connection.incarnation
     return format_demand(demand) if is_told else b""
 
 
 def format_demand(demand: Demand) -> bytes:
     """Return the prefix that tells a demand; empty if there is nothing to tell."""
-    if demand._replace(account="", is_returning=False) == NO_DEMAND:
+    if demand._replace(account="", is_retry=False) == DEFAULT_DEMAND:
         return b""
     displaced = _DISPLACED if demand.is_displaced else b""
-    aim, left = _format_time(demand.aim_left), _format_time(demand.time_left)
+    aim, left = _format_time(demand.latency_left), _format_time(demand.time_left)
     return b"%s%d%s %s %s " % (WITHIN, demand.priority, displaced, aim, left)
 
 
@@ -135,7 +135,7 @@
         earlier releases send, demands nothing.
     """
     if not text.startswith(WITHIN):
-        return NO_DEMAND._replace(account=account), text
+        return DEFAULT_DEMAND._replace(account=account), text
     match = _DEMAND.fullmatch(text)
     if match is None:
         return None
@@ -150,21 +150,21 @@
     return demand, rest
 
 
-def format_report(told: ToldReport) -> bytes:
+def format_report(told: TimedReport) -> bytes:
     """Return a LOAD message; waits in milliseconds, the work in microseconds."""
     report = told.report
     waits = b",".join(_format_time(wait) for wait in report.waits) or _UNKNOWN
     return b"%s %d %d %d %d %s\r\n" % (
         LOAD,
-        told.told_at * 1e3,
+        told.reported_at * 1e3,
         report.limit,
         report.running,
-        report.work * 1e6,
+        report.service_time * 1e6,
         waits,
     )
 
 
-def parse_report(line: bytes, incarnation: int) -> ToldReport:
+def parse_report(line: bytes, incarnation: int) -> TimedReport:
     """Return what a LOAD line of an owner's process says.
 
     Raises
@@ -175,12 +175,12 @@
     match = _REPORT.fullmatch(line)
     if match is None:
         raise MalformedMessage("malformed LOAD")
-    told_at, limit, running, work, waits = match.groups()
+    reported_at, limit, running, work, waits = match.groups()
     times = () if waits == _UNKNOWN else tuple(map(_parse_time, waits.split(b",")))
     report = DatabaseReport(
         int(limit), int(running), times, int(work) / 1e6, incarnation
     )
-    return ToldReport(report, int(told_at) / 1e3)
+    return TimedReport(report, int(reported_at) / 1e3)
 
 
 def parse_incarnation(line: bytes) -> int:
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -15,8 +15,8 @@
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
 from beryltrack.groups.messages import LogPosition
 from beryltrack.groups.view import NEVER
+from beryltrack.load.ingress_admission import compute_target_wait
 from beryltrack.load.messages import Demand
-from beryltrack.load.verdicts import compute_hold
 from beryltrack.metrics.messages import (
     RequestEnd,
     RequestKind,
@@ -115,7 +115,7 @@
             self.policy.target_latency,
             self.policy.request_timeout,
             self.caller.account,
-            is_returning=self.arrived_at >= self.caller.session.come_back_at,
+            is_retry=self.arrived_at >= self.caller.session.come_back_at,
         )
 
     @property
@@ -132,7 +132,9 @@
     def hold_until(self) -> float:
         """When it is refused if no database can take it, by the node's clock."""
         policy, is_crowded = self.policy, self.services.is_crowded()
-        hold = compute_hold(policy.target_timeout, policy.target_latency, is_crowded)
+        hold = compute_target_wait(
+            policy.target_timeout, policy.target_latency, is_crowded
+        )
         return self.arrived_at + hold
 
 
--- a/beryltrack/requests/runtime.py
+++ b/beryltrack/requests/runtime.py
@@ -7,7 +7,7 @@
 from beryltrack.connections.task import PoolTask
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import GroupView
-from beryltrack.load.messages import NO_DEMAND, Demand
+from beryltrack.load.messages import DEFAULT_DEMAND, Demand
 from beryltrack.requests.losses import DEFAULT_POLICY, LossPolicy, LossWatch
 from beryltrack.routing.messages import TargetLoad
 from beryltrack.routing.refresh import AgeRefresher
@@ -111,7 +111,7 @@
                     self.pools[item.name].start()
         self.task.set_databases(settings)
 
-    def get_loads(self, demand: Demand = NO_DEMAND) -> tuple[TargetLoad, ...]:
+    def get_loads(self, demand: Demand = DEFAULT_DEMAND) -> tuple[TargetLoad, ...]:
         """Return the work at each database, this instance's and what owners told."""
         pairs = ((item, self.pools[item.name]) for item in self.settings.databases)
         return tuple(
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -19,8 +19,8 @@
 from beryltrack.connections.task import PoolTask
 from beryltrack.errors import SqlError, make_refusal
 from beryltrack.groups.messages import LogPosition
-from beryltrack.load.messages import NO_DEMAND, Demand
-from beryltrack.load.verdicts import may_hold
+from beryltrack.load.ingress_admission import may_wait_for_target
+from beryltrack.load.messages import DEFAULT_DEMAND, Demand
 from beryltrack.requests.admission_task import PutOut, Ticket
 from beryltrack.requests.runtime import GroupRuntime
 from beryltrack.requests.services import RequestServices
@@ -100,7 +100,7 @@
     ticket: Ticket
     give_up_at: float
     done_by: float | None = None
-    demand: Demand = NO_DEMAND
+    demand: Demand = DEFAULT_DEMAND
     hold_until: float = math.inf
 
     def may_wait(self, now: float) -> bool:
@@ -213,7 +213,7 @@
     """Return whether a request waits for a change of what is known of its group."""
     runtime = search.runtime
     has_primary = bool(runtime.view.primary)
-    return may_hold(runtime.held, has_primary, search.services.is_crowded())
+    return may_wait_for_target(runtime.held, has_primary, search.services.is_crowded())
 
 
 async def _prove_lead(
--- a/beryltrack/routing/ranking.py
+++ b/beryltrack/routing/ranking.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from beryltrack.groups.view import DatabaseView
-from beryltrack.load.messages import Outlook
+from beryltrack.load.messages import OwnerLoads
 from beryltrack.ranks import compute_rank
 from beryltrack.routing.messages import ReadRequest, TargetLoad
 from beryltrack.routing.policy import RoutingPolicy
@@ -37,7 +37,7 @@
 
 
 def add_outlook(
-    loads: Sequence[TargetLoad], outlook: Outlook, owner: str, priority: int
+    loads: Sequence[TargetLoad], owner_loads: OwnerLoads, owner: str, priority: int
 ) -> tuple[TargetLoad, ...]:
     """Return loads with what is known of the databases through an owner.
 
@@ -45,7 +45,7 @@
     ----------
     loads : sequence of TargetLoad
         This node's own work.
-    outlook : Outlook
+    owner_loads : OwnerLoads
         What owners have told.
     owner : str
         The owner through which the read would go; empty for none.
@@ -54,8 +54,8 @@
     """
     return tuple(
         load._replace(
-            wait=outlook.get_wait(owner, load.database, priority),
-            work=outlook.get_work(load.database),
+            wait=owner_loads.get_wait(owner, load.database, priority),
+            work=owner_loads.get_service_time(load.database),
         )
         for load in loads
     )
--- a/beryltrack/settings/reference.py
+++ b/beryltrack/settings/reference.py
@@ -8,8 +8,8 @@
 import sys
 from pathlib import Path
 
-from beryltrack.load.parts import PARTS, Part
-from beryltrack.load.settings import LOAD
+from beryltrack.load.mechanisms import LOAD_MECHANISMS, LoadMechanism
+from beryltrack.load.settings import LOAD_OPTIONS
 from beryltrack.settings.mechanisms import DISABLED_VARIABLE
 from beryltrack.settings.options import (
     INSTANCE,
@@ -71,7 +71,7 @@
 
 def format_page() -> str:
     """Return the text of docs/SETTINGS.md."""
-    sections = [format_table(table) for table in (*SITE_TABLES, INSTANCE, LOAD)]
+    sections = [format_table(table) for table in (*SITE_TABLES, INSTANCE, LOAD_OPTIONS)]
     return "\n".join([HEAD, *sections, format_parts()])
 
 
@@ -100,10 +100,10 @@
         f"`{DISABLED_VARIABLE}`:\n\n"
         "| part | called for by | options | switched off by |\n|---|---|---|---|\n"
     )
-    return head + "".join(map(_format_part, PARTS))
+    return head + "".join(map(_format_part, LOAD_MECHANISMS))
 
 
-def _format_part(part: Part) -> str:
+def _format_part(part: LoadMechanism) -> str:
     """Return the row of one part of the decisions under load."""
     cells = (
         part.decides,
--- a/beryltrack_bench/cost/gates.py
+++ b/beryltrack_bench/cost/gates.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from beryltrack.load.gate import GateDecider
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import LOWEST_PRIORITY, Demand, Run
 from beryltrack.load.policy import LoadPolicy
 
@@ -20,7 +20,7 @@
 STATEMENT_TIME = 0.0001
 """Seconds of a statement: short enough that the queue is done in time."""
 
-BOUNDS = Bounds(slots=3, owners=1, connections=9)
+BOUNDS = SharedCapacity(slots=3, owners=1, connections=9)
 AIM, TIME_LEFT = 0.5, 2.0
 OPERATIONS = 20_000
 WARM_UP = 500
@@ -45,20 +45,20 @@
 def _measure_turn(instances: int, operations: int) -> float:
     """Return the mean time of an arrival and an end in one turn."""
     gate = GateDecider(LoadPolicy(), random.Random(1), 1)
-    gate.set_bounds(BOUNDS, 0.0)
+    gate.set_capacity(BOUNDS, 0.0)
     waiting = instances * ACCOUNTS_PER_INSTANCE
     demands = [_make_demand(number) for number in range(waiting)]
     numbers, running = count(), deque()
     for number in (next(numbers) for _ in range(WARM_UP)):
-        gate.arrive(number, demands[0], 0.0)
+        gate.submit(number, demands[0], 0.0)
         gate.finish(number, STATEMENT_TIME, Outcome.ANSWERED, 0.0)
     for number in (next(numbers) for _ in range(gate.limit + waiting)):
-        _note(running, gate.arrive(number, demands[number % waiting], 0.0))
+        _note(running, gate.submit(number, demands[number % waiting], 0.0))
     began, now = time.process_time(), 0.0
     for _ in range(operations):
         now += STATEMENT_TIME / gate.limit
         number = next(numbers)
-        _note(running, gate.arrive(number, demands[number % waiting], now))
+        _note(running, gate.submit(number, demands[number % waiting], now))
         ended = running.popleft()
         actions = gate.finish(ended, STATEMENT_TIME, Outcome.ANSWERED, now)
         _note(running, actions)
--- a/beryltrack_bench/limits/site.py
+++ b/beryltrack_bench/limits/site.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from beryltrack.load.gate import GateDecider
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import Demand, GateAction, Run
 from beryltrack.load.policy import LoadPolicy
 
@@ -100,7 +100,7 @@
             for owner in range(len(load.parts))
         ]
         for gate in self._gates:
-            gate.set_bounds(Bounds(SLOTS, len(load.parts), connections), 0.0)
+            gate.set_capacity(SharedCapacity(SLOTS, len(load.parts), connections), 0.0)
         self._numbers = count(1)
         self._operations: dict[int, _Operation] = {}
         self._sent: dict[int, float] = {}
@@ -132,7 +132,7 @@
         self._operations[number] = _Operation(owner, priority, self.now + aim)
         self.served[priority].asked += 1
         demand = Demand(priority, aim, TIMES[priority], account)
-        self._take(self._gates[owner].arrive(number, demand, self.now))
+        self._take(self._gates[owner].submit(number, demand, self.now))
 
     def _tick(self, until: float) -> None:
         """Call the gates' timers."""
--- a/beryltrack_bench/replay/command.py
+++ b/beryltrack_bench/replay/command.py
@@ -9,7 +9,7 @@
 from beryltrack.findings import format_finding
 from beryltrack.json_form import to_json
 from beryltrack.load.policy import LoadPolicy
-from beryltrack.load.settings import LOAD_VARIABLE, read_load
+from beryltrack.load.settings import LOAD_VARIABLE, read_load_policy
 from beryltrack_bench.deployment import DEPLOYMENTS, load_deployment
 from beryltrack_bench.replay.figures import (
     CASES,
@@ -80,7 +80,7 @@
     def _read_ways(self) -> tuple[dict[str, LoadPolicy], list[str]]:
         """Return the ways to compare, and what is wrong with the options."""
         text = self.option("load") or ""
-        policy, findings = read_load({LOAD_VARIABLE: text})
+        policy, findings = read_load_policy({LOAD_VARIABLE: text})
         own = {AS_SET: policy} if text else {}
         ways, wrong = _select(CASES, self.option("way"), "way")
         return ways | own, [*map(format_finding, findings), *wrong]
--- a/beryltrack_bench/replay/figures.py
+++ b/beryltrack_bench/replay/figures.py
@@ -81,7 +81,7 @@
     if ended.end is not End.DONE:
         return 0.0
     operation, took = ended.operation, ended.at - ended.operation.at
-    aim, deadline = operation.demand.aim_left, operation.demand.time_left
+    aim, deadline = operation.demand.latency_left, operation.demand.time_left
     return 1.0 if took <= aim else max(0.0, (deadline - took) / (deadline - aim))
 
 
--- a/beryltrack_bench/replay/site.py
+++ b/beryltrack_bench/replay/site.py
@@ -18,7 +18,7 @@
 from beryltrack.daemon.node_options import POOLS
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.owners import Peer, order_owners
@@ -100,7 +100,7 @@
 
     def set_part(self, slots: int, owners: int, connections: int) -> None:
         """Take in what this owner's part of the database is."""
-        self.gate.set_bounds(Bounds(slots, owners, connections))
+        self.gate.set_capacity(SharedCapacity(slots, owners, connections))
         self.pool.set_limit(connections)
 
     def enter(self, deadline: float, demand: Demand) -> Deferred[int]:
@@ -303,7 +303,7 @@
         for index, work in enumerate(works):
             if index:
                 await deferLater(self.clock, self._gap, int)
-                gate.resume(number)
+                gate.start_statement(number)
             began = self.clock.seconds()
             running = connection.run(attempt, work)
             running.addTimeout(max(0.0, deadline - began), self.clock)
@@ -311,7 +311,7 @@
                 await running
             except (ConnectionLost, TimeoutError):
                 outcome = Outcome.LOST
-            gate.rest(number, self.clock.seconds() - began, outcome)
+            gate.end_statement(number, self.clock.seconds() - began, outcome)
             if outcome is Outcome.LOST:
                 break
         gate.finish(number)
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -6,7 +6,7 @@
 
 from beryltrack.daemon.group_connections import GroupConnections
 from beryltrack.daemon.node_policies import make_policies
-from beryltrack.load.limit import Bounds
+from beryltrack.load.limit import SharedCapacity
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.mechanisms import Mechanism
@@ -19,7 +19,7 @@
 class Pool:
     """Keeps what it was told."""
 
-    limit = policy = ways = bounds = None
+    limit = policy = ways = capacity = None
 
     @property
     def direct(self):
@@ -34,8 +34,8 @@
     def set_limit(self, limit):
         self.limit = limit
 
-    def set_bounds(self, bounds):
-        self.bounds = bounds
+    def set_capacity(self, capacity):
+        self.capacity = capacity
 
     def retire(self, is_stale):
         self.is_stale = is_stale
@@ -142,18 +142,18 @@
     site = make_relayed()
     assert site.directory.get_candidates("orders", 20) == ("front-1",)
     # Three slots, one owner; two of twenty connections are reserved.
-    assert site.pool.bounds == Bounds(3, 1, 18)
+    assert site.pool.capacity == SharedCapacity(3, 1, 18)
 
 
 def test_where_all_own_all_groups_no_statements_are_limited(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
     site.connections.share()
-    assert site.pool.bounds is None
+    assert site.pool.capacity is None
 
 
 def test_an_instance_that_owns_nothing_limits_nothing():
     site = make_relayed(others=9.0)
-    assert not site.directory.is_owner("orders", 20) and site.pool.bounds is None
+    assert not site.directory.is_owner("orders", 20) and site.pool.capacity is None
 
 
 @pytest.mark.parametrize(
@@ -166,4 +166,4 @@
 )
 def test_without_both_mechanisms_an_owner_serves_as_before(disabled, is_limited):
     site = make_relayed(*disabled)
-    assert (site.pool.bounds is not None) is is_limited
+    assert (site.pool.capacity is not None) is is_limited
--- a/tests/daemon/test_line_kit.py
+++ b/tests/daemon/test_line_kit.py
@@ -13,7 +13,7 @@
 from beryltrack.daemon.node_policies import make_policies
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.load.messages import DatabaseReport, Demand
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.reports import TimedReport
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.mechanisms import Mechanism
@@ -60,8 +60,8 @@
         return Deferred()
 
     def tell(self, wait):
-        told = ToldReport(DatabaseReport(4, 4, (wait,), 0.01, 7), 1.0)
-        self.kit.outlook.observe(self.owner, "db-1", told, self.clock.seconds())
+        told = TimedReport(DatabaseReport(4, 4, (wait,), 0.01, 7), 1.0)
+        self.kit.owner_loads.observe(self.owner, "db-1", told, self.clock.seconds())
 
 
 def test_what_an_owner_told_keeps_operations_from_asking_it(monkeypatch):
@@ -90,8 +90,8 @@
 
 def test_the_own_load_of_a_database_is_known_by_its_pools(monkeypatch):
     site = Site(monkeypatch)
-    assert site.kit.outlook.get_work("db-1") == 0.0
+    assert site.kit.owner_loads.get_service_time("db-1") == 0.0
     report = DatabaseReport(4, 4, (0.2,), 0.03, 7)
     monkeypatch.setattr(type(site.access), "get_report", lambda access: report)
-    assert site.kit.outlook.get_work("db-1") == 0.03
-    assert site.kit.outlook.get_wait("", "db-1", 2) == 0.2
+    assert site.kit.owner_loads.get_service_time("db-1") == 0.03
+    assert site.kit.owner_loads.get_wait("", "db-1", 2) == 0.2
--- a/tests/daemon/test_load_status.py
+++ b/tests/daemon/test_load_status.py
@@ -9,8 +9,8 @@
 from beryltrack.connections.messages import PoolLoad, RefusalReason
 from beryltrack.daemon.load_status import LoadView, make_status_page, simplify
 from beryltrack.daemon.plain_pages import JSON
-from beryltrack.load.gate_counts import GateCounts
-from beryltrack.load.gate_task import GateTally
+from beryltrack.load.gate_status import GateStatus
+from beryltrack.load.gate_task import GateCounters
 from beryltrack.load.messages import DatabaseReport
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.settings.messages import GroupSettings
@@ -20,16 +20,18 @@
 
 REPORT = DatabaseReport(3, 2, (0.0, 0.25), 0.01, 1)
 
-TALLY = GateTally((0, 7), {RefusalReason.TOO_LATE: 1}, {RefusalReason.QUEUE_FULL: 2})
+COUNTERS = GateCounters(
+    (0, 7), {RefusalReason.TOO_LATE: 1}, {RefusalReason.QUEUE_FULL: 2}
+)
 
 
-class Outlook:
+class OwnerLoads:
     """Knows a wait of a tenth of a second for each step of priority."""
 
     def get_wait(self, owner, database, priority):
         return priority / 10
 
-    def get_work(self, database):
+    def get_service_time(self, database):
         return 0.0
 
 
@@ -45,11 +47,11 @@
             "a": SimpleNamespace(
                 load=PoolLoad(5, 5, 4, 7, math.inf, 0.1),
                 get_report=lambda: report,
-                get_tally=lambda: report and TALLY,
+                get_counters=lambda: report and COUNTERS,
             )
         },
     )
-    view = LoadView(directory, lambda: [runtime], Outlook())
+    view = LoadView(directory, lambda: [runtime], OwnerLoads())
     return view.build("me", "z", "live", 58)
 
 
@@ -72,8 +74,8 @@
 
 def test_an_owner_shows_what_its_gates_report():
     (gate,) = build(2, REPORT).gates
-    assert gate == GateCounts(
-        "orders", "a", 3, 2, (0, 7), (0.0, 0.25), TALLY.refused, TALLY.put_out
+    assert gate == GateStatus(
+        "orders", "a", 3, 2, (0, 7), (0.0, 0.25), COUNTERS.refused, COUNTERS.put_out
     )
 
 
@@ -91,7 +93,7 @@
 
 
 def test_reasons_and_infinite_numbers_have_a_form_in_json():
-    gate = GateCounts("g", "a", 1, 0, (), (math.inf,), {RefusalReason.TOO_LATE: 2})
+    gate = GateStatus("g", "a", 1, 0, (), (math.inf,), {RefusalReason.TOO_LATE: 2})
     shown = json.loads(json.dumps(simplify(gate)))
     assert shown["waits"] == [None] and shown["refused"] == {"too_late": 2}
 
--- a/tests/load/test_gate.py
+++ b/tests/load/test_gate.py
@@ -7,11 +7,11 @@
 
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.load.gate import GateDecider
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import Demand, Refuse, Run
 from beryltrack.load.policy import LoadPolicy
 
-BOUNDS = Bounds(slots=4, owners=4, connections=10)
+BOUNDS = SharedCapacity(slots=4, owners=4, connections=10)
 WORK = 0.01
 ANSWERED, FULL, LOST = Outcome.ANSWERED, Outcome.FULL, Outcome.LOST
 
@@ -21,7 +21,7 @@
 
     def __init__(self, **policy):
         self.gate = GateDecider(LoadPolicy(**policy), random.Random(1), 7)
-        self.gate.set_bounds(BOUNDS, 0.0)
+        self.gate.set_capacity(BOUNDS, 0.0)
         self.number = 0
         self.ran, self.refused = [], {}
 
@@ -37,7 +37,7 @@
         for _ in range(count):
             self.number += 1
             demand = Demand(priority, aim, left, account, **more)
-            self.take(self.gate.arrive(self.number, demand, now))
+            self.take(self.gate.submit(self.number, demand, now))
         return self.number
 
     def end(self, number, now, seconds=WORK, outcome=ANSWERED):
@@ -104,7 +104,7 @@
 
 def test_a_flood_of_the_most_urgent_is_forgotten_once_nobody_waits():
     site = Site()
-    site.gate.set_bounds(BOUNDS._replace(connections=3), 0.0)
+    site.gate.set_capacity(BOUNDS._replace(connections=3), 0.0)
     site.learn(0.1)
     site.ask(0, aim=5.0, left=10.0, count=8)
     for turn in range(400):
@@ -266,15 +266,15 @@
 
 def test_a_transaction_that_rests_takes_no_room(site):
     site.ask(count=4)
-    site.take(site.gate.rest(site.ran[0], WORK, ANSWERED, 0.01))
+    site.take(site.gate.end_statement(site.ran[0], WORK, ANSWERED, 0.01))
     assert len(site.ran) == 4 and site.gate.running == 3
 
 
 def test_a_transaction_goes_on_at_once_and_counts(site):
     site.ask(count=4)
     transaction = site.ran[0]
-    site.take(site.gate.rest(transaction, WORK, ANSWERED, 0.01))
-    assert site.gate.resume(transaction, 0.02) == []
+    site.take(site.gate.end_statement(transaction, WORK, ANSWERED, 0.01))
+    assert site.gate.start_statement(transaction, 0.02) == []
     assert site.gate.running == 4
     site.ask(count=1)
     site.end(site.ran[1], 0.03)
@@ -286,10 +286,10 @@
 
 def test_the_end_of_a_transaction_that_rests_changes_nothing(site):
     site.ask(count=3)
-    site.take(site.gate.rest(site.ran[0], WORK, ANSWERED, 0.01))
+    site.take(site.gate.end_statement(site.ran[0], WORK, ANSWERED, 0.01))
     site.end(site.ran[0], 0.02, None)
     assert site.gate.running == 2
-    assert site.gate.resume(site.ran[0], 0.03) == [] and site.gate.running == 2
+    assert site.gate.start_statement(site.ran[0], 0.03) == [] and site.gate.running == 2
 
 
 def test_one_that_is_cancelled_does_not_run(site):
@@ -348,7 +348,7 @@
 
 def test_a_gate_that_opens_lets_all_run(site):
     site.ask(count=9)
-    site.take(site.gate.open(0.01))
+    site.take(site.gate.admit_all(0.01))
     assert len(site.ran) == 9 and site.gate.waiting == 0
 
 
@@ -356,7 +356,7 @@
     report = site.gate.get_report(0.0)
     assert (report.limit, report.running, report.incarnation) == (3, 0, 7)
     assert report.waits == (0.0, 0.0, 0.0, 0.0)
-    assert report.work == pytest.approx(WORK)
+    assert report.service_time == pytest.approx(WORK)
 
 
 def test_the_report_tells_the_wait_of_each_priority(site):
@@ -371,7 +371,7 @@
 
 
 def test_before_the_first_statement_the_usual_time_is_unknown():
-    assert Site().gate.get_report(0.0).work == 0.0
+    assert Site().gate.get_report(0.0).service_time == 0.0
 
 
 def test_an_unknown_demand_waits_no_longer_than_in_the_pools(site):
--- a/tests/load/test_gate_machine.py
+++ b/tests/load/test_gate_machine.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from beryltrack.load.gate import GateDecider
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import LOWEST_PRIORITY, Demand, Run
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.load.running import LEAST_OVERDUE, OVERDUE_FACTOR
@@ -27,7 +27,7 @@
         super().__init__()
         self.gate = GateDecider(POLICY, random.Random(1), 1)
         self.now, self.number = 0.0, 0
-        self.gate.set_bounds(Bounds(4, 2, 5), self.now)
+        self.gate.set_capacity(SharedCapacity(4, 2, 5), self.now)
         self.connections, self.began, self.answered_at = 5, {}, -math.inf
         self.waiting, self.running, self.resting = {}, set(), set()
         self.passed_over = [0] * (LOWEST_PRIORITY + 1)
@@ -96,7 +96,7 @@
         for _ in range(count):
             self.number += 1
             self.waiting[self.number] = max(0, min(priority, LOWEST_PRIORITY))
-            self.apply(self.gate.arrive(self.number, demand, self.now))
+            self.apply(self.gate.submit(self.number, demand, self.now))
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), seconds=SECONDS, outcome=OUTCOMES)
@@ -113,7 +113,7 @@
         self.running.discard(number)
         self.resting.add(number)
         self.note_end(outcome)
-        self.apply(self.gate.rest(number, seconds, outcome, self.now))
+        self.apply(self.gate.end_statement(number, seconds, outcome, self.now))
 
     @precondition(lambda self: self.resting)
     @rule(data=st.data(), ends=st.booleans())
@@ -125,7 +125,7 @@
             self.apply(self.gate.finish(number, None, outcome, self.now))
         else:
             self.begin(number)
-            assert self.gate.resume(number, self.now) == []
+            assert self.gate.start_statement(number, self.now) == []
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
@@ -148,13 +148,13 @@
 
     @rule(owners=st.integers(1, 6), connections=st.integers(1, 11))
     def move(self, owners, connections):
-        bounds = Bounds(4, owners, connections)
+        bounds = SharedCapacity(4, owners, connections)
         self.connections = connections
-        self.apply(self.gate.set_bounds(bounds, self.now))
+        self.apply(self.gate.set_capacity(bounds, self.now))
 
     @rule()
     def open(self):
-        self.apply(self.gate.open(self.now), is_open=True)
+        self.apply(self.gate.admit_all(self.now), is_open=True)
         assert not self.waiting
 
     @invariant()
--- a/tests/load/test_gate_task.py
+++ b/tests/load/test_gate_task.py
@@ -9,7 +9,7 @@
 from beryltrack.connections.messages import PoolRefused, RefusalReason
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.limit import Bounds, Outcome
+from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
 from tests.connections.test_task import get_result
@@ -22,7 +22,7 @@
         self.clock = Clock()
         decider = GateDecider(LoadPolicy(), random.Random(1), 1)
         self.gate = GateTask(self.clock, decider)
-        self.gate.set_bounds(Bounds(slots=1, owners=1, connections=1))
+        self.gate.set_capacity(SharedCapacity(slots=1, owners=1, connections=1))
 
     def enter(self, deadline=9.0, **demand):
         return self.gate.enter(deadline, Demand(**demand))
@@ -52,9 +52,9 @@
 
 def test_a_transaction_that_rests_lets_others_run(site):
     first, waiting = site.fill()
-    site.gate.rest(first, 0.01, Outcome.ANSWERED)
+    site.gate.end_statement(first, 0.01, Outcome.ANSWERED)
     assert waiting.called
-    site.gate.resume(first)
+    site.gate.start_statement(first)
     assert site.gate.get_report().running == 2
 
 
@@ -108,7 +108,7 @@
     first, waiting = site.fill()
     later = site.enter().addErrback(lambda failure: failure.trap(CancelledError))
     waiting.addCallback(lambda number: later.cancel())
-    site.gate.open()
+    site.gate.admit_all()
     assert waiting.called and later.called
     site.gate.finish(first)
     assert site.gate.get_report().running == 1
@@ -116,5 +116,5 @@
 
 def test_a_gate_that_opens_lets_all_run(site):
     _, waiting = site.fill()
-    site.gate.open()
+    site.gate.admit_all()
     assert waiting.called and not site.clock.getDelayedCalls()
--- a/tests/load/test_limit.py
+++ b/tests/load/test_limit.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from beryltrack.load.limit import Bounds, Outcome, StatementLimit
+from beryltrack.load.limit import Outcome, SharedCapacity, StatementLimit
 
-BOUNDS = Bounds(slots=4, owners=4, connections=10)
+BOUNDS = SharedCapacity(slots=4, owners=4, connections=10)
 ANSWERED, FULL, LOST = Outcome.ANSWERED, Outcome.FULL, Outcome.LOST
 USUAL = 0.01
 
@@ -17,7 +17,7 @@
     def __init__(self, bounds=BOUNDS):
         self.now = 0.0
         self.limit = StatementLimit(3.0)
-        self.limit.set_bounds(bounds)
+        self.limit.set_capacity(bounds)
 
     def end(self, seconds=USUAL, outcome=ANSWERED, count=1, running=1, is_short=False):
         for _ in range(count):
@@ -38,13 +38,13 @@
 @pytest.mark.parametrize(
     ("bounds", "value"),
     [
-        (Bounds(4, 4, 10), 3),
-        (Bounds(4, 5, 10), 3),
-        (Bounds(4, 6, 10), 2),
-        (Bounds(4, 20, 10), 2),
-        (Bounds(4, 1, 30), 12),
-        (Bounds(4, 4, 2), 2),
-        (Bounds(4, 4, 1), 1),
+        (SharedCapacity(4, 4, 10), 3),
+        (SharedCapacity(4, 5, 10), 3),
+        (SharedCapacity(4, 6, 10), 2),
+        (SharedCapacity(4, 20, 10), 2),
+        (SharedCapacity(4, 1, 30), 12),
+        (SharedCapacity(4, 4, 2), 2),
+        (SharedCapacity(4, 4, 1), 1),
     ],
 )
 def test_it_starts_with_an_even_part_within_the_connections(bounds, value):
@@ -55,9 +55,9 @@
     site.learn()
     site.end(count=400, is_short=True)
     assert site.limit.value == 10
-    site.limit.set_bounds(BOUNDS)
+    site.limit.set_capacity(BOUNDS)
     assert site.limit.value == 10
-    site.limit.set_bounds(BOUNDS._replace(owners=3))
+    site.limit.set_capacity(BOUNDS._replace(owners=3))
     assert site.limit.value == 4
 
 
@@ -105,7 +105,7 @@
 
 
 def test_all_slots_of_a_database_stay_in_use(site):
-    one_owner = Site(Bounds(slots=4, owners=1, connections=20))
+    one_owner = Site(SharedCapacity(slots=4, owners=1, connections=20))
     assert one_owner.end(None, FULL, count=10) == 4
 
 
@@ -146,6 +146,6 @@
 
 def test_without_the_mechanism_all_connections_run():
     limit = StatementLimit(3.0, is_adaptive=False)
-    limit.set_bounds(BOUNDS)
+    limit.set_capacity(BOUNDS)
     limit.observe(None, FULL, 1, True, 1.0)
     assert limit.value == 10
--- a/tests/load/test_outlook.py
+++ b/tests/load/test_outlook.py
@@ -6,8 +6,8 @@
 from twisted.internet.task import Clock
 
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.outlook import VOID_AFTER, ReportedOutlook
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.owner_loads import VOID_AFTER, ReportedOwnerLoads
+from beryltrack.load.reports import TimedReport
 
 START = 100.0
 """What this instance's clock shows when the owner's process starts."""
@@ -20,16 +20,16 @@
         self.clock = Clock()
         self.clock.advance(START + 50.0)
         self.own = {}
-        self.outlook = ReportedOutlook(self.clock.seconds, self.own.get)
+        self.owner_loads = ReportedOwnerLoads(self.clock.seconds, self.own.get)
 
-    def tell(self, told_at, *waits, incarnation=7, took=0.0, work=0.01):
+    def tell(self, reported_at, *waits, incarnation=7, took=0.0, service_time=0.01):
         """Tell what was told at a time by this instance's clock, as it arrives now."""
-        report = DatabaseReport(4, 4, waits, work, incarnation)
-        told = ToldReport(report, told_at - START)
-        self.outlook.observe("owner", "db", told, self.clock.seconds() - took)
+        report = DatabaseReport(4, 4, waits, service_time, incarnation)
+        told = TimedReport(report, reported_at - START)
+        self.owner_loads.observe("owner", "db", told, self.clock.seconds() - took)
 
     def get_wait(self, priority=0, owner="owner"):
-        return self.outlook.get_wait(owner, "db", priority)
+        return self.owner_loads.get_wait(owner, "db", priority)
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
 
 
 def test_nothing_is_known_before_an_owner_tells(site):
-    assert site.get_wait() == 0.0 and site.outlook.get_work("db") == 0.0
+    assert site.get_wait() == 0.0 and site.owner_loads.get_service_time("db") == 0.0
 
 
 def test_a_wait_is_told_by_priority(site):
@@ -58,7 +58,7 @@
 def test_what_was_told_a_second_ago_is_void(site):
     site.tell(150.0, 3.0)
     site.clock.advance(VOID_AFTER)
-    assert site.get_wait() == 0.0 and site.outlook.get_work("db") == 0.0
+    assert site.get_wait() == 0.0 and site.owner_loads.get_service_time("db") == 0.0
 
 
 def test_a_report_that_comes_twice_does_not_count_from_the_second_time(site):
@@ -120,7 +120,7 @@
 
 def test_what_an_earlier_process_told_is_void_with_the_first_word_of_a_later_one(site):
     site.tell(150.0, 3.0)
-    site.outlook.observe_owner("owner", 8)
+    site.owner_loads.observe_owner("owner", 8)
     assert site.get_wait() == 0.0
 
 
@@ -141,7 +141,7 @@
     site.tell(150.0, 5.0)
     site.clock.advance(0.25)
     # The new process counts from its own start, and has nothing to tell yet.
-    site.outlook.observe_owner("owner", 9)
+    site.owner_loads.observe_owner("owner", 9)
     assert site.get_wait() == 0.0
     site.tell(100.125, 0.25, incarnation=9)
     assert site.get_wait() == 0.25
@@ -149,7 +149,10 @@
 
 def test_own_connections_are_known_by_this_instance_itself(site):
     site.own["db"] = DatabaseReport(4, 4, (0.2,), 0.03, 7)
-    assert site.get_wait(owner="") == 0.2 and site.outlook.get_work("db") == 0.03
+    assert (
+        site.get_wait(owner="") == 0.2
+        and site.owner_loads.get_service_time("db") == 0.03
+    )
 
 
 class CountedName(str):
@@ -168,10 +171,10 @@
     """Each read asks for it, in a fleet of a thousand databases."""
     report = DatabaseReport(4, 4, (0.0,), 0.02, 7)
     for number in range(1000):
-        told = ToldReport(report, 50.0)
-        site.outlook.observe("owner", CountedName(f"db{number}"), told, 150.0)
+        told = TimedReport(report, 50.0)
+        site.owner_loads.observe("owner", CountedName(f"db{number}"), told, 150.0)
     CountedName.compared = 0
-    assert site.outlook.get_work(CountedName("db7")) == 0.02
+    assert site.owner_loads.get_service_time(CountedName("db7")) == 0.02
     assert CountedName.compared < 10
 
 
@@ -185,10 +188,10 @@
         for delay in (rng.choice((0.0, 0.25, 2.0)) for _ in range(2))
     )
     newest = 150.0
-    for arrives_at, told_at in arrivals:
+    for arrives_at, reported_at in arrivals:
         site.clock.advance(arrives_at - site.clock.seconds())
-        site.tell(told_at, 100.0, took=2.5)
-        newest = max(newest, told_at)
+        site.tell(reported_at, 100.0, took=2.5)
+        newest = max(newest, reported_at)
         if site.get_wait():
             assert site.clock.seconds() - newest <= VOID_AFTER
 
@@ -208,18 +211,20 @@
     """It is asked for each database of each request, and there are a thousand."""
     report = DatabaseReport(4, 4, (0.0,), 0.01, 7)
     for number in range(1000):
-        told = ToldReport(report, site.clock.seconds() - START)
-        site.outlook.observe("owner", Name(f"db{number}"), told, site.clock.seconds())
+        told = TimedReport(report, site.clock.seconds() - START)
+        site.owner_loads.observe(
+            "owner", Name(f"db{number}"), told, site.clock.seconds()
+        )
     Name.compared = 0
-    assert site.outlook.get_work(Name("db7")) == 0.01
+    assert site.owner_loads.get_service_time(Name("db7")) == 0.01
     assert Name.compared < 10
 
 
 def test_what_an_earlier_process_told_of_any_database_is_forgotten(site):
     for name in ("db", "other"):
-        told = ToldReport(DatabaseReport(4, 4, (3.0,), 0.01, 7), 50.0)
-        site.outlook.observe("owner", name, told, site.clock.seconds())
-    site.outlook.observe_owner("owner", 8)
+        told = TimedReport(DatabaseReport(4, 4, (3.0,), 0.01, 7), 50.0)
+        site.owner_loads.observe("owner", name, told, site.clock.seconds())
+    site.owner_loads.observe_owner("owner", 8)
     for name in ("db", "other"):
-        assert site.outlook.get_wait("owner", name, 0) == 0.0
-        assert site.outlook.get_work(name) == 0.0
+        assert site.owner_loads.get_wait("owner", name, 0) == 0.0
+        assert site.owner_loads.get_service_time(name) == 0.0
--- a/tests/load/test_queue.py
+++ b/tests/load/test_queue.py
@@ -6,7 +6,7 @@
 
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
-from beryltrack.load.queue import OperationQueue, Waiting
+from beryltrack.load.queue import OperationQueue, WaitingOperation
 
 FLOORS = LoadPolicy().floors
 
@@ -18,7 +18,7 @@
 
 def add(queue, number, priority=0, aim=0.5, account="", is_displaced=False, left=1.0):
     demand = Demand(priority, aim, left, account, is_displaced)
-    queue.add(Waiting(number, demand, 0.0))
+    queue.add(WaitingOperation(number, demand, 0.0))
 
 
 def pop(queue, count):
--- a/tests/load/test_reports.py
+++ b/tests/load/test_reports.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.reports import ToldReport, must_tell
+from beryltrack.load.reports import TimedReport, must_report
 
 CALM = DatabaseReport(4, 1, (0.0, 0.0), 0.01, 7)
 BUSY = DatabaseReport(4, 4, (0.1, 0.4), 0.01, 7)
@@ -14,7 +14,7 @@
 
 
 def told(report, at):
-    return ToldReport(report, at)
+    return TimedReport(report, at)
 
 
 @pytest.mark.parametrize(
@@ -37,9 +37,9 @@
 def test_a_session_is_told_of_what_changed_and_else_now_and_then(
     report, last, busy_at, expected
 ):
-    assert must_tell(report, last, busy_at, 9.0) is expected
+    assert must_report(report, last, busy_at, 9.0) is expected
 
 
 def test_a_database_that_runs_at_its_limit_is_told_before_anything_waits():
     full = CALM._replace(running=4)
-    assert must_tell(full, None, 9.0, 9.0)
+    assert must_report(full, None, 9.0, 9.0)
--- a/tests/load/test_settings.py
+++ b/tests/load/test_settings.py
@@ -6,28 +6,28 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from beryltrack.load.mechanisms import LOAD_MECHANISMS
 from beryltrack.load.messages import LOWEST_PRIORITY
-from beryltrack.load.parts import PARTS
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.load.settings import (
-    LOAD,
+    LOAD_OPTIONS,
     LOAD_VARIABLE,
-    MOST_FLOORS,
-    MOST_TEXT,
-    read_load,
+    MAX_FLOORS_SUM,
+    MAX_TEXT_LENGTH,
+    read_load_policy,
 )
 
-NAMES = [option.name for option in LOAD.options]
+NAMES = [option.name for option in LOAD_OPTIONS.options]
 
 
 def read(value):
     text = value if isinstance(value, str) else json.dumps(value)
-    return read_load({LOAD_VARIABLE: text})
+    return read_load_policy({LOAD_VARIABLE: text})
 
 
 @pytest.mark.parametrize("environment", [{}, {LOAD_VARIABLE: ""}, {LOAD_VARIABLE: " "}])
 def test_by_default_the_figures_of_the_policy_hold(environment):
-    assert read_load(environment) == (LoadPolicy(), ())
+    assert read_load_policy(environment) == (LoadPolicy(), ())
 
 
 def test_each_figure_can_be_set():
@@ -46,10 +46,10 @@
 
 
 def test_the_table_has_each_figure_with_its_default():
-    assert {option.name: option.default for option in LOAD.options} == (
+    assert {option.name: option.default for option in LOAD_OPTIONS.options} == (
         LoadPolicy()._asdict()
     )
-    assert {name for part in PARTS for name in part.options} == set(NAMES)
+    assert {name for part in LOAD_MECHANISMS for name in part.options} == set(NAMES)
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         ('{"per_slot": Infinity}', ""),
         ('{"per_slot": 1, "per_slot": 2}', ""),
         ('{"per_slot": ' + "9" * 5000 + "}", ""),
-        ("[" * (MOST_TEXT + 1), ""),
+        ("[" * (MAX_TEXT_LENGTH + 1), ""),
     ],
 )
 def test_what_is_wrong_is_a_finding_with_its_place_and_the_default_holds(value, place):
@@ -113,7 +113,7 @@
     assert 0.1 <= policy.per_slot <= 100 and 0 <= policy.most_wait <= 100
     assert len(policy.floors) == LOWEST_PRIORITY + 1
     assert all(0 <= floor <= 1 for floor in policy.floors)
-    assert sum(policy.floors) <= MOST_FLOORS + 1e-6
+    assert sum(policy.floors) <= MAX_FLOORS_SUM + 1e-6
 
 
 @given(st.dictionaries(st.sampled_from(NAMES) | st.text(max_size=9), VALUES))
@@ -131,6 +131,6 @@
 
 @given(st.text() | st.text(alphabet='{}[]",:0123456789eE.-', max_size=40))
 def test_whatever_the_text_is_the_figures_can_be_used(text):
-    policy, findings = read_load({LOAD_VARIABLE: text})
+    policy, findings = read_load_policy({LOAD_VARIABLE: text})
     assert_usable(policy)
     assert findings or policy == LoadPolicy() or "{" in text
--- a/tests/load/test_storm.py
+++ b/tests/load/test_storm.py
@@ -5,10 +5,10 @@
 from itertools import count
 from typing import NamedTuple
 
+from beryltrack.load.ingress_admission import IngressAdmission, compute_retry_after
 from beryltrack.load.messages import DatabaseReport, Demand
-from beryltrack.load.outlook import ReportedOutlook
-from beryltrack.load.reports import ToldReport, is_calm, must_tell
-from beryltrack.load.verdicts import FrontDecider, compute_return
+from beryltrack.load.owner_loads import ReportedOwnerLoads
+from beryltrack.load.reports import TimedReport, is_uncongested, must_report
 
 INSTANCES = 67
 ARRIVALS = 30.0
@@ -25,7 +25,7 @@
 
     instance: int
     tries: int = 4
-    is_returning: bool = False
+    is_retry: bool = False
 
 
 class Owner:
@@ -50,11 +50,11 @@
         wait = max(0.0, self.free_at - now)
         report = DatabaseReport(4, 4 if wait else 1, (wait,), 0.01, self.incarnation)
         at = now - self.started_at
-        if not is_calm(report):
+        if not is_uncongested(report):
             self.busy_at = at
-        if not must_tell(report, self.told.get(instance), self.busy_at, at):
+        if not must_report(report, self.told.get(instance), self.busy_at, at):
             return None
-        self.told[instance] = ToldReport(report, at)
+        self.told[instance] = TimedReport(report, at)
         return self.told[instance]
 
 
@@ -66,8 +66,10 @@
         self.now, self.numbers = 0.0, count()
         self.owner = Owner(RATE)
         self.fails_at, self.back_at = fails_at, back_at
-        self.outlooks = [ReportedOutlook(lambda: self.now) for _ in range(INSTANCES)]
-        self.fronts = [FrontDecider(each, self.rng) for each in self.outlooks]
+        self.owner_loads = [
+            ReportedOwnerLoads(lambda: self.now) for _ in range(INSTANCES)
+        ]
+        self.fronts = [IngressAdmission(each, self.rng) for each in self.owner_loads]
         self.has_front = has_front
         self.refused, self.asked, self.served = 0, [], []
         self.events = []
@@ -91,9 +93,9 @@
         self.owner = Owner(RATE, 2, self.now)
 
     def arrive(self, arrival):
-        demand = Demand(1, 0.25, TIME_LEFT, is_returning=arrival.is_returning)
-        judge = self.fronts[arrival.instance].judge
-        wait = judge("owner", "db", demand, self.now) if self.has_front else 0.0
+        demand = Demand(1, 0.25, TIME_LEFT, is_retry=arrival.is_retry)
+        decide = self.fronts[arrival.instance].decide
+        wait = decide("owner", "db", demand, self.now) if self.has_front else 0.0
         if wait:
             self.refused += 1
             self.come_back(arrival, wait)
@@ -112,7 +114,7 @@
         if is_served:
             self.served.append(self.now)
         else:
-            wait = compute_return(owner.free_at - self.now, 1, self.rng)
+            wait = compute_retry_after(owner.free_at - self.now, 1, self.rng)
             self.at(self.now + WAY, self.come_back, arrival, wait)
         self.at(ends_at, self.answer, owner, arrival.instance, sent_at)
 
@@ -123,10 +125,10 @@
         self.at(self.now + WAY, self.hear, owner, instance, told, sent_at)
 
     def hear(self, owner, instance, told, sent_at):
-        outlook = self.outlooks[instance]
-        outlook.observe_owner("owner", owner.incarnation)
+        owner_loads = self.owner_loads[instance]
+        owner_loads.observe_owner("owner", owner.incarnation)
         if told is not None:
-            outlook.observe("owner", "db", told, sent_at)
+            owner_loads.observe("owner", "db", told, sent_at)
 
 
 def test_a_full_owner_is_asked_by_few_and_serves_as_much():
--- a/tests/load/test_turns.py
+++ b/tests/load/test_turns.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from beryltrack.load.turns import AccountTurns
+from beryltrack.load.fair_queue import FairQueue
 
 
 @pytest.fixture
 def turns():
-    return AccountTurns()
+    return FairQueue()
 
 
 def fill(turns, *accounts):
@@ -83,7 +83,7 @@
 
 
 def test_accounts_leave_nothing_once_nobody_waits():
-    turns, rng = AccountTurns(), random.Random(1)
+    turns, rng = FairQueue(), random.Random(1)
     for number in range(3000):
         turns.add(f"account {number}", rng.random(), number)
         if number >= 2:
--- a/tests/load/test_verdicts.py
+++ b/tests/load/test_verdicts.py
@@ -6,20 +6,20 @@
 
 import pytest
 
-from beryltrack.load.messages import Demand
-from beryltrack.load.verdicts import (
+from beryltrack.load.ingress_admission import (
     LEAST_RETURN,
     MOST_RETURN,
     PROBE_GAP,
     RETURN_SPREAD,
-    FrontDecider,
-    compute_hold,
-    compute_return,
-    may_hold,
+    IngressAdmission,
+    compute_retry_after,
+    compute_target_wait,
+    may_wait_for_target,
 )
+from beryltrack.load.messages import Demand
 
 
-class FixedOutlook:
+class FixedOwnerLoads:
     """Knows one wait for each owner."""
 
     def __init__(self, **waits):
@@ -30,7 +30,7 @@
 
 
 def make_decider(**waits):
-    return FrontDecider(FixedOutlook(**waits), random.Random(3))
+    return IngressAdmission(FixedOwnerLoads(**waits), random.Random(3))
 
 
 @pytest.mark.parametrize(
@@ -48,22 +48,22 @@
     wait, time_left, is_refused
 ):
     decider = make_decider(owner=wait)
-    told = decider.judge("owner", "db", Demand(1, 0.25, time_left), 10.0)
+    told = decider.decide("owner", "db", Demand(1, 0.25, time_left), 10.0)
     assert (told > 0) is is_refused
 
 
 def test_another_owner_is_asked_as_before():
     decider = make_decider(full=3.0)
     demand = Demand(1, 0.25, 0.8)
-    assert decider.judge("full", "db", demand, 10.0) > 0
-    assert decider.judge("other", "db", demand, 10.0) == 0
+    assert decider.decide("full", "db", demand, 10.0) > 0
+    assert decider.decide("other", "db", demand, 10.0) == 0
 
 
 def test_a_few_find_out_whether_there_is_room_again():
     decider = make_decider(owner=3.0)
     demand = Demand(1, 0.25, 0.8)
     times = [10.0 + step / 1000 for step in range(5000)]
-    asked = [at for at in times if not decider.judge("owner", "db", demand, at)]
+    asked = [at for at in times if not decider.decide("owner", "db", demand, at)]
     assert 12 <= len(asked) <= 25
     assert min(after - at for at, after in pairwise(asked)) >= PROBE_GAP
 
@@ -71,35 +71,35 @@
 def test_the_first_of_a_later_overload_does_not_ask():
     decider = make_decider(owner=3.0)
     demand = Demand(1, 0.25, 0.8)
-    assert decider.judge("owner", "db", demand, 10.0) > 0
-    assert decider.judge("owner", "db", demand, 3600.0) > 0
+    assert decider.decide("owner", "db", demand, 10.0) > 0
+    assert decider.decide("owner", "db", demand, 3600.0) > 0
 
 
 def test_a_caller_that_returns_when_told_to_is_not_refused_by_it_again():
     decider = make_decider(owner=3.0)
-    demand = Demand(1, 0.25, 0.8, is_returning=True)
-    assert [decider.judge("owner", "db", demand, 10.0) for _ in range(3)] == [0, 0, 0]
-    assert decider.judge("owner", "db", demand._replace(is_returning=False), 10.0) > 0
+    demand = Demand(1, 0.25, 0.8, is_retry=True)
+    assert [decider.decide("owner", "db", demand, 10.0) for _ in range(3)] == [0, 0, 0]
+    assert decider.decide("owner", "db", demand._replace(is_retry=False), 10.0) > 0
 
 
 def test_of_many_callers_that_return_together_only_some_ask_a_full_owner():
     decider = make_decider(owner=3.0)
-    demand = Demand(1, 0.25, 0.8, is_returning=True)
-    decider.judge("owner", "db", demand._replace(is_returning=False), 10.0)
+    demand = Demand(1, 0.25, 0.8, is_retry=True)
+    decider.decide("owner", "db", demand._replace(is_retry=False), 10.0)
     times = [10.0 + step / 1000 for step in range(1000)]
-    asked = [at for at in times if not decider.judge("owner", "db", demand, at)]
+    asked = [at for at in times if not decider.decide("owner", "db", demand, at)]
     # Ten returns a second after the first three, and some that find out.
     assert 12 <= len(asked) <= 18
 
 
 def test_the_urgent_come_back_sooner():
-    waits = [compute_return(0.8, each, random.Random(3)) for each in range(5)]
+    waits = [compute_retry_after(0.8, each, random.Random(3)) for each in range(5)]
     assert waits == sorted(waits) and waits[0] == waits[3] / 2 and waits[3] == waits[4]
 
 
 def test_callers_that_are_refused_together_come_back_apart():
     rng = random.Random(3)
-    times = sorted(compute_return(0.8, 3, rng) for _ in range(100))
+    times = sorted(compute_retry_after(0.8, 3, rng) for _ in range(100))
     assert times[0] < 0.84 and times[-1] > 1.16 and len(set(times)) == 100
 
 
@@ -107,7 +107,7 @@
     ("wait", "least"), [(0.0, LEAST_RETURN), (60.0, MOST_RETURN), (0.4, 0.4)]
 )
 def test_nobody_comes_back_at_once_or_waits_for_ever(wait, least):
-    told = compute_return(wait, 3, random.Random(3))
+    told = compute_retry_after(wait, 3, random.Random(3))
     assert least <= told <= least * RETURN_SPREAD
 
 
@@ -124,7 +124,7 @@
 def test_a_request_is_held_for_a_part_of_its_target_latency_in_a_large_fleet(
     target_latency, is_crowded, expected
 ):
-    assert compute_hold(0.35, target_latency, is_crowded) == expected
+    assert compute_target_wait(0.35, target_latency, is_crowded) == expected
 
 
 @pytest.mark.parametrize(
@@ -140,4 +140,4 @@
 def test_only_a_handful_waits_for_a_primary_that_is_known_to_be_missing(
     held, has_primary, is_crowded, expected
 ):
-    assert may_hold(held, has_primary, is_crowded) is expected
+    assert may_wait_for_target(held, has_primary, is_crowded) is expected
--- a/tests/metrics/test_catalog.py
+++ b/tests/metrics/test_catalog.py
@@ -8,7 +8,7 @@
 import beryltrack
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.connections.messages import RefusalReason
-from beryltrack.load.gate_counts import GateCounts, render_gates
+from beryltrack.load.gate_status import GateStatus, render_gates
 from beryltrack.metrics.catalog import METRICS
 from beryltrack.metrics.messages import (
     RequestEnd,
@@ -21,7 +21,7 @@
 
 ROOT = Path(beryltrack.__file__).parent
 NAME = re.compile(r'yield\s*\(?\s*"(beryltrack_\w+)"')
-GATE = GateCounts(
+GATE = GateStatus(
     "g",
     "db-1",
     3,
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import StringTransport
 
 from beryltrack.errors import make_not_run, make_outcome_unknown, make_rolled_back
-from beryltrack.load.messages import NO_DEMAND
+from beryltrack.load.messages import DEFAULT_DEMAND
 from beryltrack.platform.caller import LineCallerFactory
 from beryltrack.platform.protocol import LineProtocol, format_setups
 from beryltrack.platform.statements import parse_query
@@ -256,7 +256,7 @@
     values: dict = {}
     prepared: dict = {}
     account, terms, is_counted = "", b"", False
-    demand, incarnation = NO_DEMAND, 0
+    demand, incarnation = DEFAULT_DEMAND, 0
 
     def __init__(self, way=""):
         self.limits, self.way = [], way
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -35,8 +35,8 @@
 from beryltrack.groups.samples import Sample
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.limit import Bounds
-from beryltrack.load.messages import NO_DEMAND, DatabaseReport, Demand
+from beryltrack.load.limit import SharedCapacity
+from beryltrack.load.messages import DEFAULT_DEMAND, DatabaseReport, Demand
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.platform.codes import encode_error
 from beryltrack.platform.group import LineDatabaseGroup
@@ -345,7 +345,7 @@
     site.pool.get_report = lambda: FULL
     asked = watch_lending(site)
     site.ask("q1 AFTER 3.7 READ x")
-    assert asked == [NO_DEMAND]
+    assert asked == [DEFAULT_DEMAND]
     # Its sessions break at any word that they do not know.
     (session,) = site.sessions
     assert not session.tells_demands and session.told is None
@@ -393,7 +393,7 @@
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
     asked = watch_lending(site)
     site.ask("q1 WITHIN 0+ 250 200 READ x", "q1 READ x")
-    assert asked == [URGENT, NO_DEMAND]
+    assert asked == [URGENT, DEFAULT_DEMAND]
 
 
 @pytest.mark.parametrize(
@@ -436,7 +436,7 @@
 
     async def go():
         site.pool.set_limit(2)
-        site.pool.set_bounds(Bounds(slots=1, owners=1, connections=1))
+        site.pool.set_capacity(SharedCapacity(slots=1, owners=1, connections=1))
         first = await site.connect(site.endpoint)
         second = await site.connect(site.endpoint)
         ends = []
@@ -454,12 +454,12 @@
     ends = run(lambda: Deferred.fromCoroutine(go()))
     assert [end.error for end in ends] == [None] * 4
     assert {(report.running, report.limit) for report in reports} == {(0, 1)}
-    assert reports[-1].work > 0.0
+    assert reports[-1].service_time > 0.0
 
 
 def test_an_answer_that_is_lost_frees_its_room_and_shows_it(site):
     async def go():
-        site.pool.set_bounds(Bounds(slots=4, owners=1, connections=8))
+        site.pool.set_capacity(SharedCapacity(slots=4, owners=1, connections=8))
         before = site.pool.get_report().limit
         session = await site.connect(site.endpoint)
         running = session.run(b"QUERY q8 READ never\r\n", CollectingSink())
--- a/tests/relay/test_access.py
+++ b/tests/relay/test_access.py
@@ -16,7 +16,7 @@
 from beryltrack.errors import CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.limit import Bounds
+from beryltrack.load.limit import SharedCapacity
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.access import DatabaseAccess
@@ -66,7 +66,7 @@
 
     def limit_to_one(self):
         """Let one statement run at the database, which has two connections."""
-        self.access.set_bounds(Bounds(slots=1, owners=1, connections=1))
+        self.access.set_capacity(SharedCapacity(slots=1, owners=1, connections=1))
 
     def mark(self, connection, name):
         connection.way = name
@@ -373,8 +373,8 @@
 
 
 def test_a_database_that_says_that_it_is_full_is_given_fewer(site):
-    site.access.set_bounds(Bounds(slots=2, owners=2, connections=2))
-    site.access.set_bounds(Bounds(slots=2, owners=1, connections=4))
+    site.access.set_capacity(SharedCapacity(slots=2, owners=2, connections=2))
+    site.access.set_capacity(SharedCapacity(slots=2, owners=1, connections=4))
     assert site.access.get_report().limit == 4
     held = site.acquire("own")
     error = SimpleNamespace(sqlstate=TOO_MANY_CONNECTIONS)
@@ -383,8 +383,8 @@
 
 
 def test_statements_that_met_one_crowd_at_a_full_database_cut_it_once(site):
-    site.access.set_bounds(Bounds(slots=2, owners=2, connections=2))
-    site.access.set_bounds(Bounds(slots=2, owners=1, connections=8))
+    site.access.set_capacity(SharedCapacity(slots=2, owners=2, connections=2))
+    site.access.set_capacity(SharedCapacity(slots=2, owners=1, connections=8))
     assert site.access.get_report().limit == 6
     held = [site.acquire("own") for _ in range(2)]
     error = SimpleNamespace(sqlstate=TOO_MANY_CONNECTIONS)
@@ -398,7 +398,7 @@
     site.limit_to_one()
     site.acquire("own")
     waiting = site.access.acquire(10.0, Demand(account="own"))
-    site.access.set_bounds(None)
+    site.access.set_capacity(None)
     assert waiting.called and site.access.get_report() is None
 
 
--- a/tests/relay/test_access_calls.py
+++ b/tests/relay/test_access_calls.py
@@ -15,7 +15,7 @@
 from beryltrack.errors import CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS
 from beryltrack.load.gate import GateDecider
 from beryltrack.load.gate_task import GateTask
-from beryltrack.load.limit import Bounds
+from beryltrack.load.limit import SharedCapacity
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.access import DatabaseAccess
@@ -118,11 +118,13 @@
     def change(self):
         """Change the fleet, or lose the database."""
         rng, access = self.rng, self.access
-        bounds = Bounds(rng.randint(1, 4), rng.randint(1, 4), rng.randint(1, 4))
+        capacity = SharedCapacity(
+            rng.randint(1, 4), rng.randint(1, 4), rng.randint(1, 4)
+        )
         rng.choice(
             (
-                lambda: access.set_bounds(bounds),
-                lambda: access.set_bounds(None),
+                lambda: access.set_capacity(capacity),
+                lambda: access.set_capacity(None),
                 lambda: access.set_limit(rng.randint(0, 4)),
                 access.break_connections,
                 access.drain,
@@ -147,7 +149,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_what_ends_leaves_its_room_and_its_count(seed):
     site = Site(seed)
-    site.access.set_bounds(Bounds(2, 2, 3))
+    site.access.set_capacity(SharedCapacity(2, 2, 3))
     calls = (site.ask, site.give_up, site.open, site.run, site.change)
     for _ in range(400):
         site.rng.choices(calls, (8, 1, 4, 6, 1))[0]()
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -17,7 +17,7 @@
 from beryltrack.groups.messages import ControlFailure, LogPosition
 from beryltrack.groups.samples import Sample
 from beryltrack.load.messages import DatabaseReport, Demand
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.reports import TimedReport
 from beryltrack.relay.handler import Lender, Proven, RelayHandler
 from beryltrack.relay.load_teller import LoadTeller
 from beryltrack.requests.protocol import RunLost
@@ -366,7 +366,7 @@
     owner.handler.handle(READ, session)
     owner.give()
     session.runs[0][2].callback(make_end())
-    told = ToldReport(owner.pool.report, 0.0)
+    told = TimedReport(owner.pool.report, 0.0)
     assert session.sent == [("load", told), ("end", IDLE)]
 
 
--- a/tests/relay/test_opener.py
+++ b/tests/relay/test_opener.py
@@ -7,8 +7,8 @@
 
 from beryltrack.connections.messages import ConnectRefused, TargetUnreachable
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.outlook import ReportedOutlook
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.owner_loads import ReportedOwnerLoads
+from beryltrack.load.reports import TimedReport
 from beryltrack.relay.directory import DETOUR_TIME, RelayDirectory
 from beryltrack.relay.opener import OpenLimits, TargetOpener
 from beryltrack.relay.owners import Peer
@@ -32,7 +32,7 @@
         self.changes = []
         self.directory.set_block_observer(lambda: self.changes.append(1))
         self.answers, self.incarnation = {}, 7
-        self.outlook = ReportedOutlook(self.clock.seconds)
+        self.owner_loads = ReportedOwnerLoads(self.clock.seconds)
         self.tried = []
         self.opener = TargetOpener(
             self.clock,
@@ -40,7 +40,7 @@
             self.open_at,
             lambda group, database: True,
             OpenLimits(0.3, 0.4),
-            self.outlook,
+            self.owner_loads,
         )
 
     def open_at(self, endpoint, group, database, timeout, account):
@@ -136,17 +136,17 @@
 def test_what_an_owner_tells_of_its_load_is_kept():
     site = cut_off()
     connection = site.open()
-    connection.on_report(ToldReport(REPORT, 3.0), site.clock.seconds())
-    assert site.outlook.get_wait(connection.way, "db-1", 0) == 0.5
+    connection.on_report(TimedReport(REPORT, 3.0), site.clock.seconds())
+    assert site.owner_loads.get_wait(connection.way, "db-1", 0) == 0.5
 
 
 def test_a_session_to_a_later_process_voids_what_the_one_before_told():
     site = cut_off()
     connection = site.open()
-    connection.on_report(ToldReport(REPORT, 3.0), site.clock.seconds())
+    connection.on_report(TimedReport(REPORT, 3.0), site.clock.seconds())
     site.incarnation = 8
     assert site.open().way == connection.way
-    assert site.outlook.get_wait(connection.way, "db-1", 0) == 0.0
+    assert site.owner_loads.get_wait(connection.way, "db-1", 0) == 0.0
 
 
 def test_an_owner_that_does_not_reach_one_database_is_no_lost_owner():
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from beryltrack.groups.messages import LogPosition
-from beryltrack.load.messages import NO_DEMAND, DatabaseReport, Demand
-from beryltrack.load.reports import ToldReport
+from beryltrack.load.messages import DEFAULT_DEMAND, DatabaseReport, Demand
+from beryltrack.load.reports import TimedReport
 from beryltrack.relay.words import (
     format_demand,
     format_proven,
@@ -32,13 +32,13 @@
         (Demand(2, -0.03, 0.75, "", True), b"WITHIN 2+ -30 750 "),
         (Demand(0, math.inf, 0.8), b"WITHIN 0 - 800 "),
         (Demand(3, 0.25, math.inf), b"WITHIN 3 250 - "),
-        (NO_DEMAND, b""),
-        (Demand(account="one", is_returning=True), b""),
+        (DEFAULT_DEMAND, b""),
+        (Demand(account="one", is_retry=True), b""),
     ],
 )
 def test_a_demand_passes_as_a_short_prefix(demand, prefix):
     assert format_demand(demand) == prefix
-    expected = demand._replace(account="one", is_returning=False)
+    expected = demand._replace(account="one", is_retry=False)
     assert parse_demand(prefix + b"READ x", "one") == (expected, b"READ x")
 
 
@@ -59,7 +59,7 @@
 )
 def test_a_malformed_demand_is_told_apart(text):
     parsed = parse_demand(text, "")
-    assert parsed is None or parsed == (NO_DEMAND, b"WITHIN")
+    assert parsed is None or parsed == (DEFAULT_DEMAND, b"WITHIN")
 
 
 def test_what_is_out_of_bounds_counts_as_the_bound():
@@ -94,14 +94,14 @@
 
 
 def test_a_report_passes():
-    line = format_report(ToldReport(REPORT, 83.2114))
+    line = format_report(TimedReport(REPORT, 83.2114))
     assert line == b"LOAD 83211 24 20 1400 0,15,400\r\n"
-    assert parse_report(line[:-2], 7) == ToldReport(REPORT, 83.211)
+    assert parse_report(line[:-2], 7) == TimedReport(REPORT, 83.211)
 
 
 def test_a_report_without_waits_passes():
     report = REPORT._replace(waits=())
-    line = format_report(ToldReport(report, 1.0))
+    line = format_report(TimedReport(report, 1.0))
     assert parse_report(line[:-2], 7).report == report
 
 
--- a/tests/requests/test_course.py
+++ b/tests/requests/test_course.py
@@ -168,7 +168,7 @@
 def test_a_caller_that_was_refused_returns_when_it_was_told_to(monkeypatch):
     context, _ = make_context("text", StatementKind.READ)
     send_failure(context, make_refusal("full", 0.2, TOO_MANY_CONNECTIONS), IDLE)
-    returns = [context._replace(arrived_at=at).demand.is_returning for at in (0.1, 0.2)]
+    returns = [context._replace(arrived_at=at).demand.is_retry for at in (0.1, 0.2)]
     assert returns == [False, True]
     send_answer(context, AnswerSink(context.caller), b"", IDLE)
-    assert not context._replace(arrived_at=0.3).demand.is_returning
+    assert not context._replace(arrived_at=0.3).demand.is_retry
--- a/tests/routing/test_ranking.py
+++ b/tests/routing/test_ranking.py
@@ -22,7 +22,7 @@
     def get_wait(self, owner, database, priority):
         return self.waits.get((owner, database, priority), 0.0)
 
-    def get_work(self, database):
+    def get_service_time(self, database):
         return self.works.get(database, 0.0)
 
 
