--- a/beryltrack/daemon/configuration.py
+++ b/beryltrack/daemon/configuration.py
@@ -11,7 +11,7 @@
 
 from beryltrack.findings import Finding
 from beryltrack.objects.messages import PlatformObject
-from beryltrack.objects.rows import ReadRows, RowCache, Tables
+from beryltrack.objects.rows import ReadRows, RowCache, RowSchemas
 from beryltrack.settings.roster import SiteConfiguration
 
 log = logging.getLogger(__name__)
@@ -64,7 +64,7 @@
         self,
         reactor,
         read: Read,
-        tables: Tables,
+        tables: RowSchemas,
         take: Callable[[ConfigurationRead], object],
     ):
         self._reactor = reactor
--- a/beryltrack/daemon/copies.py
+++ b/beryltrack/daemon/copies.py
@@ -1,6 +1,6 @@
 """The copies of the store's objects that the instances of a fleet share."""
 
-from beryltrack.objects.copies import CopyPort
+from beryltrack.objects.copies import CopyPublisher
 from beryltrack.objects.feed import FeedTask
 from beryltrack.objects.follow import FollowTask
 from beryltrack.relay.owners import Peer
@@ -29,7 +29,7 @@
         own: Peer,
         seeds: tuple[Endpoint, ...] = (),
     ):
-        self.port = CopyPort(reactor, feeds)
+        self.port = CopyPublisher(reactor, feeds)
         self._follow = FollowTask(reactor, feeds, own, seeds=seeds)
 
     @property
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -39,10 +39,10 @@
 from beryltrack.metrics.messages import Gauge, format_label
 from beryltrack.metrics.plain import PlainMetrics
 from beryltrack.objects.eras import EraTracker, get_latest_era, get_revision
-from beryltrack.objects.feed import FeedTask, compute_wait
+from beryltrack.objects.feed import FeedTask, compute_watch_timeout
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.rejects import RejectLog
-from beryltrack.objects.snapshot import Snapshot, SnapshotPort, SnapshotTask
+from beryltrack.objects.snapshot import Snapshot, SnapshotServer, SnapshotTask
 from beryltrack.platform.boot import READY_PATH
 from beryltrack.platform.caller import LineCallerFactory
 from beryltrack.platform.protocol import LineProtocol
@@ -234,7 +234,13 @@
         )
         self._feeds = [
             FeedTask(
-                reactor, clients.store, kind, callback, rng, compute_wait(limit), gap
+                reactor,
+                clients.store,
+                kind,
+                callback,
+                rng,
+                compute_watch_timeout(limit),
+                gap,
             )
             for kind, callback, limit, gap in (
                 (
@@ -320,7 +326,7 @@
         self._listen(self.settings.member_listen, MemberPort())
         self._listen(self.settings.relay_listen, self._relays)
         if self.settings.snapshot_listen is not None:
-            port = SnapshotPort(self._get_snapshot)
+            port = SnapshotServer(self._get_snapshot)
             self._listen(self.settings.snapshot_listen, port)
         if self._own.copies is not None:
             self._listen(self._own.copies, self._copies.port)
@@ -520,7 +526,7 @@
         if not self._eras.era:
             self._snapshots.stop()
             return
-        self._snapshots.hurry()
+        self._snapshots.fetch_now()
         self._reactor.callLater(NEWER_SETTINGS_TIME, self._snapshots.stop)
 
     def _look_again(self, now: float) -> None:
--- a/beryltrack/objects/backoff.py
+++ b/beryltrack/objects/backoff.py
@@ -14,8 +14,8 @@
 def compute_delay(
     attempt: int,
     rng: random.Random,
-    first: float = FIRST_DELAY,
-    most: float = MAX_DELAY,
+    first_delay: float = FIRST_DELAY,
+    max_delay: float = MAX_DELAY,
 ) -> float:
     """Return how long to wait before the next attempt.
 
@@ -25,9 +25,9 @@
         How many attempts have failed so far, at least one.
     rng : random.Random
         Source of the jitter.
-    first : float
+    first_delay : float
         Upper bound of the first delay, seconds.
-    most : float
+    max_delay : float
         Upper bound of all delays, seconds.
 
     Returns
@@ -36,5 +36,5 @@
         A delay between half of the bound and the bound, seconds.
     """
     doublings = min(max(attempt - 1, 0), MAX_DOUBLINGS)
-    bound = min(most, first * 2**doublings)
+    bound = min(max_delay, first_delay * 2**doublings)
     return rng.uniform(bound / 2, bound)
--- a/beryltrack/objects/client.py
+++ b/beryltrack/objects/client.py
@@ -26,7 +26,7 @@
     CALL_TIMEOUT,
     HttpAnswer,
     HttpClient,
-    fail_call,
+    make_failure,
 )
 from beryltrack.objects.messages import (
     ErrorKind,
@@ -153,14 +153,14 @@
     async def _read(self, url: str, parse: Callable[[object, int], T]) -> Result:
         """Repeat a read until it gives an answer or the attempts are used up."""
         repeatable = frozenset({ErrorKind.REFUSED, ErrorKind.UNKNOWN})
-        result = await self._http.repeat("GET", url, None, repeatable)
+        result = await self._http.send_with_retries("GET", url, None, repeatable)
         return result.bind(lambda answer: _read_answer(answer, parse))
 
     async def _change(
         self, method: str, url: str, body: object, if_version: int
     ) -> Result:
         """Send a change, again only as long as it was refused before its effect."""
-        result = await self._http.change(method, url, body, if_version)
+        result = await self._http.send_change(method, url, body, if_version)
         return result.bind(_read_change)
 
 
@@ -174,33 +174,35 @@
     if answer.code == NOT_FOUND:
         return Success(None)
     if answer.code >= 400:
-        return fail_call(ErrorKind.INVALID, f"the platform answered {answer.code}")
+        return make_failure(ErrorKind.INVALID, f"the platform answered {answer.code}")
     try:
         return Success(parse(json.loads(answer.body), answer.era))
     except ValueError as error:
-        return fail_call(ErrorKind.INVALID, f"the platform's answer is faulty: {error}")
+        return make_failure(
+            ErrorKind.INVALID, f"the platform's answer is faulty: {error}"
+        )
 
 
 def _read_change(answer: HttpAnswer) -> Result[int, PlatformError]:
     """Return the new version that a change gave."""
     if answer.code == NOT_FOUND:
-        return fail_call(ErrorKind.CONFLICT, "the object is not there")
+        return make_failure(ErrorKind.CONFLICT, "the object is not there")
     if answer.code >= 400 and answer.code != CONFLICT:
-        return fail_call(ErrorKind.INVALID, f"the platform answered {answer.code}")
+        return make_failure(ErrorKind.INVALID, f"the platform answered {answer.code}")
     try:
         version = parse_version(json.loads(answer.body), answer.era)
     except ValueError as error:
         # The change was accepted although its answer cannot be read.
         kind = ErrorKind.CONFLICT if answer.code == CONFLICT else ErrorKind.UNKNOWN
-        return fail_call(kind, f"the platform's answer is faulty: {error}")
+        return make_failure(kind, f"the platform's answer is faulty: {error}")
     if answer.code == CONFLICT:
         text = f"the object has version {format_version(version)}"
-        return fail_call(ErrorKind.CONFLICT, text, version)
+        return make_failure(ErrorKind.CONFLICT, text, version)
     return Success(version)
 
 
 def _require(result: Result) -> Result:
     """Turn a successful None into a failure, where something must be there."""
     if result == Success(None):
-        return fail_call(ErrorKind.INVALID, "the platform answered 404")
+        return make_failure(ErrorKind.INVALID, "the platform answered 404")
     return result
--- a/beryltrack/objects/copies.py
+++ b/beryltrack/objects/copies.py
@@ -189,7 +189,7 @@
     return CopyFrame(feed.kind, feed.revision, feed.is_live, before is None, changed)
 
 
-class CopyPort(Factory):
+class CopyPublisher(Factory):
     """Takes the links of followers, and tells them of each change.
 
     Parameters
--- a/beryltrack/objects/feed.py
+++ b/beryltrack/objects/feed.py
@@ -60,7 +60,7 @@
 FeedCallback = Callable[[dict[str, PlatformObject]], None]
 
 
-def compute_wait(limit: float) -> float:
+def compute_watch_timeout(limit: float) -> float:
     """Return how long a watch may wait if its changes are to be known in time.
 
     A watch that reaches a silent store is lost without a sign, so that the store may
@@ -98,7 +98,7 @@
     wait : float
         Seconds that a watch waits for a change. A watch that a silent store has taken
         is never answered, and holds changes up for as long as it may last; see
-        `compute_wait`.
+        `compute_watch_timeout`.
     gap : float
         Seconds after a change until the next is asked for. Changes that come in
         a row, as at a start, then cost one call together.
@@ -245,7 +245,10 @@
                 continue
             self._note_failure(result.failure())
             delay = compute_delay(
-                self._failures, self._rng, first=FIRST_DELAY, most=self._most_delay
+                self._failures,
+                self._rng,
+                first_delay=FIRST_DELAY,
+                max_delay=self._most_delay,
             )
             await deferLater(self._reactor, delay)
 
--- a/beryltrack/objects/fields.py
+++ b/beryltrack/objects/fields.py
@@ -213,7 +213,7 @@
     return Endpoint(parse_ip(host), parse_port(int(port)))
 
 
-def make_choice(choices: tuple[str, ...]) -> Callable[[object], str]:
+def make_choice_parser(choices: tuple[str, ...]) -> Callable[[object], str]:
     """Return what parses one of some texts."""
 
     def parse(value: object) -> str:
--- a/beryltrack/objects/http.py
+++ b/beryltrack/objects/http.py
@@ -228,16 +228,16 @@
         A revision of an earlier era stands for something else now, so that an answer
         of a later era would miss changes.
         """
-        expired = fail_call(
+        expired = make_failure(
             ErrorKind.EXPIRED, "the platform was restored from a backup"
         )
         if self.eras.is_past(get_era(after)):
             return expired
-        answer = await self.attempt("GET", url, None, limit)
+        answer = await self.send_once("GET", url, None, limit)
         is_other = isinstance(answer, Success) and answer.unwrap().era != get_era(after)
         return expired if is_other else answer
 
-    async def change(
+    async def send_change(
         self, method: str, url: str, body: object, if_version: int
     ) -> Result[HttpAnswer, PlatformError]:
         """Send a change, again only as long as it was refused before its effect.
@@ -246,9 +246,9 @@
         another one answers does not tell whether the condition held.
         """
         era = get_era(if_version) if if_version else None
-        return await self.repeat(method, url, body, _REFUSED, era)
+        return await self.send_with_retries(method, url, body, _REFUSED, era)
 
-    async def repeat(
+    async def send_with_retries(
         self,
         method: str,
         url: str,
@@ -271,10 +271,10 @@
         """
         for attempt in range(1, MAX_ATTEMPTS + 1):
             if era is not None and self.eras.is_past(era):
-                return fail_call(ErrorKind.CONFLICT, "its version is of a past era")
+                return make_failure(ErrorKind.CONFLICT, "its version is of a past era")
             result = await self._limit(method, url, body)
             if isinstance(result, Success) and era not in (None, result.unwrap().era):
-                return fail_call(ErrorKind.UNKNOWN, "the store changed its era")
+                return make_failure(ErrorKind.UNKNOWN, "the store changed its era")
             match result:
                 case Failure(PlatformError(kind)) if kind in repeatable:
                     pass
@@ -289,14 +289,16 @@
         """Make one attempt within the bounds on calls in flight and waiting."""
         waiting = len(self._semaphore.waiting)
         if not self._semaphore.tokens and waiting >= MAX_WAITING:
-            return fail_call(ErrorKind.REFUSED, "too many calls wait in this process")
+            return make_failure(
+                ErrorKind.REFUSED, "too many calls wait in this process"
+            )
         await self._semaphore.acquire()
         try:
-            return await self.attempt(method, url, body)
+            return await self.send_once(method, url, body)
         finally:
             self._semaphore.release()
 
-    async def attempt(
+    async def send_once(
         self,
         method: str,
         url: str,
@@ -312,29 +314,33 @@
         try:
             answer = await call
         except ConnectError as error:
-            return fail_call(
+            return make_failure(
                 ErrorKind.REFUSED, f"no connection to the platform: {error}"
             )
         except Exception as error:
             if not timer.active():
-                return fail_call(ErrorKind.UNKNOWN, f"no answer within {limit:g} s")
+                return make_failure(ErrorKind.UNKNOWN, f"no answer within {limit:g} s")
             if _is_cancelled(error):
                 raise CancelledError from error
             # Twisted wraps what broke a request in many types of its own. The
             # request may have been received, so none of them says more.
             text = f"the answer was lost: {describe_loss(error)}"
-            return fail_call(ErrorKind.UNKNOWN, text)
+            return make_failure(ErrorKind.UNKNOWN, text)
         finally:
             if timer.active():
                 timer.cancel()
         if answer.code in REFUSALS:
-            return fail_call(ErrorKind.REFUSED, f"the platform answered {answer.code}")
+            return make_failure(
+                ErrorKind.REFUSED, f"the platform answered {answer.code}"
+            )
         if answer.code >= 500:
-            return fail_call(ErrorKind.UNKNOWN, f"the platform answered {answer.code}")
+            return make_failure(
+                ErrorKind.UNKNOWN, f"the platform answered {answer.code}"
+            )
         if self.eras.is_past(answer.era):
             # What it read or wrote may be lost since.
             text = f"the answer is of era {answer.era}, now is era {self.eras.era}"
-            return fail_call(ErrorKind.UNKNOWN, text)
+            return make_failure(ErrorKind.UNKNOWN, text)
         return Success(answer)
 
     async def _send(
@@ -372,6 +378,6 @@
     return reasons[0].getErrorMessage() if reasons else str(error) or repr(error)
 
 
-def fail_call(kind: ErrorKind, text: str, version: int = 0) -> Result:
+def make_failure(kind: ErrorKind, text: str, version: int = 0) -> Result:
     """Return a failed result."""
     return Failure(PlatformError(kind, text, version))
--- a/beryltrack/objects/rows.py
+++ b/beryltrack/objects/rows.py
@@ -20,7 +20,7 @@
 Row = dict[str, object]
 Rows = tuple[list[Row], list[Finding]]
 ReadRows = Callable[[str, str, Row, tuple[Field, ...]], Rows]
-Tables = Mapping[str, tuple[Field, ...]]
+RowSchemas = Mapping[str, tuple[Field, ...]]
 
 
 class RowCache:
@@ -55,7 +55,7 @@
         self._known[name] = known
         return rows, findings
 
-    def prepare(self, value: object, tables: Tables) -> Iterator[None]:
+    def prepare(self, value: object, tables: RowSchemas) -> Iterator[None]:
         """Read the rows that have changed, ahead of `read_rows`, slice by slice.
 
         Parameters
--- a/beryltrack/objects/snapshot.py
+++ b/beryltrack/objects/snapshot.py
@@ -87,7 +87,7 @@
         self.transport.loseConnection()
 
 
-class SnapshotPort(Factory):
+class SnapshotServer(Factory):
     """Gives an instance's copies to whoever connects.
 
     Parameters
@@ -157,7 +157,7 @@
         """Begin to ask, some time from now."""
         self._call = self._reactor.callLater(FIRST_DELAY, self._begin)
 
-    def hurry(self) -> None:
+    def fetch_now(self) -> None:
         """Ask now, if nobody is asked yet."""
         if self._call is not None and self._call.active():
             self._call.reset(0)
--- a/beryltrack/platform/promotion.py
+++ b/beryltrack/platform/promotion.py
@@ -2,7 +2,7 @@
 
 from returns.result import Result, Success
 
-from beryltrack.objects.http import HttpClient, fail_call
+from beryltrack.objects.http import HttpClient, make_failure
 from beryltrack.objects.messages import ErrorKind, PlatformError
 
 HOLDER_HEADER = "Beryltrack-Duty-Holder"
@@ -35,12 +35,12 @@
         """
         headers = {HOLDER_HEADER: self._holder, TOKEN_HEADER: str(token)}
         body = {"service": group, "id": database}
-        result = await self._http.attempt("POST", "/promotion", body, headers=headers)
+        result = await self._http.send_once("POST", "/promotion", body, headers=headers)
         if not isinstance(result, Success):
             return result
         code = result.unwrap().code
         if code == CONFLICT:
-            return fail_call(ErrorKind.CONFLICT, "the promotion was refused")
+            return make_failure(ErrorKind.CONFLICT, "the promotion was refused")
         if code >= 400:
-            return fail_call(ErrorKind.INVALID, f"the platform answered {code}")
+            return make_failure(ErrorKind.INVALID, f"the platform answered {code}")
         return Success(None)
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -36,7 +36,7 @@
     # The name that callers ask for; a route's own "name" is a label.
     Field("database_name", parse_name),
     Field("service", parse_name),  # The group.
-    Field("kind", fields.make_choice(ROUTE_KINDS)),
+    Field("kind", fields.make_choice_parser(ROUTE_KINDS)),
     Field("timeout_ms", parse_number),
     Field("target_latency_ms", parse_number),
     Field("priority", fields.parse_whole_number),
@@ -59,14 +59,14 @@
     Field("address", fields.parse_address),
     Field("zone", parse_name),
     Field("slots", fields.parse_positive),
-    Field("state", fields.make_choice((READY, DRAINING))),
+    Field("state", fields.make_choice_parser((READY, DRAINING))),
     # When it started, milliseconds since 1970.
     Field("born", fields.parse_positive, False),
     # Not used, but an entry that lacks them is not a database's own.
     Field("config_version", parse_name),  # The version of the database's software.
     Field("cold_remaining_ms", parse_number),
     Field("sequence", fields.parse_whole_number),  # Counts the heartbeats.
-    Field("database_role", fields.make_choice((PRIMARY, REPLICA)), False),
+    Field("database_role", fields.make_choice_parser((PRIMARY, REPLICA)), False),
 )
 
 
--- a/beryltrack/platform/store.py
+++ b/beryltrack/platform/store.py
@@ -13,7 +13,7 @@
 from beryltrack.objects.answers import decode_answer
 from beryltrack.objects.eras import get_era, get_revision, make_version
 from beryltrack.objects.fields import Field
-from beryltrack.objects.http import HttpAnswer, HttpClient, fail_call
+from beryltrack.objects.http import HttpAnswer, HttpClient, make_failure
 from beryltrack.objects.messages import (
     ErrorKind,
     ObjectList,
@@ -62,7 +62,9 @@
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
         """Return one object, or None if there is none at this path."""
-        answer = await self._http.repeat("GET", _get_url(path), None, _REPEATABLE_READ)
+        answer = await self._http.send_with_retries(
+            "GET", _get_url(path), None, _REPEATABLE_READ
+        )
         if isinstance(answer, Success) and answer.unwrap().code == NOT_FOUND:
             return Success(None)
         kind = path.partition("/")[0]
@@ -80,19 +82,21 @@
         while True:
             place = {"after": after} if after else {}
             url = _get_list_url(kind, self._options | place)
-            answer = await self._http.repeat("GET", url, None, _REPEATABLE_READ)
+            answer = await self._http.send_with_retries(
+                "GET", url, None, _REPEATABLE_READ
+            )
             page = answer.bind(lambda each: _read(each, kind, self._parse_page))
             if not isinstance(page, Success):
                 return page
             items, at, has_more = page.unwrap()
             revision = at if revision is None else revision
             if get_era(at) != get_era(revision):
-                return fail_call(ErrorKind.EXPIRED, "the pages are of two eras")
+                return make_failure(ErrorKind.EXPIRED, "the pages are of two eras")
             objects.update((item.path, item) for item in items)
             if not has_more:
                 return Success(ObjectList(revision, tuple(objects.values())))
             if not items:
-                return fail_call(ErrorKind.INVALID, "no object of a page has a name")
+                return make_failure(ErrorKind.INVALID, "no object of a page has a name")
             after = items[-1].path.partition("/")[2]
 
     async def watch(
@@ -103,7 +107,7 @@
         url = _get_list_url(kind, self._options | wait)
         answer = await self._http.watch(url, after, timeout + ANSWER_TIME)
         if isinstance(answer, Success) and answer.unwrap().code == GONE:
-            return fail_call(ErrorKind.EXPIRED, "the platform forgot the changes")
+            return make_failure(ErrorKind.EXPIRED, "the platform forgot the changes")
         return answer.bind(lambda each: _read(each, kind, self._parse_events))
 
     async def put(
@@ -119,14 +123,14 @@
             meta = {"name": name, "finalizers": []}
             method, url = "POST", f"/api/objects/{quote(kind)}"
         body = {"meta": meta, "spec": value}
-        answer = await self._http.change(method, url, body, if_version)
+        answer = await self._http.send_change(method, url, body, if_version)
         return answer.bind(_read_change)
 
     async def delete(self, path: str, if_version: int) -> Result[int, PlatformError]:
         """Delete an object if its version is `if_version`."""
         query = urlencode({"revision": get_revision(if_version)})
         url = f"{_get_url(path)}?{query}"
-        answer = await self._http.change("DELETE", url, None, if_version)
+        answer = await self._http.send_change("DELETE", url, None, if_version)
         return answer.bind(_read_change)
 
     def close(self) -> Deferred:
@@ -188,22 +192,22 @@
 def _read(answer: HttpAnswer, kind: str, parse) -> Result:
     """Return the parsed answer to a read."""
     if answer.code >= 400:
-        return fail_call(ErrorKind.INVALID, f"the platform answered {answer.code}")
+        return make_failure(ErrorKind.INVALID, f"the platform answered {answer.code}")
     try:
         return Success(parse(kind, decode_answer(answer.body), answer.era))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError) as error:
         text = f"the platform's answer is faulty: {error!r}"
-        return fail_call(ErrorKind.INVALID, text)
+        return make_failure(ErrorKind.INVALID, text)
 
 
 def _read_change(answer: HttpAnswer) -> Result[int, PlatformError]:
     """Return the new version that a change gave."""
     if answer.code == NOT_FOUND:
-        return fail_call(ErrorKind.CONFLICT, "the object is not there")
+        return make_failure(ErrorKind.CONFLICT, "the object is not there")
     if answer.code == CONFLICT:
-        return fail_call(ErrorKind.CONFLICT, "the object has another version")
+        return make_failure(ErrorKind.CONFLICT, "the object has another version")
     if answer.code >= 400:
-        return fail_call(ErrorKind.INVALID, f"the platform answered {answer.code}")
+        return make_failure(ErrorKind.INVALID, f"the platform answered {answer.code}")
     try:
         revision = int(decode_answer(answer.body)["meta"]["revision"])
         return Success(make_version(answer.era, revision))
--- a/beryltrack/settings/task.py
+++ b/beryltrack/settings/task.py
@@ -206,7 +206,7 @@
                 if self._failures == 1:
                     log.warning("settings: the store gives no answer: %s", error.text)
         most = MAX_DELAY if self._watcher else max(MAX_DELAY, period)
-        return compute_delay(self._failures, self._rng, most=most)
+        return compute_delay(self._failures, self._rng, max_delay=most)
 
     def _publish(self, update: SettingsUpdate, source: str) -> None:
         """Tell subscribers of news."""
--- a/tests/objects/test_copies.py
+++ b/tests/objects/test_copies.py
@@ -5,7 +5,7 @@
 from twisted.internet.testing import StringTransport
 
 from beryltrack.objects import copies
-from beryltrack.objects.copies import CopyPort, decode_frames, make_frame
+from beryltrack.objects.copies import CopyPublisher, decode_frames, make_frame
 from beryltrack.objects.messages import PlatformObject
 
 FOLLOWERS = 20
@@ -72,7 +72,7 @@
 
 def test_a_change_is_encoded_once_for_all_followers(encoded):
     feed = Feed()
-    port = CopyPort(Clock(), (feed,))
+    port = CopyPublisher(Clock(), (feed,))
     followers = [Follower(port) for _ in range(FOLLOWERS)]
     assert [each.take() for each in followers] == [[0]] * FOLLOWERS
     feed.write(1)
@@ -83,7 +83,7 @@
 
 def test_one_that_did_not_read_is_told_what_it_has_missed(encoded):
     feed = Feed()
-    port = CopyPort(Clock(), (feed,))
+    port = CopyPublisher(Clock(), (feed,))
     late, other = Follower(port), Follower(port)
     late.link.pauseProducing()
     feed.write(1)
--- a/tests/objects/test_feed.py
+++ b/tests/objects/test_feed.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from beryltrack.objects.feed import SECOND_LOOK, FeedTask, compute_wait
+from beryltrack.objects.feed import SECOND_LOOK, FeedTask, compute_watch_timeout
 from beryltrack.objects.messages import (
     ErrorKind,
     ObjectList,
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize(("limit", "wait"), [(3.0, 2.0), (6.0, 4.0), (0.2, 0.5)])
 def test_a_watch_waits_for_two_thirds_of_the_time_that_a_change_has(limit, wait):
-    assert compute_wait(limit) == wait
+    assert compute_watch_timeout(limit) == wait
 
 
 def test_a_watch_waits_for_no_longer_than_it_may():
--- a/tests/objects/test_shared_copies.py
+++ b/tests/objects/test_shared_copies.py
@@ -16,9 +16,14 @@
 from twisted.python.failure import Failure as Reason
 
 from beryltrack.awake_clock import get_awake_clock
-from beryltrack.objects.copies import CopyFrame, CopyPort, decode_frames, encode_frames
+from beryltrack.objects.copies import (
+    CopyFrame,
+    CopyPublisher,
+    decode_frames,
+    encode_frames,
+)
 from beryltrack.objects.eras import make_version
-from beryltrack.objects.feed import FeedTask, compute_wait
+from beryltrack.objects.feed import FeedTask, compute_watch_timeout
 from beryltrack.objects.follow import FollowTask
 from beryltrack.objects.messages import (
     ErrorKind,
@@ -166,11 +171,11 @@
                 kind,
                 lambda objects, kind=kind: self.take(kind, objects),
                 random.Random(peer.name),
-                compute_wait(LIMIT),
+                compute_watch_timeout(LIMIT),
             )
             for kind in KINDS
         )
-        self.port = CopyPort(fleet.clock, self.feeds)
+        self.port = CopyPublisher(fleet.clock, self.feeds)
         self.follow = FollowTask(
             fleet.clock,
             self.feeds,
--- a/tests/objects/test_snapshot.py
+++ b/tests/objects/test_snapshot.py
@@ -8,7 +8,7 @@
 
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.snapshot import (
-    SnapshotPort,
+    SnapshotServer,
     SnapshotTask,
     decode_snapshot,
     encode_snapshot,
@@ -48,7 +48,7 @@
 
 
 def listen(get_snapshot):
-    port = reactor.listenTCP(0, SnapshotPort(get_snapshot), interface=HOST)
+    port = reactor.listenTCP(0, SnapshotServer(get_snapshot), interface=HOST)
     return port, Endpoint(HOST, port.getHost().port)
 
 
--- a/tests/platform/test_accounts.py
+++ b/tests/platform/test_accounts.py
@@ -93,10 +93,10 @@
     body = {"meta": {"name": "main", "revision": 4}}
     body["spec"] = CONFIG | {"tenants": [TENANT]}
 
-    async def repeat(*words):
+    async def send_with_retries(*words):
         return Success(HttpAnswer(200, json.dumps(body).encode()))
 
-    store = PlatformStore(SimpleNamespace(repeat=repeat))
+    store = PlatformStore(SimpleNamespace(send_with_retries=send_with_retries))
     found = Deferred.fromCoroutine(store.get("config/main")).result.unwrap()
     assert not [key for key in TENANT["api_keys"] if key in repr(found)]
     assert read_configuration(found)[0].accounts == read(TENANT)[0].accounts
--- a/tests/platform/test_group.py
+++ b/tests/platform/test_group.py
@@ -8,7 +8,7 @@
 from beryltrack.groups.adapter import ControlLimits
 from beryltrack.groups.control_calls import ControlCalls
 from beryltrack.groups.messages import PRIMARY, LogPosition
-from beryltrack.objects.http import fail_call
+from beryltrack.objects.http import make_failure
 from beryltrack.objects.messages import ErrorKind
 from beryltrack.platform.group import LineDatabaseGroup, parse_row
 from beryltrack.platform.target import connect_line_target
@@ -94,9 +94,9 @@
 
 
 def test_a_fenced_promotion_is_refused_and_a_lost_one_fails(site):
-    site.promotions.answer = fail_call(ErrorKind.CONFLICT, "fenced")
+    site.promotions.answer = make_failure(ErrorKind.CONFLICT, "fenced")
     assert not site.call("promote", 4, "node/1", 1).unwrap().promoted
-    site.promotions.answer = fail_call(ErrorKind.UNKNOWN, "lost")
+    site.promotions.answer = make_failure(ErrorKind.UNKNOWN, "lost")
     assert site.call("promote", 4, "node/1", 1).failure().text == "lost"
 
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -25,19 +25,19 @@
         self.answers = list(answers)
         self.calls = []
 
-    async def attempt(self, method, url, body, timeout=None, headers=None):
+    async def send_once(self, method, url, body, timeout=None, headers=None):
         self.calls.append((method, url, body))
         code, value = self.answers.pop(0)
         return Success(HttpAnswer(code, json.dumps(value).encode()))
 
     async def watch(self, url, after, limit):
-        return await self.attempt("GET", url, None)
+        return await self.send_once("GET", url, None)
 
-    async def change(self, method, url, body, if_version):
-        return await self.attempt(method, url, body)
+    async def send_change(self, method, url, body, if_version):
+        return await self.send_once(method, url, body)
 
-    async def repeat(self, method, url, body, repeatable):
-        return await self.attempt(method, url, body)
+    async def send_with_retries(self, method, url, body, repeatable):
+        return await self.send_once(method, url, body)
 
 
 def call(http, name, *arguments):
--- a/tests/platform/test_unreadable_objects.py
+++ b/tests/platform/test_unreadable_objects.py
@@ -143,7 +143,7 @@
     def __init__(self, body):
         self.body = body
 
-    async def repeat(self, method, url, body, repeatable):
+    async def send_with_retries(self, method, url, body, repeatable):
         return Success(HttpAnswer(200, self.body))
 
     async def watch(self, url, after, limit):
