--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -5,12 +5,12 @@
 
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.errors import (
-    NOT_RUN_STATES,
+    NOT_RUN_SQLSTATES,
     SERIALIZATION_FAILURE,
     TRANSACTION_RESOLUTION_UNKNOWN,
     SqlError,
-    make_outcome_unknown,
-    make_rolled_back,
+    make_outcome_unknown_error,
+    make_rolled_back_error,
 )
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
 from beryltrack.groups.messages import LogPosition
@@ -18,9 +18,9 @@
 from beryltrack.load.ingress_admission import compute_target_wait
 from beryltrack.load.messages import Demand
 from beryltrack.metrics.messages import (
-    RequestEnd,
     RequestKind,
     RequestOutcome,
+    RequestSummary,
     TargetKind,
 )
 from beryltrack.requests.admission import AdmissionReason
@@ -53,7 +53,7 @@
 _OUTCOMES = {
     SERIALIZATION_FAILURE: RequestOutcome.ROLLED_BACK,
     TRANSACTION_RESOLUTION_UNKNOWN: RequestOutcome.UNKNOWN,
-} | dict.fromkeys(NOT_RUN_STATES, RequestOutcome.NOT_RUN)
+} | dict.fromkeys(NOT_RUN_SQLSTATES, RequestOutcome.NOT_RUN)
 
 
 class RequestContext(NamedTuple):
@@ -219,12 +219,12 @@
     policy = context.plan.policy
     priority = policy.priority if policy else None
     verdict = name_refusal(reason) if step is RequestStep.NOT_RUN else ""
-    if not services.events.wants(step):
+    if not services.events.reserve_line(step):
         shared = SharedDecision(
             step, reason, view.term, view.primary, priority, verdict
         )
         for each in filter(None, (request_id, opened_by)):
-            services.events.note(each, shared)
+            services.events.record_shared(each, shared)
         return
     now = services.seconds()
     elapsed = now - context.arrived_at
@@ -290,14 +290,14 @@
     is_served = outcome is RequestOutcome.DONE
     elapsed = services.seconds() - context.arrived_at
     is_refused = outcome is RequestOutcome.NOT_RUN
-    end = RequestEnd(
+    end = RequestSummary(
         policy.priority,
         bool(context.caller.account),
         is_served,
         is_served and elapsed <= policy.target_latency,
         name_refusal(reason) if is_refused else "",
     )
-    services.metrics.count_end(end)
+    services.metrics.count_by_priority(end)
 
 
 def name_refusal(message: str) -> str:
@@ -309,5 +309,5 @@
 def make_step_error(step: NextStep, reason: str) -> SqlError:
     """Return the error that tells a caller what became of its request."""
     if step is NextStep.ROLLED_BACK:
-        return make_rolled_back(reason)
-    return make_outcome_unknown(reason)
+        return make_rolled_back_error(reason)
+    return make_outcome_unknown_error(reason)
