--- a/beryltrack/daemon/group_connections.py
+++ b/beryltrack/daemon/group_connections.py
@@ -13,12 +13,12 @@
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.handler import Lender
 from beryltrack.relay.owners import Peer
-from beryltrack.relay.ways import (
+from beryltrack.relay.relayed_connections import (
+    HasAnswered,
     RelayedConnection,
-    WasHeard,
-    give_up,
-    hear_nothing,
+    close_overdue,
     is_silent,
+    never_answered,
 )
 from beryltrack.requests.runtime import GroupRuntime
 from beryltrack.settings.messages import GroupSettings
@@ -47,7 +47,7 @@
         directory: RelayDirectory,
         groups: GroupTable,
         policies: NodePolicies,
-        was_heard: WasHeard = hear_nothing,
+        was_heard: HasAnswered = never_answered,
     ):
         self._was_heard = was_heard
         self._name = name
@@ -58,7 +58,7 @@
     @property
     def has_members(self) -> bool:
         """True once it is known which instances there are."""
-        return self._directory.is_known
+        return self._directory.has_members
 
     @property
     def pools(self) -> list[DatabaseAccess]:
@@ -136,8 +136,8 @@
         pool = runtime.pools.get(database) if runtime is not None else None
         if pool is None or not self._is_owner(runtime):
             return None
-        is_blocked = self._directory.is_blocked(database)
-        if is_blocked and not self._directory.has_accounts:
+        is_unreachable = self._directory.is_unreachable(database)
+        if is_unreachable and not self._directory.has_accounts:
             # Another owner serves as well, and goes straight to the database.
             return None
         runtime.ensure_started()
@@ -145,7 +145,7 @@
 
     def give_up(self, connection: RelayedConnection) -> None:
         """Close a connection that does not answer, and leave its way if that is so."""
-        owner = give_up(connection, self.pools, self._was_heard)
+        owner = close_overdue(connection, self.pools, self._was_heard)
         if owner:
             self._directory.avoid(owner)
 
@@ -167,7 +167,7 @@
         runtime.task.set_nodes(names, is_owner)
         ways = ("", *names) if is_owner else names
         for database, pool in runtime.pools.items():
-            pool.set_ways(names)
+            pool.retain_sessions(names)
             pool.retire(self._get_staleness(database, is_owner))
         runtime.task.renew_ways(ways)
 
@@ -175,7 +175,7 @@
         self, database: str, is_owner: bool
     ) -> Callable[[RelayedConnection], bool]:
         """Return what says of a connection to a database whether it is used no more."""
-        return lambda _: not is_owner or self._directory.is_blocked(database)
+        return lambda _: not is_owner or self._directory.is_unreachable(database)
 
 
 def get_most_connections(group: GroupSettings) -> int:
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_kit.py
@@ -25,7 +25,7 @@
 from beryltrack.platform.target import LineTarget, connect_line_target
 from beryltrack.relay.access import DatabaseAccess
 from beryltrack.relay.directory import RelayDirectory
-from beryltrack.relay.opener import OpenLimits, TargetOpener
+from beryltrack.relay.opener import OpenPolicy, TargetOpener
 from beryltrack.requests.retry import RetryBudget
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
 
@@ -103,7 +103,7 @@
             directory,
             self._open_at,
             lambda group, database: (group, database) in self._pools,
-            OpenLimits(
+            OpenPolicy(
                 options.RELAY_CONNECT, options.CONTROL_CONNECT, policies.takes_detours
             ),
             self.outlook,
@@ -160,8 +160,8 @@
                 rng=self._rng,
             )
 
-        def choose_way(account: str, is_lent: bool = False) -> str:
-            peer = self._directory.choose_way(
+        def choose_via(account: str, is_lent: bool = False) -> str:
+            peer = self._directory.choose_via(
                 group.name, database.name, database.max_connections, account, is_lent
             )
             return "" if peer is None else peer.name
@@ -177,19 +177,19 @@
         access = DatabaseAccess(
             direct,
             make_sessions,
-            choose_way,
+            choose_via,
             lambda account: self._quota.spend(account, self._seconds()),
             self._quota.refund,
-            lambda account: choose_way(account, True),
-            self._directory.observe_spent,
+            lambda account: choose_via(account, True),
+            self._directory.observe_quota_refusal,
             lambda account: (
-                self._directory.is_blocked(database.name)
+                self._directory.is_unreachable(database.name)
                 and self._directory.counts_here(account)
             ),
-            judge=lambda way, demand: self._judge(way, database.name, demand),
-            expect=lambda way, demand: self._expect(way, database.name, demand),
+            admit_ingress=lambda way, demand: self._judge(way, database.name, demand),
+            estimate=lambda way, demand: self._expect(way, database.name, demand),
             seconds=self._seconds,
-            may_repeat=lambda: self._retries is None or self._retries.draw(),
+            may_retry=lambda: self._retries is None or self._retries.draw(),
             make_gate=self._make_gate,
         )
         self._pools[group.name, database.name] = access
--- a/beryltrack/daemon/members.py
+++ b/beryltrack/daemon/members.py
@@ -250,14 +250,14 @@
         value = {
             "host": self._endpoint.host,
             "port": self._endpoint.port,
-            "relay": self._own.relay.port,
+            "relay": self._own.relay_endpoint.port,
             "zone": self._own.zone,
             "capacity": self._own.capacity,
         }
-        if self._own.copies is not None:
-            value["copies"] = self._own.copies.port
-        if self._own.rights is not None:
-            value["rights"] = self._own.rights.port
+        if self._own.cache_endpoint is not None:
+            value["copies"] = self._own.cache_endpoint.port
+        if self._own.quota_endpoint is not None:
+            value["rights"] = self._own.quota_endpoint.port
         path = f"{KIND}/{self._name}"
         if self._is_new:
             # Nobody of this name was there before, so that the question is spared.
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -57,7 +57,7 @@
 )
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.handler import RelayHandler
-from beryltrack.relay.load_teller import LoadTeller
+from beryltrack.relay.load_reporter import LoadReporter
 from beryltrack.relay.owners import Peer
 from beryltrack.requests.overdue import OverdueWatch
 from beryltrack.requests.runtime import GroupRuntime
@@ -191,7 +191,7 @@
         self._load = LoadView(
             directory, lambda: self._groups.runtimes, self._kit.outlook
         )
-        directory.set_block_observer(self._connections.share)
+        directory.set_reachability_observer(self._connections.share)
         self._groups.subscribe_started(self._connections.start_group)
         self._configured_by: dict[str, PlatformObject] = {}
         self._learned: Snapshot = {}
@@ -224,7 +224,7 @@
             reactor.seconds,
             self._connections.get_lender,
             options.RELAY_TIME,
-            LoadTeller(self._seconds, self._policies.takes_reports),
+            LoadReporter(self._seconds, self._policies.takes_reports),
             self._incarnation,
             self._policies.routing.lagging_pause,
             self._connections.owns,
@@ -294,8 +294,8 @@
             settings.member_listen,
             settings.relay_listen,
             settings.snapshot_listen,
-            self._own.copies,
-            self._own.rights,
+            self._own.cache_endpoint,
+            self._own.quota_endpoint,
             settings.listen,
         )
         return tuple(endpoint for endpoint in each if endpoint is not None)
@@ -322,11 +322,11 @@
         if self.settings.snapshot_listen is not None:
             port = SnapshotPort(self._get_snapshot)
             self._listen(self.settings.snapshot_listen, port)
-        if self._own.copies is not None:
-            self._listen(self._own.copies, self._copies.port)
+        if self._own.cache_endpoint is not None:
+            self._listen(self._own.cache_endpoint, self._copies.port)
             self._copies.start()
-        if self._own.rights is not None:
-            self._listen(self._own.rights, self._accounts.port)
+        if self._own.quota_endpoint is not None:
+            self._listen(self._own.quota_endpoint, self._accounts.port)
         self._accounts.start()
         if self._policies.takes_snapshots and not self.settings.is_first_start:
             self._snapshots.start()
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -85,7 +85,7 @@
         )
         self._telling = LoopingCall(self._tell_refusals)
         self._telling.clock = reactor
-        directory.set_holder_source(lending.get_holder)
+        directory.set_quota_holder_source(lending.get_holder)
         directory.set_owner_observer(self._task.hurry)
 
     @property
@@ -156,7 +156,7 @@
 
     def _start(self) -> None:
         """Lend once there are accounts and the members are known."""
-        if self._book is not None and self._directory.is_known:
+        if self._book is not None and self._directory.has_members:
             self._task.start()
             if not self._telling.running:
                 self._telling.start(TELL_PERIOD, now=False)
@@ -174,4 +174,4 @@
     def _get_endpoint(self, name: str) -> Endpoint | None:
         """Return where an instance takes rights."""
         peer = self._directory.get_peer(name)
-        return None if peer is None else peer.rights
+        return None if peer is None else peer.quota_endpoint
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -13,7 +13,7 @@
 from beryltrack.groups.policy import ProbePolicy
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.owners import ChooseOwners, choose_owners
-from beryltrack.relay.slot_choice import FleetOwners, SlotChoice, ZoneOwners
+from beryltrack.relay.slot_owners import FleetOwners, SlotOwnerPolicy, ZoneOwners
 from beryltrack.relay.strong_owners import choose_strong_owners
 from beryltrack.requests.admission import AdmissionPolicy
 from beryltrack.requests.overdue import LATE_AFTER
@@ -90,7 +90,7 @@
     takes_detours: bool
     takes_snapshots: bool
     shares_copies: bool
-    owners_of_accounts: SlotChoice
+    owners_of_accounts: SlotOwnerPolicy
     choose_owners: ChooseOwners
     probes_owners: bool
 
--- a/beryltrack/daemon/zone_traffic.py
+++ b/beryltrack/daemon/zone_traffic.py
@@ -107,9 +107,9 @@
             for peer in peers
             if peer.zone != self._zone
             for endpoint, purpose in (
-                (peer.relay, STATEMENTS),
-                (peer.copies, COPIES),
-                (peer.rights, RIGHTS),
+                (peer.relay_endpoint, STATEMENTS),
+                (peer.cache_endpoint, COPIES),
+                (peer.quota_endpoint, RIGHTS),
             )
         )
         self._peers = {place: purpose for place, purpose in places if place is not None}
--- a/beryltrack/groups/control_calls.py
+++ b/beryltrack/groups/control_calls.py
@@ -15,7 +15,7 @@
 from beryltrack.awake_clock import get_awake_clock
 from beryltrack.connections.messages import TargetLost
 from beryltrack.groups.adapter import ControlLimits
-from beryltrack.relay.ways import RelayedConnection
+from beryltrack.relay.relayed_connections import RelayedConnection
 from beryltrack.settings.messages import DatabaseSettings
 from beryltrack.wire.messages import ResponseEnd
 from beryltrack.wire.sinks import CollectingSink
--- a/beryltrack/objects/follow.py
+++ b/beryltrack/objects/follow.py
@@ -189,7 +189,10 @@
     def _open(self, source: Peer, link: CopyReceiver) -> Deferred:
         """Open a link over TCP."""
         endpoint = TCP4ClientEndpoint(
-            self._reactor, source.copies.host, source.copies.port, CONNECT_LIMIT
+            self._reactor,
+            source.cache_endpoint.host,
+            source.cache_endpoint.port,
+            CONNECT_LIMIT,
         )
         return connectProtocol(endpoint, link)
 
--- a/beryltrack/objects/watchers.py
+++ b/beryltrack/objects/watchers.py
@@ -59,7 +59,7 @@
         peer
         for zone in zones
         for peer in choose_watchers(peers, zone)
-        if peer.name != own.name and peer.copies is not None
+        if peer.name != own.name and peer.cache_endpoint is not None
     ]
     fit = (peer for peer in watchers if now >= avoided.get(peer.name, now))
     return tuple(
@@ -95,7 +95,7 @@
     now : float
         The current time, seconds.
     """
-    known = {peer.copies for peer in peers}
+    known = {peer.cache_endpoint for peer in peers}
     seeds = (
         Peer(f"{place.host}:{place.port}", "", place, place)
         for place in places
--- a/beryltrack/platform/codes.py
+++ b/beryltrack/platform/codes.py
@@ -20,7 +20,7 @@
     SqlError,
     split_refusal,
 )
-from beryltrack.relay.words import NOT_OWNER, OVER_LIMIT, UNREACHABLE
+from beryltrack.relay.wire_format import NOT_OWNER, OVER_LIMIT, UNREACHABLE
 from beryltrack.requests.outcomes import READ_ONLY_REFUSAL
 
 # Codes that a database answers with. BUSY, LAGGING and READONLY: it did not run.
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -24,7 +24,7 @@
     get_kind,
 )
 from beryltrack.platform.target import LineTarget
-from beryltrack.relay.words import format_terms, take_demand
+from beryltrack.relay.wire_format import format_account_message, take_demand_prefix
 from beryltrack.requests.protocol import (
     RequestPolicy,
     RunResult,
@@ -225,7 +225,7 @@
         If the connection belongs to another account.
     """
     wanted, applied = session.values, connection.values
-    texts = format_terms(connection, account)
+    texts = format_account_message(connection, account)
     if any(name not in wanted for name in applied):
         texts.append(b"RESET")
         applied.clear()
@@ -261,7 +261,7 @@
         text = b" ".join(
             (b"EXECUTE", connection.prepared[shape], *statement.fields[1:])
         )
-    text = lines.format_after(after) + take_demand(connection) + text
+    text = lines.format_after(after) + take_demand_prefix(connection) + text
     setups.append(lines.format_query(statement.request_id, text))
     running = connection.run(b"".join(setups), sink, len(setups) - 1, limit)
     return running.addErrback(describe_loss)
--- a/beryltrack/platform/relay.py
+++ b/beryltrack/platform/relay.py
@@ -27,8 +27,8 @@
     parse_query,
 )
 from beryltrack.platform.target import LineTarget
-from beryltrack.relay import words
-from beryltrack.relay.handler import OTHER_OWNERS, Proven, RelayHandler
+from beryltrack.relay import wire_format
+from beryltrack.relay.handler import NOT_OWNER_MESSAGE, AgedProof, RelayHandler
 from beryltrack.requests.protocol import RunResult
 from beryltrack.sessions.kept import Shape
 from beryltrack.wire.messages import ResponseEnd
@@ -76,8 +76,8 @@
         self.is_counted = True
         self.pinned: LineTarget | None = None
         self.proven_at = NEVER
-        self.tells_demands = False
-        self.told: ToldReport | None = None
+        self.sends_demands = False
+        self.last_report: ToldReport | None = None
 
     def take(self, message: bytes) -> "Deferred[None] | None":
         """Take one message."""
@@ -106,25 +106,27 @@
 
     def send_report(self, told: ToldReport) -> None:
         """Tell of the database's load; the end of an answer follows."""
-        self.write(words.format_report(told))
+        self.write(wire_format.format_report(told))
 
     def send_not_owner(self) -> None:
         """Say that this instance gives no connections to the group."""
-        self.write(b"ERROR %s %s\r\n" % (words.NOT_OWNER, OTHER_OWNERS.encode()))
+        self.write(
+            b"ERROR %s %s\r\n" % (wire_format.NOT_OWNER, NOT_OWNER_MESSAGE.encode())
+        )
         self.send_ready(self.status)
 
-    def send_status(self, status: DatabaseStatus, proven: Proven | None) -> None:
+    def send_status(self, status: DatabaseStatus, proven: AgedProof | None) -> None:
         """Send the status of the session's database."""
         self.write(format_row(status) + lines.EMPTY_COMPLETE)
         if proven is not None:
-            self.write(words.format_proven(*proven))
+            self.write(wire_format.format_proven(*proven))
         self.write(lines.format_ready(self.status, status.applied))
 
-    def send_end(self, end: ResponseEnd, proven: Proven | None) -> None:
+    def send_end(self, end: ResponseEnd, proven: AgedProof | None) -> None:
         """Send the end of an answer, and what is proven of the primary."""
         self.status = end.status
         ready = lines.format_ready(end.status, end.position)
-        proof = words.format_proven(*proven) if proven is not None else b""
+        proof = wire_format.format_proven(*proven) if proven is not None else b""
         self.write(end.tail + end.error_frame + proof + ready)
 
     def _take_start(self, fields: list[bytes]) -> None:
@@ -133,7 +135,7 @@
             self.transport.abortConnection()
             return
         self.group, self.database = fields[1].decode(), fields[3].decode()
-        if not self._factory.handler.takes(self):
+        if not self._factory.handler.serves(self):
             self._factory.handler.refuse(self)
             self.transport.loseConnection()
             return
@@ -149,7 +151,7 @@
             self.lines.reset()
             self.answer_local(True)
             return None
-        if request_id == lines.NO_ID and text.startswith(words.ACCOUNT):
+        if request_id == lines.NO_ID and text.startswith(wire_format.ACCOUNT):
             self._take_account(text.split(b" "))
             return None
         unit = self._read_unit(request_id, text)
@@ -166,7 +168,7 @@
         is_whole = len(fields) == 3 and not self.in_transaction
         if is_whole:
             self.demand = self.demand._replace(account=fields[1].decode())
-            self.is_counted = fields[2] == words.COUNTED
+            self.is_counted = fields[2] == wire_format.COUNTED
         self.answer_local(is_whole)
 
     def _read_unit(self, request_id: bytes, text: bytes) -> RelayedStatement | None:
@@ -175,10 +177,10 @@
         if text.startswith(b"AFTER "):
             _, position, text = (text.split(b" ", 2) + [b""])[:3]
             after = lines.parse_position(position)
-        asked = words.parse_demand(text, self.demand.account)
+        asked = wire_format.parse_demand(text, self.demand.account)
         if asked is None or (asked[1] != text and self.in_transaction):
             return None
-        self.tells_demands |= asked[1] != text
+        self.sends_demands |= asked[1] != text
         demand, text = asked
         statement = parse_query(lines.QUERY + b" %s %s" % (request_id, text))
         if statement is None:
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -14,7 +14,7 @@
 from beryltrack.groups.samples import Sample
 from beryltrack.platform import lines
 from beryltrack.platform.codes import decode_error, encode_error
-from beryltrack.relay import words
+from beryltrack.relay import wire_format
 from beryltrack.sessions.kept import Shape
 from beryltrack.settings.messages import Endpoint
 from beryltrack.wire.line_buffer import LINE_END, LineBuffer
@@ -24,8 +24,8 @@
 PROXY_NAME = "beryltrack"
 """Who connects for no account, as databases are told; they accept any word."""
 
-_USELESS = b"ERROR " + words.UNREACHABLE
-_LEFT = b"ERROR " + words.NOT_OWNER
+_USELESS = b"ERROR " + wire_format.UNREACHABLE
+_LEFT = b"ERROR " + wire_format.NOT_OWNER
 
 
 class LineTarget(ExclusiveConnection):
@@ -87,12 +87,14 @@
         elif word == lines.ROW:
             self._row_bytes += len(line) + 2
             self._sink.write(line + LINE_END)
-        elif word == words.PROVEN:
+        elif word == wire_format.PROVEN:
             # It was sent after this statement, so that its age counts from then.
-            position, age = words.parse_proven(line)
+            position, age = wire_format.parse_proven(line)
             self._proof = Sample(position, self.run_since - age)
-        elif word == words.LOAD and self.incarnation:
-            self.on_report(words.parse_report(line, self.incarnation), self.run_since)
+        elif word == wire_format.LOAD and self.incarnation:
+            self.on_report(
+                wire_format.parse_report(line, self.incarnation), self.run_since
+            )
         elif word == lines.COMPLETE:
             self._tail = line + LINE_END
         elif word == lines.ERROR:
@@ -107,7 +109,7 @@
     def _take_start(self, word: bytes, line: bytes) -> None:
         """Take the answer to START."""
         if word == lines.READY:
-            self.incarnation = words.parse_incarnation(line)
+            self.incarnation = wire_format.parse_incarnation(line)
             self.ready.callback(self)
             return
         self.broken = True
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -24,19 +24,19 @@
 from beryltrack.load.gate_task import GateTally, GateTask
 from beryltrack.load.limit import Bounds
 from beryltrack.load.messages import NO_DEMAND, DatabaseReport, Demand, Expected
-from beryltrack.relay.gated import GatedPool
-from beryltrack.relay.ways import RelayedConnection
+from beryltrack.relay.gated_pool import GatedPool
+from beryltrack.relay.relayed_connections import RelayedConnection
 
 log = logging.getLogger(__name__)
 
 MOST_WAYS = 3
 """Ways that one request tries, each only after the one before could not be reached."""
 
-ChooseWay = Callable[[str], str]
+ChooseVia = Callable[[str], str]
 Admit = Callable[[str], float]
-ObserveSpent = Callable[[str, str], bool]
-Judge = Callable[[str, Demand], float]
-Expect = Callable[[str, Demand], Expected]
+ObserveQuotaRefusal = Callable[[str, str], bool]
+AdmitIngress = Callable[[str, Demand], float]
+EstimateLoad = Callable[[str, Demand], Expected]
 
 
 class _Lent(NamedTuple):
@@ -70,30 +70,30 @@
         Connections to the database itself.
     make_sessions : callable
         Returns the pool of sessions at an instance.
-    choose_way : callable
+    choose_via : callable
         Returns the instance through which an account's connections go; empty for none.
     admit : callable
         Counts an operation of an account that runs through this instance; returns 0,
         or the seconds after which to come back.
     refund : callable
         Takes in that a counted operation of an account did not run.
-    choose_lent_way : callable, optional
-        The same as `choose_way` for an operation that another instance sent here.
-    observe_spent : callable
+    choose_lent_via : callable, optional
+        The same as `choose_via` for an operation that another instance sent here.
+    observe_quota_refusal : callable
         Takes in that an operation of an account was refused as over its limit, and by
         which instance; returns True if another one may run it.
     counts_here : callable
         Returns True if this instance counts an account's operations although their way
         goes through another one, as this one does not reach the database itself.
-    judge : callable
+    admit_ingress : callable
         Decides whether an operation of this instance goes to another one; returns 0,
         or the seconds after which to come back.
-    expect : callable
+    estimate : callable
         Returns what an operation may expect of the database through an instance; empty
         for this one.
     seconds : callable
         The node's time.
-    may_repeat : callable
+    may_retry : callable
         Draws on the budget of repeats; returns False if an operation whose instance
         could not be reached is not to try another one at once.
     make_gate : callable or None
@@ -105,29 +105,29 @@
         self,
         direct: PoolTask,
         make_sessions: Callable[[str], PoolTask],
-        choose_way: ChooseWay,
+        choose_via: ChooseVia,
         admit: Admit = lambda account: 0.0,
         refund: Callable[[str], object] = lambda account: None,
-        choose_lent_way: ChooseWay | None = None,
-        observe_spent: ObserveSpent = lambda account, way: False,
+        choose_lent_via: ChooseVia | None = None,
+        observe_quota_refusal: ObserveQuotaRefusal = lambda account, way: False,
         counts_here: Callable[[str], bool] = lambda account: False,
-        judge: Judge = lambda way, demand: 0.0,
-        expect: Expect = lambda way, demand: Expected(),
+        admit_ingress: AdmitIngress = lambda way, demand: 0.0,
+        estimate: EstimateLoad = lambda way, demand: Expected(),
         seconds: Callable[[], float] = lambda: 0.0,
-        may_repeat: Callable[[], bool] = lambda: True,
+        may_retry: Callable[[], bool] = lambda: True,
         make_gate: Callable[[], GateTask] | None = None,
     ):
-        self._may_repeat = may_repeat
-        self._judge = judge
-        self._expect = expect
+        self._may_retry = may_retry
+        self._admit_ingress = admit_ingress
+        self._estimate = estimate
         self._seconds = seconds
         self.direct = direct
         self._make_sessions = make_sessions
-        self._choose_way = choose_way
+        self._choose_via = choose_via
         self._admit = admit
         self._refund = refund
-        self._choose_lent_way = choose_lent_way or choose_way
-        self._observe_spent = observe_spent
+        self._choose_lent_via = choose_lent_via or choose_via
+        self._observe_spent = observe_quota_refusal
         self._counts_here = counts_here
         self._gated = GatedPool(direct, make_gate)
         self._sessions: dict[str, PoolTask] = {}
@@ -171,7 +171,7 @@
 
     def start(self) -> None:
         """Open the connections that are kept open."""
-        if not self._choose_way(""):
+        if not self._choose_via(""):
             self.direct.start()
 
     def acquire(
@@ -200,14 +200,14 @@
 
         One that was counted there already goes to the database itself and no further.
         """
-        way = "" if is_counted else self._choose_lent_way(demand.account)
+        way = "" if is_counted else self._choose_lent_via(demand.account)
         return self._acquire_by(way, deadline, demand, not is_counted, True)
 
     def acquire_briefly(
         self, patience: float, open_patience: float
     ) -> Deferred[PooledConnection | None]:
         """Get a connection for a short request of the proxy's own; see `PoolTask`."""
-        way = self._choose_way("")
+        way = self._choose_via("")
         pool = self._get_sessions(way) if way else self.direct
         return pool.acquire_briefly(patience, open_patience).addCallback(
             self._note_lent, _Lent(pool)
@@ -234,7 +234,7 @@
 
     def get_expected(self, demand: Demand) -> Expected:
         """Return what is known of the database's load on the way of the moment."""
-        return self._expect(self._choose_way(demand.account), demand)
+        return self._estimate(self._choose_via(demand.account), demand)
 
     def get_tally(self) -> GateTally | None:
         """Return what this instance's gate has counted; None without one."""
@@ -251,7 +251,7 @@
         """Change how many connections this instance may open to the database."""
         self.direct.set_limit(limit)
 
-    def set_ways(self, names: Collection[str]) -> None:
+    def retain_sessions(self, names: Collection[str]) -> None:
         """Keep sessions at these instances only."""
         for name in self._sessions.keys() - set(names):
             self._sessions.pop(name).drain()
@@ -319,7 +319,7 @@
 
     def _choose(self, account: str) -> _Way:
         """Return the way of the moment, and whether the operation is counted here."""
-        way = self._choose_way(account)
+        way = self._choose_via(account)
         return _Way(way, not way or self._counts_here(account))
 
     def _go_round(
@@ -339,7 +339,7 @@
         if self._choose(demand.account) == tried:
             return failure
         # What is over one owner's limit draws on no budget: none is asked twice.
-        if reason is RefusalReason.UNREACHABLE and not self._may_repeat():
+        if reason is RefusalReason.UNREACHABLE and not self._may_retry():
             return failure
         # The way before has taken a part of its time.
         left = demand.after(self._seconds() - until.asked_at)
@@ -388,7 +388,7 @@
     ) -> Deferred[PooledConnection]:
         """Get a session at another instance, unless it is known to have no room."""
         # What was lent here was judged by the instance that took it.
-        wait = 0.0 if is_lent else self._judge(way, demand)
+        wait = 0.0 if is_lent else self._admit_ingress(way, demand)
         if wait:
             return fail(PoolRefused(PoolRefusal(RefusalReason.OWNER_FULL, wait)))
         acquiring = self._get_sessions(way).acquire(deadline)
--- a/beryltrack/relay/avoided.py
+++ b/beryltrack/relay/avoided.py
@@ -8,18 +8,18 @@
 import math
 from typing import NamedTuple
 
-AVOID_TIME = 0.5
+REFUSAL_AVOID_TIME = 0.5
 """Seconds for which an instance is passed over that answered, but gave no connection:
 it knows other members or no group yet, which each instance does 0.02 s after its start
 and within seconds of a change. One that leaves answers no probe."""
 
-FIRST_PAUSE = 0.2
-MOST_PAUSE = 8.0
+MIN_PROBE_INTERVAL = 0.2
+MAX_PROBE_INTERVAL = 8.0
 """Seconds between two probes, the first and the longest. Where all start again after a
 loss of power the others are there 0.1 to 0.5 s after an instance; one that restarts
 alone is back after 1 to 4 s, and the members tell after 8 s that one is gone."""
 
-MOST_MISSES = math.ceil(math.log2(MOST_PAUSE / FIRST_PAUSE))
+MOST_MISSES = math.ceil(math.log2(MAX_PROBE_INTERVAL / MIN_PROBE_INTERVAL))
 """Probes in vain after which the pause is the longest one; more are not counted."""
 
 
@@ -45,7 +45,7 @@
         """Return when an instance was last found out of reach; 0 if it is not."""
         return self._avoided[name].at if name in self._avoided else 0.0
 
-    def add(self, name: str, now: float, least: float = FIRST_PAUSE) -> bool:
+    def add(self, name: str, now: float, least: float = MIN_PROBE_INTERVAL) -> bool:
         """Pass over an instance for a time at the least; return if that is new.
 
         Further failures put off no probe: they may go on for as long as they like.
@@ -65,7 +65,7 @@
         """Take in that a probe was not answered."""
         known = self._avoided.get(name)
         if known is not None:
-            pause = min(MOST_PAUSE, FIRST_PAUSE * 2**known.misses)
+            pause = min(MAX_PROBE_INTERVAL, MIN_PROBE_INTERVAL * 2**known.misses)
             misses = min(known.misses + 1, MOST_MISSES)
             later = known._replace(due=now + pause, misses=misses)
             self._avoided[name] = later
--- a/beryltrack/relay/directory.py
+++ b/beryltrack/relay/directory.py
@@ -9,7 +9,11 @@
 from collections.abc import Callable, Sequence
 
 from beryltrack.accounts.slots import get_slot
-from beryltrack.relay.avoided import AVOID_TIME, FIRST_PAUSE, AvoidedOwners
+from beryltrack.relay.avoided import (
+    MIN_PROBE_INTERVAL,
+    REFUSAL_AVOID_TIME,
+    AvoidedOwners,
+)
 from beryltrack.relay.owners import (
     ChooseOwners,
     Peer,
@@ -20,15 +24,15 @@
     compute_placement,
     order_owners,
 )
-from beryltrack.relay.slot_choice import (
+from beryltrack.relay.slot_owners import (
     FleetOwners,
-    Line,
-    SlotChoice,
-    SpentNotes,
-    make_all_lines,
+    PreferenceList,
+    QuotaRefusals,
+    SlotOwnerPolicy,
+    make_all_preference_lists,
 )
 
-DETOUR_TIME = 2.0
+DIRECT_RETRY_INTERVAL = 2.0
 """Seconds between two attempts to reach a database that is reached through others
 meanwhile, and for which one that does not reach it either is passed over."""
 
@@ -55,7 +59,7 @@
         own: Peer,
         seconds: Callable[[], float],
         first_instances: int,
-        choice: SlotChoice = FleetOwners(),  # noqa: B008 - it keeps nothing
+        choice: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 - it keeps nothing
         choose_owners: ChooseOwners = choose_owners,
     ):
         self._choose_owners = choose_owners
@@ -64,7 +68,7 @@
         self._first_instances = first_instances
         self._peers: tuple[Peer, ...] = (own,)
         self._by_name = {own.name: own}
-        self._is_known = False
+        self._has_members = False
         self._placements: dict[tuple[str, int], Placement] = {}
         self._avoided = AvoidedOwners()
         self._blocked: set[str] = set()
@@ -74,8 +78,8 @@
         self._get_holder: Callable[[int], str] = lambda slot: ""
         self._least_connections: int | None = None
         self._choice = choice
-        self._slot_lines: dict[int, tuple[Line, ...]] = {}
-        self._spent = SpentNotes(seconds)
+        self._slot_lines: dict[int, tuple[PreferenceList, ...]] = {}
+        self._spent = QuotaRefusals(seconds)
         self._is_crowded = False
 
     @property
@@ -89,9 +93,9 @@
         return tuple(peer.name for peer in self._peers)
 
     @property
-    def is_known(self) -> bool:
+    def has_members(self) -> bool:
         """True once it is known which instances there are."""
-        return self._is_known
+        return self._has_members
 
     @property
     def has_accounts(self) -> bool:
@@ -103,7 +107,7 @@
         others = (peer for peer in peers if peer.name != self._own.name)
         self._peers = tuple(sorted((self._own, *others)))
         self._by_name = {peer.name: peer for peer in self._peers}
-        self._is_known = True
+        self._has_members = True
         self._avoided.keep(frozenset(self._by_name))
         self._forget_placements()
 
@@ -145,7 +149,7 @@
 
     def _compute_placement(self, group: str, max_connections: int) -> Placement:
         """Return who owns a group, by the members that are known."""
-        alone = not self._is_known or len(self._peers) == 1
+        alone = not self._has_members or len(self._peers) == 1
         least = self._first_instances if alone else 1
         placement = compute_placement(
             group, self._peers, max_connections, least, self._choose_owners
@@ -182,18 +186,18 @@
         """
         return self._choose_fit(self._get_lines(slot)[0])
 
-    def choose_account_way(self, account: str) -> Peer:
+    def choose_account_via(self, account: str) -> Peer:
         """Return the instance to which an account's next operation goes.
 
         The one that counts those of this instance; after it has refused one as over
         the limit, for a while that of another zone, which has rights of its own.
         """
-        if not self._spent.knows(account):
+        if not self._spent.has_refusals(account):
             return self.choose_account_owner(account)
         names = self._list_counting(account)
         return self._by_name[self._spent.choose(account, names)]
 
-    def observe_spent(self, account: str, way: str) -> bool:
+    def observe_quota_refusal(self, account: str, way: str) -> bool:
         """Take in that an owner has refused an operation as over the limit.
 
         Parameters
@@ -210,20 +214,20 @@
         """
         if not account or not self.has_accounts:
             return False
-        self._spent.note(account, way or self._own.name)
-        return self._spent.has_other(account, self._list_counting(account))
+        self._spent.record(account, way or self._own.name)
+        return self._spent.has_available(account, self._list_counting(account))
 
     def counts_here(self, account: str) -> bool:
         """Return whether this instance counts an account's next operation."""
         if not account or not self.has_accounts:
             return False
-        return self.choose_account_way(account).name == self._own.name
+        return self.choose_account_via(account).name == self._own.name
 
     def get_zone(self, account: str) -> str:
         """Return the zone in which an account's next operation runs, if it is known."""
         if not account or not self.has_accounts:
             return ""
-        return self.choose_account_way(account).zone
+        return self.choose_account_via(account).zone
 
     def _list_counting(self, account: str) -> tuple[str, ...]:
         """Return who counts an account's operations, of each line the one reached."""
@@ -234,11 +238,11 @@
         )
         return tuple(dict.fromkeys(peer.name for peer in (first, *others)))
 
-    def _get_lines(self, slot: int) -> tuple[Line, ...]:
+    def _get_lines(self, slot: int) -> tuple[PreferenceList, ...]:
         """Return the lines of owners that count a slot's accounts."""
         if not self._slot_lines:
             owners = self.get_placement("", self._least_connections or 1).owners
-            self._slot_lines = make_all_lines(
+            self._slot_lines = make_all_preference_lists(
                 owners or self._peers, self._choice, self._own.zone
             )
         return self._slot_lines[slot]
@@ -282,7 +286,7 @@
         ]
         return self._choose_fit(useful or ordered)
 
-    def choose_way(
+    def choose_via(
         self,
         group: str,
         database: str,
@@ -307,13 +311,13 @@
             because of the limit.
         """
         if account and self.has_accounts:
-            choose = self.choose_account_owner if is_lent else self.choose_account_way
+            choose = self.choose_account_owner if is_lent else self.choose_account_via
             owner = choose(account)
             if owner.name != self._own.name:
                 return owner
         elif not self.is_owner(group, max_connections):
             return self.choose_owner(group, max_connections, database)
-        if not self.is_blocked(database):
+        if not self.is_unreachable(database):
             return None
         now = self._seconds()
         owners = self.get_placement(group, max_connections).owners or self._peers
@@ -327,7 +331,7 @@
         )
         return next(fit, None)
 
-    def is_blocked(self, database: str) -> bool:
+    def is_unreachable(self, database: str) -> bool:
         """Return whether this instance does not reach a database itself."""
         return database in self._blocked
 
@@ -335,15 +339,15 @@
         """Call back after each change of who runs the accounts' operations."""
         self._observe_owners = callback
 
-    def set_holder_source(self, get_holder: Callable[[int], str]) -> None:
+    def set_quota_holder_source(self, get_holder: Callable[[int], str]) -> None:
         """Ask `get_holder` who has this instance's rights to a slot of accounts."""
         self._get_holder = get_holder
 
-    def set_block_observer(self, callback: Callable[[], object]) -> None:
+    def set_reachability_observer(self, callback: Callable[[], object]) -> None:
         """Call back after each change of what this instance reaches itself."""
         self._observe_block = callback
 
-    def block(self, database: str) -> bool:
+    def mark_unreachable(self, database: str) -> bool:
         """Reach a database through others from now on; return whether that is new."""
         if database in self._blocked:
             return False
@@ -351,7 +355,7 @@
         self._observe_block()
         return True
 
-    def unblock(self, database: str) -> None:
+    def mark_reachable(self, database: str) -> None:
         """Take in that this instance reaches a database itself."""
         if database in self._blocked:
             self._blocked.discard(database)
@@ -359,22 +363,22 @@
 
     def note_useless(self, database: str, name: str) -> None:
         """Take in that another instance does not reach a database either."""
-        self._useless[database, name] = self._seconds() + DETOUR_TIME
+        self._useless[database, name] = self._seconds() + DIRECT_RETRY_INTERVAL
 
-    def avoid(self, name: str, least: float = FIRST_PAUSE) -> None:
+    def avoid(self, name: str, least: float = MIN_PROBE_INTERVAL) -> None:
         """Pass over an owner until it answers a probe, for a time at the least."""
         if self._avoided.add(name, self._seconds(), least):
             self._observe_owners()
 
     def note_refusal(self, name: str) -> None:
         """Pass over an owner that answers, but gives no connection."""
-        self.avoid(name, AVOID_TIME)
+        self.avoid(name, REFUSAL_AVOID_TIME)
 
     def get_due_probes(self) -> tuple[str, ...]:
         """Return which owners that are passed over are to be probed now."""
         return self._avoided.get_due(self._seconds())
 
-    def get_avoided_time(self, name: str) -> float:
+    def get_time_since_failure(self, name: str) -> float:
         """Return for how long an owner was not found out of reach, seconds."""
         return self._seconds() - self._avoided.get_time(name)
 
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -25,7 +25,7 @@
 from beryltrack.groups.task import GroupTask
 from beryltrack.load.messages import Demand
 from beryltrack.relay.access import DatabaseAccess
-from beryltrack.relay.load_teller import LoadTeller, ToldSession
+from beryltrack.relay.load_reporter import LoadReporter, ReportSession
 from beryltrack.relay.statuses import StatusSharing
 from beryltrack.requests.outcomes import NOT_RUN_REFUSALS
 from beryltrack.requests.protocol import RunLost, RunResult
@@ -43,7 +43,7 @@
 UNREACHED = make_refusal("this instance does not reach the database", 0.0)
 """Of a statement for a database that this instance alone does not reach."""
 
-OTHER_OWNERS = "the group has other owners"
+NOT_OWNER_MESSAGE = "the group has other owners"
 
 
 class Lender(NamedTuple):
@@ -64,7 +64,7 @@
 GetLender = Callable[[str, str], Lender | None]
 
 
-class Proven(NamedTuple):
+class AgedProof(NamedTuple):
     """What is proven of a group's primary.
 
     Parameters
@@ -92,7 +92,7 @@
         """True if a database refuses it once it leads no more."""
 
 
-class RelayedSession(ToldSession, Protocol):
+class RelayedSession(ReportSession, Protocol):
     """A session of another instance.
 
     `pinned` is the connection of its transaction; `proven_at` when the newest proof
@@ -118,10 +118,10 @@
     def send_not_owner(self) -> None:
         """Say that this instance gives no connections to the session's group."""
 
-    def send_end(self, end: ResponseEnd, proven: Proven | None) -> None:
+    def send_end(self, end: ResponseEnd, proven: AgedProof | None) -> None:
         """Send the end of an answer, and what is proven of the primary if it is new."""
 
-    def send_status(self, status: DatabaseStatus, proven: Proven | None) -> None:
+    def send_status(self, status: DatabaseStatus, proven: AgedProof | None) -> None:
         """Send the status of the session's database."""
 
     def set_gone(self, callback: Callable[[], object] | None) -> None:
@@ -143,7 +143,7 @@
         lends none.
     time_limit : float
         Seconds within which a statement must be done, if its own time is not shorter.
-    teller : LoadTeller
+    reporter : LoadTeller
         Tells sessions of the load.
     incarnation : int
         Number of this process, which sessions are told; zero if it takes no demands.
@@ -159,14 +159,14 @@
         seconds: Callable[[], float],
         get_lender: GetLender,
         time_limit: float,
-        teller: LoadTeller,
+        reporter: LoadReporter,
         incarnation: int,
         lagging_pause: float = 0.0,
         is_owner: Callable[[str], bool] = lambda group: False,
     ):
         self._is_owner = is_owner
         self.incarnation = incarnation
-        self._teller = teller
+        self._reporter = reporter
         self._seconds = seconds
         self._get_lender = get_lender
         self._time_limit = time_limit
@@ -186,7 +186,7 @@
         else:
             session.send_not_owner()
 
-    def takes(self, session: RelayedSession) -> bool:
+    def serves(self, session: RelayedSession) -> bool:
         """Return whether this instance lends connections to a session's database."""
         return self._find_lender(session.group, session.database) is not None
 
@@ -230,7 +230,7 @@
         _observe_end(task, session.database, unit, result, sent_at, is_first)
         if is_first and _is_lagging(unit, result) and not connection.way:
             task.observe_lagging(session.database, unit.after)
-        self._teller.tell(session, pool)
+        self._reporter.tell(session, pool)
         session.send_end(result, _get_news(session, task))
         session.pinned = connection
         if result.status is TransactionStatus.IDLE:
@@ -266,7 +266,7 @@
         try:
             connection = await acquiring
         except PoolRefused as refused:
-            self._teller.tell(session, lender.pool)
+            self._reporter.tell(session, lender.pool)
             session.send_refusal(_make_error(refused))
             return None
         except CancelledError:
@@ -339,7 +339,7 @@
     return is_refused and unit.after is not None
 
 
-def _get_news(session: RelayedSession, task: GroupTask) -> Proven | None:
+def _get_news(session: RelayedSession, task: GroupTask) -> AgedProof | None:
     """Return the newest proof, None if the session was told of it before.
 
     An owner has many proofs from the statements that pass. Without them each
@@ -350,7 +350,7 @@
     if sample is None or sample.sent_at <= session.proven_at:
         return None
     session.proven_at = sample.sent_at
-    return Proven(sample.position, max(0.0, task.get_time() - sample.sent_at))
+    return AgedProof(sample.position, max(0.0, task.get_time() - sample.sent_at))
 
 
 def _make_error(refused: PoolRefused) -> SqlError:
--- a/beryltrack/relay/load_teller.py
+++ b/beryltrack/relay/load_reporter.py
@@ -8,16 +8,17 @@
 from beryltrack.load.reports import ToldReport, is_calm, must_tell
 
 
-class ToldSession(Protocol):
+class ReportSession(Protocol):
     """A session that may be told of the load.
 
-    `tells_demands` is True once it has told what an operation asks for: only then the
-    instance at its other end understands reports. `told` is what it was told last.
+    `sends_demands` is True once it has told what an operation asks for: only then the
+    instance at its other end understands reports. `last_report` is the report that was
+    sent last, None before the first.
     """
 
     database: str
-    tells_demands: bool
-    told: ToldReport | None
+    sends_demands: bool
+    last_report: ToldReport | None
 
     def send_report(self, told: ToldReport) -> None:
         """Tell of the database's load; the end of an answer follows."""
@@ -30,7 +31,7 @@
         """Return the load now, None if it is not known."""
 
 
-class LoadTeller:
+class LoadReporter:
     """Tells sessions of the load with their answers.
 
     Parameters
@@ -47,9 +48,9 @@
         self._is_on = is_on
         self._busy_at: dict[str, float] = {}
 
-    def tell(self, session: ToldSession, pool: Reporter) -> None:
+    def tell(self, session: ReportSession, pool: Reporter) -> None:
         """Send a report before the end of an answer, if one is due."""
-        if not (self._is_on and session.tells_demands):
+        if not (self._is_on and session.sends_demands):
             return
         report = pool.get_report()
         if report is None:
@@ -58,6 +59,6 @@
         if not is_calm(report):
             self._busy_at[session.database] = now
         busy_at = self._busy_at.get(session.database, -math.inf)
-        if must_tell(report, session.told, busy_at, now):
-            session.told = ToldReport(report, now)
-            session.send_report(session.told)
+        if must_tell(report, session.last_report, busy_at, now):
+            session.last_report = ToldReport(report, now)
+            session.send_report(session.last_report)
--- a/beryltrack/relay/opener.py
+++ b/beryltrack/relay/opener.py
@@ -15,9 +15,9 @@
 
 from beryltrack.connections.messages import ConnectRefused, TargetUnreachable
 from beryltrack.load.outlook import ReportedOutlook
-from beryltrack.relay.directory import DETOUR_TIME, RelayDirectory
+from beryltrack.relay.directory import DIRECT_RETRY_INTERVAL, RelayDirectory
 from beryltrack.relay.owners import Peer
-from beryltrack.relay.ways import RelayedConnection
+from beryltrack.relay.relayed_connections import RelayedConnection
 from beryltrack.settings.incarnations import get_identifier
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 
@@ -26,22 +26,22 @@
 Open = Callable[[Endpoint, str, str, float, str], Deferred[RelayedConnection]]
 
 
-class OpenLimits(NamedTuple):
+class OpenPolicy(NamedTuple):
     """Times of opening, seconds, and which ways are taken.
 
     Parameters
     ----------
-    relay : float
+    relay_timeout : float
         Until another instance counts as out of reach.
-    probe : float
+    probe_timeout : float
         Until a database counts as still out of reach.
-    takes_detours : bool
+    uses_indirect_paths : bool
         False if a database that is out of reach is not reached through others.
     """
 
-    relay: float
-    probe: float
-    takes_detours: bool = True
+    relay_timeout: float
+    probe_timeout: float
+    uses_indirect_paths: bool = True
 
 
 class TargetOpener:
@@ -70,7 +70,7 @@
         directory: RelayDirectory,
         open_at: Open,
         is_used: Callable[[str, str], bool],
-        limits: OpenLimits,
+        limits: OpenPolicy,
         outlook: ReportedOutlook,
     ):
         self._outlook = outlook
@@ -122,13 +122,13 @@
                     return await self._open_directly(group, database, timeout)
                 return await self._open_through(owner, group, database)
             except (ConnectRefused, OSError) as error:
-                if not self._directory.is_blocked(database.name):
+                if not self._directory.is_unreachable(database.name):
                     raise
                 reason = error
 
     def _choose(self, group: str, database: DatabaseSettings) -> Peer | None:
         limit = database.max_connections
-        return self._directory.choose_way(group, database.name, limit)
+        return self._directory.choose_via(group, database.name, limit)
 
     async def _open_directly(
         self, group: str, database: DatabaseSettings, timeout: float, account: str = ""
@@ -153,13 +153,15 @@
     ) -> RelayedConnection:
         """Open a session to another instance, and pass over one that gives none."""
         directory, name = self._directory, database.name
-        opening = self._open_at(owner.relay, group, name, self._limits.relay, "")
+        opening = self._open_at(
+            owner.relay_endpoint, group, name, self._limits.relay_timeout, ""
+        )
         try:
             connection = await opening
         except ConnectRefused as refused:
             # One that is left for a database that it does not reach would be missed for
             # all others: where a primary was lost, all owners of its group were left.
-            if refused.is_useless or directory.is_blocked(name):
+            if refused.is_useless or directory.is_unreachable(name):
                 directory.note_useless(name, owner.name)
             else:
                 directory.note_refusal(owner.name)
@@ -181,31 +183,31 @@
 
     def _block(self, group: str, database: DatabaseSettings) -> None:
         """Reach a database through others until it is reached directly again."""
-        if not self._limits.takes_detours:
+        if not self._limits.uses_indirect_paths:
             return
-        if self._directory.block(database.name):
+        if self._directory.mark_unreachable(database.name):
             log.warning("relay: %s is reached through others.", database.name)
             self._probe_later(group, database)
 
     def _end_detour(self, database: DatabaseSettings) -> None:
         """Reach a database directly from now on."""
-        if self._directory.is_blocked(database.name):
+        if self._directory.is_unreachable(database.name):
             log.info("relay: %s is reached directly again.", database.name)
-            self._directory.unblock(database.name)
+            self._directory.mark_reachable(database.name)
 
     def _probe_later(self, group: str, database: DatabaseSettings) -> None:
         """Try in a while whether a database can be reached directly again."""
-        self._reactor.callLater(DETOUR_TIME, self._probe, group, database)
+        self._reactor.callLater(DIRECT_RETRY_INTERVAL, self._probe, group, database)
 
     def _probe(self, group: str, database: DatabaseSettings) -> None:
         """Try whether a database can be reached directly again."""
-        if not self._directory.is_blocked(database.name):
+        if not self._directory.is_unreachable(database.name):
             return
         if not self._is_used(group, database.name):
-            self._directory.unblock(database.name)
+            self._directory.mark_reachable(database.name)
             return
         opening = Deferred.fromCoroutine(
-            self._open_directly(group, database, self._limits.probe)
+            self._open_directly(group, database, self._limits.probe_timeout)
         )
         opening.addCallbacks(
             lambda connection: connection.end_session(),
--- a/beryltrack/relay/owners.py
+++ b/beryltrack/relay/owners.py
@@ -54,11 +54,11 @@
         Its name.
     zone : str
         Its availability zone.
-    relay : Endpoint
+    relay_endpoint : Endpoint
         Where it takes the statements of others.
-    copies : Endpoint or None
+    cache_endpoint : Endpoint or None
         Where it tells others what the store holds; None if it does not.
-    rights : Endpoint or None
+    quota_endpoint : Endpoint or None
         Where it takes the rights of others to run accounts' operations.
     capacity : float
         Processor time that it may use, in cores.
@@ -66,9 +66,9 @@
 
     name: str
     zone: str
-    relay: Endpoint
-    copies: Endpoint | None = None
-    rights: Endpoint | None = None
+    relay_endpoint: Endpoint
+    cache_endpoint: Endpoint | None = None
+    quota_endpoint: Endpoint | None = None
     capacity: float = 1.0
 
 
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -71,14 +71,14 @@
         for name in self._directory.get_due_probes():
             peer = self._directory.get_peer(name)
             # One of an earlier release takes no probe: a caller's request finds out.
-            if not self._probes or peer is None or peer.rights is None:
+            if not self._probes or peer is None or peer.quota_endpoint is None:
                 self._let_lapse(name)
             elif name not in self._running:
-                self._begin(name, peer.rights)
+                self._begin(name, peer.quota_endpoint)
 
     def _let_lapse(self, name: str) -> None:
         """Pass over an instance no more after a while, without a probe."""
-        if self._directory.get_avoided_time(name) >= LAPSE_TIME:
+        if self._directory.get_time_since_failure(name) >= LAPSE_TIME:
             self._directory.note_reached(name)
 
     def _begin(self, name: str, place: Endpoint) -> None:
--- a/beryltrack/relay/ways.py
+++ b/beryltrack/relay/relayed_connections.py
@@ -46,10 +46,10 @@
         """Close a connection unless it is lent."""
 
 
-WasHeard = Callable[[str, float], bool]
+HasAnswered = Callable[[str, float], bool]
 
 
-def hear_nothing(name: str, since: float) -> bool:
+def never_answered(name: str, since: float) -> bool:
     """Return False: an instance is heard over its sessions alone."""
     return False
 
@@ -57,7 +57,7 @@
 def is_silent(
     connection: RelayedConnection,
     pools: Iterable[ConnectionPool],
-    was_heard: WasHeard = hear_nothing,
+    was_heard: HasAnswered = never_answered,
 ) -> bool:
     """Return whether nothing came from an owner since a connection's request was sent.
 
@@ -76,10 +76,10 @@
     )
 
 
-def give_up(
+def close_overdue(
     connection: RelayedConnection,
     pools: Iterable[ConnectionPool],
-    was_heard: WasHeard = hear_nothing,
+    was_heard: HasAnswered = never_answered,
 ) -> str:
     """Close a connection whose request is far too late.
 
--- a/beryltrack/relay/slot_choice.py
+++ b/beryltrack/relay/slot_owners.py
@@ -23,16 +23,16 @@
 MOST_SPENT = 1024
 """Accounts whose refusals are remembered, those that were refused last."""
 
-Line = tuple[Peer, ...]
+PreferenceList = tuple[Peer, ...]
 """Owners of which the first that is reached counts a slot's accounts."""
 
 
-class SlotChoice(Protocol):
+class SlotOwnerPolicy(Protocol):
     """Which owners count a slot's accounts, as one instance asks them."""
 
-    def make_lines(
+    def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
-    ) -> tuple[Line, ...]:
+    ) -> tuple[PreferenceList, ...]:
         """Return the lines of owners, the one to ask first before all others.
 
         Parameters
@@ -49,9 +49,9 @@
 class FleetOwners:
     """One owner of each slot in the whole fleet."""
 
-    def make_lines(
+    def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
-    ) -> tuple[Line, ...]:
+    ) -> tuple[PreferenceList, ...]:
         """Return one line, the same for all zones."""
         return (rank_owners(owners, slot),)
 
@@ -59,9 +59,9 @@
 class ZoneOwners:
     """One owner of each slot in each zone that has owners."""
 
-    def make_lines(
+    def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
-    ) -> tuple[Line, ...]:
+    ) -> tuple[PreferenceList, ...]:
         """Return the line of the zone, then those of the others by their first rank.
 
         Where the zone's owners are not reached, or it has none, the others follow in
@@ -83,14 +83,16 @@
     )
 
 
-def make_all_lines(
-    owners: Sequence[Peer], choice: SlotChoice, zone: str
-) -> dict[int, tuple[Line, ...]]:
+def make_all_preference_lists(
+    owners: Sequence[Peer], choice: SlotOwnerPolicy, zone: str
+) -> dict[int, tuple[PreferenceList, ...]]:
     """Return the lines of all slots, as an instance of a zone asks them."""
-    return {slot: choice.make_lines(owners, slot, zone) for slot in range(SLOTS)}
+    return {
+        slot: choice.make_preference_lists(owners, slot, zone) for slot in range(SLOTS)
+    }
 
 
-class SpentNotes:
+class QuotaRefusals:
     """Which owners have lately refused an account's operations as over its limit.
 
     Parameters
@@ -103,12 +105,12 @@
         self._seconds = seconds
         self._until: dict[str, dict[str, float]] = {}
 
-    def knows(self, account: str) -> bool:
+    def has_refusals(self, account: str) -> bool:
         """Return whether any owner has refused an account lately."""
         ends = self._until.get(account)
         return ends is not None and max(ends.values()) > self._seconds()
 
-    def note(self, account: str, owner: str) -> None:
+    def record(self, account: str, owner: str) -> None:
         """Take in that an owner has no right left for an account."""
         now = self._seconds()
         before = self._until.pop(account, {}).items()
@@ -130,7 +132,7 @@
         fit = (name for name, end in zip(owners, times, strict=True) if end <= now)
         return next(fit, owners[times.index(min(times))])
 
-    def has_other(self, account: str, owners: Sequence[str]) -> bool:
+    def has_available(self, account: str, owners: Sequence[str]) -> bool:
         """Return whether any of the owners has not refused lately."""
         now = self._seconds()
         ends = self._until.get(account, {})
--- a/beryltrack/relay/words.py
+++ b/beryltrack/relay/wire_format.py
@@ -78,7 +78,9 @@
     return LogPosition(term, number), age / 1e6
 
 
-def format_terms(connection: ExclusiveConnection, account: str) -> list[bytes]:
+def format_account_message(
+    connection: ExclusiveConnection, account: str
+) -> list[bytes]:
     """Return the texts that tell another instance whose statement comes.
 
     Raises
@@ -98,7 +100,7 @@
     return [terms]
 
 
-def take_demand(connection: ExclusiveConnection) -> bytes:
+def take_demand_prefix(connection: ExclusiveConnection) -> bytes:
     """Return the prefix of the next statement on a connection.
 
     Only the first statement of an operation has one, and only if the instance at the
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/course.py
@@ -165,7 +165,7 @@
             return False
         if self._attempts >= MOST_ATTEMPTS:
             return False
-        return context.services.ways.observe_spent(context.caller.account, way)
+        return context.services.ways.observe_quota_refusal(context.caller.account, way)
 
     async def _run_on(self, target: FoundTarget) -> RunResult:
         """Run the unit on a connection."""
--- a/beryltrack_bench/quota/site.py
+++ b/beryltrack_bench/quota/site.py
@@ -16,7 +16,12 @@
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import Tolerance
 from beryltrack.relay.owners import Peer, choose_account_owners
-from beryltrack.relay.slot_choice import FleetOwners, Line, SlotChoice, make_all_lines
+from beryltrack.relay.slot_owners import (
+    FleetOwners,
+    PreferenceList,
+    SlotOwnerPolicy,
+    make_all_preference_lists,
+)
 from beryltrack.settings.messages import Endpoint
 from beryltrack_bench.quota.lender import Lender
 
@@ -119,7 +124,7 @@
         self,
         count: int,
         seed: int,
-        choice: SlotChoice = FleetOwners(),  # noqa: B008 - it keeps nothing
+        choice: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 - it keeps nothing
     ):
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -133,7 +138,7 @@
         self.accounts = dict(map(self._make_account, range(ACCOUNTS)))
         self.zones = {peer.name: peer.zone for peer in peers}
         self._orders = {
-            zone: make_all_lines(self.owners, choice, zone)
+            zone: make_all_preference_lists(self.owners, choice, zone)
             for zone in set(self.zones.values())
         }
         self._sessions = {
@@ -181,7 +186,7 @@
         reached = (each for each in others if self.reaches(name, each, NOTICE_TIME))
         return tuple(dict.fromkeys((self._choose_of(name, first), *reached)))
 
-    def _choose_of(self, name: str, ordered: Line) -> str:
+    def _choose_of(self, name: str, ordered: PreferenceList) -> str:
         """Return the first of some owners that an instance takes to be in reach."""
         fit = (
             peer.name for peer in ordered if self.reaches(name, peer.name, NOTICE_TIME)
--- a/beryltrack_bench/quota/ways.py
+++ b/beryltrack_bench/quota/ways.py
@@ -10,7 +10,7 @@
 
 from beryltrack.accounts.rights import Loan
 from beryltrack.accounts.slots import ALL_SLOTS, SLOTS, get_slot, make_set
-from beryltrack.relay.slot_choice import FleetOwners, SpentNotes, ZoneOwners
+from beryltrack.relay.slot_owners import FleetOwners, QuotaRefusals, ZoneOwners
 from beryltrack_bench.quota.site import CALM_UNTIL, END, Figures, QuotaSite, Recorder
 
 RESERVE = 0.1
@@ -96,12 +96,12 @@
     """What an owner of the zone refuses goes to the owners of other zones."""
 
     def __init__(self):
-        self._notes: dict[str, SpentNotes] = {}
+        self._notes: dict[str, QuotaRefusals] = {}
         self.tries: Counter[int] = Counter()
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
         """Count it at an owner that has a right left, by what the instance knows."""
-        notes = self._notes.setdefault(instance, SpentNotes(lambda: site.now))
+        notes = self._notes.setdefault(instance, QuotaRefusals(lambda: site.now))
         names = site.list_counting(instance, get_slot(account))
         for tries in range(1, len(names) + 1):
             owner = notes.choose(account, names)
@@ -110,8 +110,8 @@
             if not site.instances[owner].quota.spend(account, site.now):
                 self.tries[tries] += 1
                 return True
-            notes.note(account, owner)
-            if not notes.has_other(account, names):
+            notes.record(account, owner)
+            if not notes.has_available(account, names):
                 return False
         return False
 
--- a/beryltrack_bench/replay/site.py
+++ b/beryltrack_bench/replay/site.py
@@ -22,7 +22,7 @@
 from beryltrack.load.messages import Demand
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.owners import Peer, order_owners
-from beryltrack.relay.slot_choice import rank_owners
+from beryltrack.relay.slot_owners import rank_owners
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.overload.clock import SortedClock
--- a/tests/accounts/test_lost_owner.py
+++ b/tests/accounts/test_lost_owner.py
@@ -10,7 +10,7 @@
 import pytest
 
 from beryltrack.accounts.lending import LOAN_TIME
-from beryltrack.relay.avoided import MOST_PAUSE
+from beryltrack.relay.avoided import MAX_PROBE_INTERVAL
 from tests.accounts.network import Network
 
 LIMIT = 1.0 + LOAN_TIME
@@ -69,7 +69,7 @@
     network.instances[owner].paused_until = network.now + 6.0
     network.run(LIMIT)
     assert least(network, slots) == pytest.approx(OTHERS)
-    network.run(6.0 + MOST_PAUSE)
+    network.run(6.0 + MAX_PROBE_INTERVAL)
     parts = [network.instances[owner].get_part(slot) for slot in slots]
     assert min(parts) == pytest.approx(1.0)
 
@@ -81,7 +81,7 @@
     network.run(LIMIT)
     assert network.instances[owner].get_part(slots[0]) == pytest.approx(8 / COUNT)
     network.cut.clear()
-    network.run(MOST_PAUSE + LIMIT)
+    network.run(MAX_PROBE_INTERVAL + LIMIT)
     assert network.instances[owner].get_part(slots[0]) == pytest.approx(1.0)
 
 
--- a/tests/daemon/test_account_ways.py
+++ b/tests/daemon/test_account_ways.py
@@ -14,7 +14,7 @@
 from beryltrack.load.messages import Demand
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
-from beryltrack.relay.slot_choice import ZoneOwners
+from beryltrack.relay.slot_owners import ZoneOwners
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
 
 DATABASE = DatabaseSettings("db", Endpoint("10.0.9.9", 80), "z0", 62, 4, False)
@@ -75,18 +75,18 @@
 def test_an_account_runs_at_the_owner_of_the_zone():
     site = Site(9, 0.1)
     assert site.get_counting().zone == "z0"
-    assert site.acquire() == site.get_counting().relay
+    assert site.acquire() == site.get_counting().relay_endpoint
 
 
 def test_what_that_owner_refused_goes_to_another_zones():
     site = Site(9, 0.1)
     first = site.get_counting()
-    assert site.directory.observe_spent("a", first.name)
+    assert site.directory.observe_quota_refusal("a", first.name)
     second = site.acquire()
-    assert second != first.relay
+    assert second != first.relay_endpoint
     # What another instance sent here is not passed on for this reason.
     site.access.lend(9.0, Demand(account="a"), False).addErrback(lambda _: None)
-    assert site.get_opened() == first.relay
+    assert site.get_opened() == first.relay_endpoint
 
 
 def test_an_owner_that_may_run_no_more_sends_its_own_callers_operations_on():
@@ -94,7 +94,7 @@
     site = Site(int(owner.name[1:]))
     assert site.acquire() == DATABASE.endpoint
     # The first token is spent, and nobody has lent anything.
-    assert site.acquire() not in (DATABASE.endpoint, owner.relay)
+    assert site.acquire() not in (DATABASE.endpoint, owner.relay_endpoint)
     assert site.quota.counts["a"].run == 1
 
 
@@ -112,7 +112,7 @@
     site = Site(int(find_owner().name[1:]))
     site.acquire()
     for peer in site.directory.get_candidates("orders", 62):
-        site.directory.observe_spent("a", peer)
+        site.directory.observe_quota_refusal("a", peer)
     refused = []
     site.access.acquire(9.0, Demand(account="a")).addErrback(refused.append)
     with pytest.raises(PoolRefused):
@@ -123,16 +123,16 @@
     """Nobody has lent rights to the others of its zone: they would refuse."""
     owner = find_owner()
     site = Site(int(owner.name[1:]))
-    site.directory.block("db")
-    assert site.acquire() not in (DATABASE.endpoint, owner.relay)
+    site.directory.mark_unreachable("db")
+    assert site.acquire() not in (DATABASE.endpoint, owner.relay_endpoint)
     assert site.quota.counts["a"].run == 1
 
 
 def test_an_owner_over_the_limit_that_goes_round_asks_another_zones():
     owner = find_owner()
     site = Site(int(owner.name[1:]))
-    site.directory.block("db")
+    site.directory.mark_unreachable("db")
     site.acquire()
     site.acquire()
     assert site.quota.counts["a"] == (1, 1)
-    assert site.directory.choose_account_way("a").zone != owner.zone
+    assert site.directory.choose_account_via("a").zone != owner.zone
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -25,7 +25,7 @@
     def direct(self):
         return self
 
-    def set_ways(self, names):
+    def retain_sessions(self, names):
         self.ways = names
 
     def set_policy(self, policy):
@@ -86,7 +86,7 @@
 
 def test_a_database_that_is_out_of_reach_has_sessions_at_others(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
-    site.directory.block("a")
+    site.directory.mark_unreachable("a")
     site.connections.share()
     assert set(site.pool.ways) == {"front-1", "front-2"}
     # Where no other reaches it either, an attempt of its own is the quickest answer.
@@ -124,7 +124,7 @@
     """The operations of its accounts are counted here, so that they pass through it."""
     site.connections.set_members((make_peer(1),))
     site.connections.set_accounts(True)
-    site.directory.block("a")
+    site.directory.mark_unreachable("a")
     assert site.connections.get_lender("orders", "a").pool is site.pool
 
 
--- a/tests/daemon/test_line_kit.py
+++ b/tests/daemon/test_line_kit.py
@@ -38,7 +38,7 @@
         directory.set_peers([make_peer(f"n{each}") for each in range(70)])
         names = (f"g{each}" for each in range(100))
         group = next(each for each in names if not directory.is_owner(each, 40))
-        self.owner = directory.choose_way(group, "db-1", 40).name
+        self.owner = directory.choose_via(group, "db-1", 40).name
         self.kit = LineKit(
             self.clock,
             "me",
--- a/tests/objects/test_shared_copies.py
+++ b/tests/objects/test_shared_copies.py
@@ -175,7 +175,9 @@
             fleet.clock,
             self.feeds,
             peer,
-            lambda other, link: fleet.connect(peer.name, other.relay.host, link),
+            lambda other, link: fleet.connect(
+                peer.name, other.relay_endpoint.host, link
+            ),
             seeds,
         )
 
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -46,7 +46,7 @@
 from beryltrack.platform.target import connect_line_target
 from beryltrack.relay.access import DatabaseAccess
 from beryltrack.relay.handler import Lender, RelayHandler
-from beryltrack.relay.load_teller import LoadTeller
+from beryltrack.relay.load_reporter import LoadReporter
 from beryltrack.sessions.kept import KeptState
 from beryltrack.settings.messages import Endpoint, GroupSettings
 from beryltrack.wire.messages import TransactionStatus
@@ -98,7 +98,7 @@
             reactor.seconds,
             self.get_lender,
             0.3,
-            LoadTeller(get_seconds(reactor)),
+            LoadReporter(get_seconds(reactor)),
             7,
         )
         self.factory = LineRelayFactory(reactor, handler, BOUNDS)
@@ -348,7 +348,7 @@
     assert asked == [NO_DEMAND]
     # Its sessions break at any word that they do not know.
     (session,) = site.sessions
-    assert not session.tells_demands and session.told is None
+    assert not session.sends_demands and session.last_report is None
 
 
 def test_an_owner_of_an_earlier_release_is_sent_no_demand(site):
--- a/tests/platform/test_unreadable_objects.py
+++ b/tests/platform/test_unreadable_objects.py
@@ -124,7 +124,7 @@
     item = make_item(MEMBER | {field: value}, "members/front-1")
     peer, findings = read_peer(item)
     assert (peer is None) == bool(findings)
-    assert peer is None or peer.relay.port in range(1, 65536)
+    assert peer is None or peer.relay_endpoint.port in range(1, 65536)
 
 
 def test_a_route_that_cannot_be_read_costs_itself_alone():
--- a/tests/relay/test_access.py
+++ b/tests/relay/test_access.py
@@ -43,11 +43,11 @@
             lambda account: self.ways.get(account, ""),
             self.admit,
             self.refunds.append,
-            observe_spent=self.observe_spent,
+            observe_quota_refusal=self.observe_quota_refusal,
             counts_here=lambda account: account in self.owned,
-            judge=lambda way, demand: self.judged.get(way, 0.0),
+            admit_ingress=lambda way, demand: self.judged.get(way, 0.0),
             seconds=self.clock.seconds,
-            may_repeat=lambda: self.has_budget,
+            may_retry=lambda: self.has_budget,
             make_gate=self.make_gate,
         )
 
@@ -76,7 +76,7 @@
         self.counted.append(account)
         return self.waits.get(account, 0.0)
 
-    def observe_spent(self, account, way):
+    def observe_quota_refusal(self, account, way):
         """Send the account's operations elsewhere, if there is a way."""
         if account not in self.spent:
             return False
@@ -213,7 +213,7 @@
 def test_sessions_at_instances_that_own_nothing_any_more_are_closed(site):
     site.ways["a"] = "two"
     held = site.acquire("a")
-    site.access.set_ways(["three"])
+    site.access.retain_sessions(["three"])
     assert not held.closed.called
     site.access.release(held, True)
     assert held.closed.called
--- a/tests/relay/test_avoided.py
+++ b/tests/relay/test_avoided.py
@@ -5,9 +5,9 @@
 import pytest
 
 from beryltrack.relay.avoided import (
-    AVOID_TIME,
-    FIRST_PAUSE,
-    MOST_PAUSE,
+    MAX_PROBE_INTERVAL,
+    MIN_PROBE_INTERVAL,
+    REFUSAL_AVOID_TIME,
     AvoidedOwners,
 )
 
@@ -29,7 +29,9 @@
     times = find_probes(avoided, 60.0)
     pauses = [after - before for before, after in pairwise([0.0, *times])]
     assert pauses[:4] == pytest.approx([0.2, 0.2, 0.4, 0.8], abs=0.11)
-    assert pauses[-1] == pytest.approx(MOST_PAUSE, abs=0.11) and avoided.has("a")
+    assert pauses[-1] == pytest.approx(MAX_PROBE_INTERVAL, abs=0.11) and avoided.has(
+        "a"
+    )
 
 
 def test_one_that_is_cut_off_for_hours_is_probed_in_the_same_pauses():
@@ -37,23 +39,23 @@
     avoided.add("a", 0.0)
     for _ in range(2000):
         avoided.note_miss("a", 0.0)
-    assert avoided.get_due(MOST_PAUSE - 0.1) == ()
-    assert avoided.get_due(MOST_PAUSE) == ("a",)
+    assert avoided.get_due(MAX_PROBE_INTERVAL - 0.1) == ()
+    assert avoided.get_due(MAX_PROBE_INTERVAL) == ("a",)
 
 
 def test_one_that_answers_a_probe_is_passed_over_no_more():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
-    assert avoided.get_due(FIRST_PAUSE) == ("a",)
+    assert avoided.get_due(MIN_PROBE_INTERVAL) == ("a",)
     assert avoided.note_answer("a") and not avoided.has("a")
     assert not avoided.note_answer("a")
 
 
 def test_one_that_refuses_connections_is_not_probed_at_once():
     avoided = AvoidedOwners()
-    avoided.add("a", 0.0, AVOID_TIME)
-    assert avoided.get_due(AVOID_TIME - 0.1) == ()
-    assert avoided.get_due(AVOID_TIME) == ("a",)
+    avoided.add("a", 0.0, REFUSAL_AVOID_TIME)
+    assert avoided.get_due(REFUSAL_AVOID_TIME - 0.1) == ()
+    assert avoided.get_due(REFUSAL_AVOID_TIME) == ("a",)
 
 
 def test_another_failure_does_not_shorten_the_pause():
@@ -65,7 +67,7 @@
     assert avoided.get_due(7.9) == () and avoided.get_due(8.0) == ("a",)
 
 
-@pytest.mark.parametrize("least", [FIRST_PAUSE, AVOID_TIME])
+@pytest.mark.parametrize("least", [MIN_PROBE_INTERVAL, REFUSAL_AVOID_TIME])
 def test_failures_that_go_on_put_off_no_probe(least):
     """Where all owners are passed over requests are sent to them all the same."""
     avoided = AvoidedOwners()
--- a/tests/relay/test_directory.py
+++ b/tests/relay/test_directory.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.task import Clock
 
-from beryltrack.relay.avoided import AVOID_TIME
+from beryltrack.relay.avoided import REFUSAL_AVOID_TIME
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.messages import Endpoint
@@ -72,7 +72,7 @@
     fleet.directory.avoid(second)
     # All are passed over: the one that was so first is asked again.
     assert choose() == first
-    fleet.now += AVOID_TIME
+    fleet.now += REFUSAL_AVOID_TIME
     assert choose() == first
 
 
@@ -101,10 +101,10 @@
 def test_an_owner_that_does_not_reach_a_database_serves_the_others():
     fleet = Fleet(30)
     group = fleet.find_group(False)
-    first = fleet.directory.choose_way(group, "db-1", LIMIT)
+    first = fleet.directory.choose_via(group, "db-1", LIMIT)
     fleet.directory.note_useless("db-1", first.name)
-    assert fleet.directory.choose_way(group, "db-1", LIMIT) != first
-    assert fleet.directory.choose_way(group, "db-2", LIMIT) == first
+    assert fleet.directory.choose_via(group, "db-1", LIMIT) != first
+    assert fleet.directory.choose_via(group, "db-2", LIMIT) == first
 
 
 def test_where_no_owner_reaches_a_database_one_is_asked_all_the_same():
@@ -112,4 +112,4 @@
     group = fleet.find_group(False)
     for name in fleet.directory.get_candidates(group, LIMIT):
         fleet.directory.note_useless("db-1", name)
-    assert fleet.directory.choose_way(group, "db-1", LIMIT) is not None
+    assert fleet.directory.choose_via(group, "db-1", LIMIT) is not None
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -18,8 +18,8 @@
 from beryltrack.groups.samples import Sample
 from beryltrack.load.messages import DatabaseReport, Demand
 from beryltrack.load.reports import ToldReport
-from beryltrack.relay.handler import Lender, Proven, RelayHandler
-from beryltrack.relay.load_teller import LoadTeller
+from beryltrack.relay.handler import AgedProof, Lender, RelayHandler
+from beryltrack.relay.load_reporter import LoadReporter
 from beryltrack.requests.protocol import RunLost
 from beryltrack.wire.messages import ResponseEnd, TransactionStatus
 
@@ -92,7 +92,7 @@
         self.pinned, self.status = None, IDLE
         self.proven_at, self.proven, self.states = -math.inf, [], []
         self.sent, self.runs, self.on_gone = [], [], None
-        self.tells_demands, self.told = False, None
+        self.sends_demands, self.last_report = False, None
 
     def run_on(self, connection, unit):
         self.runs.append((connection.name, unit, Deferred()))
@@ -130,9 +130,9 @@
         self.pool = Pool()
         self.task = Task()
         self.now = 10.0
-        teller = LoadTeller(lambda: self.now)
+        reporter = LoadReporter(lambda: self.now)
         self.handler = RelayHandler(
-            lambda: 10.0, self.get_lender, 0.5, teller, 7, 0.3, lambda group: is_owner
+            lambda: 10.0, self.get_lender, 0.5, reporter, 7, 0.3, lambda group: is_owner
         )
 
     def get_lender(self, group, database):
@@ -241,7 +241,7 @@
 def test_who_owns_no_group_refuses(owner):
     owner.pool = None
     session = Session()
-    assert not owner.handler.takes(session)
+    assert not owner.handler.serves(session)
     owner.handler.handle(READ, session)
     owner.handler.handle_status(session)
     assert session.sent == [("refused", "the group has other owners")] * 2
@@ -302,7 +302,7 @@
     owner.task.proof = Sample(place, 50.0)
     owner.task.now = 50.25
     run_one()
-    assert session.proven == [None, Proven(place, 0.5), None, Proven(place, 0.25)]
+    assert session.proven == [None, AgedProof(place, 0.5), None, AgedProof(place, 0.25)]
 
 
 def test_an_owner_that_leaves_refuses_what_is_new_and_ends_what_is_open(owner):
@@ -315,7 +315,7 @@
     session.runs[1][2].callback(make_end())
     assert owner.pool.released == [("c1", True)]
     owner.handler.handle(READ, session)
-    assert session.sent[-1][0] == "refused" and not owner.handler.takes(session)
+    assert session.sent[-1][0] == "refused" and not owner.handler.serves(session)
 
 
 @pytest.mark.parametrize("is_counted", [True, False])
@@ -361,7 +361,7 @@
 
 def test_a_session_that_has_told_a_demand_is_told_of_the_load(owner):
     session = Session()
-    session.tells_demands = True
+    session.sends_demands = True
     owner.pool.report = DatabaseReport(4, 4, (0.3,), 0.01, 7)
     owner.handler.handle(READ, session)
     owner.give()
@@ -372,7 +372,7 @@
 
 def test_a_refusal_comes_with_the_load_that_it_answers(owner):
     session = Session()
-    session.tells_demands = True
+    session.sends_demands = True
     owner.pool.report = DatabaseReport(4, 4, (0.3,), 0.01, 7)
     owner.handler.handle(READ, session)
     refusal = PoolRefusal(RefusalReason.QUEUE_FULL, 0.3)
--- a/tests/relay/test_opener.py
+++ b/tests/relay/test_opener.py
@@ -9,8 +9,8 @@
 from beryltrack.load.messages import DatabaseReport
 from beryltrack.load.outlook import ReportedOutlook
 from beryltrack.load.reports import ToldReport
-from beryltrack.relay.directory import DETOUR_TIME, RelayDirectory
-from beryltrack.relay.opener import OpenLimits, TargetOpener
+from beryltrack.relay.directory import DIRECT_RETRY_INTERVAL, RelayDirectory
+from beryltrack.relay.opener import OpenPolicy, TargetOpener
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 
@@ -30,7 +30,7 @@
         self.directory = RelayDirectory(make_peer("me"), self.clock.seconds, 8)
         self.directory.set_peers([make_peer(name) for name in OTHERS])
         self.changes = []
-        self.directory.set_block_observer(lambda: self.changes.append(1))
+        self.directory.set_reachability_observer(lambda: self.changes.append(1))
         self.answers, self.incarnation = {}, 7
         self.outlook = ReportedOutlook(self.clock.seconds)
         self.tried = []
@@ -39,7 +39,7 @@
             self.directory,
             self.open_at,
             lambda group, database: True,
-            OpenLimits(0.3, 0.4),
+            OpenPolicy(0.3, 0.4),
             self.outlook,
         )
 
@@ -109,17 +109,17 @@
         site = Site()
         site.answers["10.0.0.9"] = error
         assert site.open().check(type(error)) and site.tried == ["10.0.0.9"]
-        assert not site.directory.is_blocked("db-1")
+        assert not site.directory.is_unreachable("db-1")
 
 
 def test_the_direct_way_is_tried_again_and_then_used():
     site = cut_off()
     site.open()
-    site.clock.advance(DETOUR_TIME)
-    assert site.tried[-1] == "10.0.0.9" and site.directory.is_blocked("db-1")
+    site.clock.advance(DIRECT_RETRY_INTERVAL)
+    assert site.tried[-1] == "10.0.0.9" and site.directory.is_unreachable("db-1")
     site.answers.clear()
-    site.clock.advance(DETOUR_TIME)
-    assert not site.directory.is_blocked("db-1") and len(site.changes) == 2
+    site.clock.advance(DIRECT_RETRY_INTERVAL)
+    assert not site.directory.is_unreachable("db-1") and len(site.changes) == 2
     assert site.open().way == ""
 
 
--- a/tests/relay/test_ways.py
+++ b/tests/relay/test_ways.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from beryltrack.relay.ways import give_up, is_silent
+from beryltrack.relay.relayed_connections import close_overdue, is_silent
 
 
 class Connection:
@@ -27,20 +27,20 @@
 def test_a_silent_owner_is_left_with_its_idle_connections():
     late, idle, busy = Connection("n1", 5.0), Connection("n1"), Connection("n1", 6.0)
     other = Connection("n2")
-    assert give_up(late, [make_pool(late, idle), make_pool(busy, other)]) == "n1"
+    assert close_overdue(late, [make_pool(late, idle), make_pool(busy, other)]) == "n1"
     assert late.closed and idle.closed
     assert not busy.closed and not other.closed
 
 
 def test_an_owner_that_has_answered_others_is_kept():
     late, idle = Connection("n1", 5.0), Connection("n1", heard_at=5.1)
-    assert give_up(late, [make_pool(late, idle)]) == ""
+    assert close_overdue(late, [make_pool(late, idle)]) == ""
     assert late.closed and not idle.closed
 
 
 def test_a_connection_straight_to_a_database_is_closed_alone():
     late, idle = Connection("", 5.0), Connection("")
-    assert give_up(late, [make_pool(late, idle)]) == ""
+    assert close_overdue(late, [make_pool(late, idle)]) == ""
     assert late.closed and not idle.closed
 
 
@@ -57,7 +57,7 @@
     pools = [make_pool(late, idle)]
     heard = {"n1": 5.2}
     assert not is_silent(late, pools, lambda name, since: heard[name] > since)
-    assert give_up(late, pools, lambda name, since: heard[name] > since) == ""
+    assert close_overdue(late, pools, lambda name, since: heard[name] > since) == ""
     assert late.closed and not idle.closed
     heard["n1"] = 4.9
     assert is_silent(late, pools, lambda name, since: heard[name] > since)
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -10,7 +10,7 @@
 from beryltrack.groups.messages import LogPosition
 from beryltrack.load.messages import NO_DEMAND, DatabaseReport, Demand
 from beryltrack.load.reports import ToldReport
-from beryltrack.relay.words import (
+from beryltrack.relay.wire_format import (
     format_demand,
     format_proven,
     format_report,
@@ -18,7 +18,7 @@
     parse_incarnation,
     parse_proven,
     parse_report,
-    take_demand,
+    take_demand_prefix,
 )
 from beryltrack.wire.line_buffer import MalformedMessage
 
@@ -72,7 +72,7 @@
         connection = SimpleNamespace(
             demand=Demand(1, 0.25, 0.8), way=way, incarnation=incarnation
         )
-        return take_demand(connection), take_demand(connection)
+        return take_demand_prefix(connection), take_demand_prefix(connection)
 
     assert take("owner", 7) == (b"WITHIN 1 250 800 ", b"")
     assert take("owner", 0) == (b"", b"")
--- a/tests/requests/test_passed_on.py
+++ b/tests/requests/test_passed_on.py
@@ -46,14 +46,14 @@
         monkeypatch.setattr(course.RequestCourse, "_make_request", lambda self: None)
         monkeypatch.setattr(course.RequestCourse, "_wait_to_retry", wait_to_retry)
 
-    def observe_spent(self, account, way):
+    def observe_quota_refusal(self, account, way):
         self.asked.append(way)
         self.left -= 1
         return self.left >= 0
 
     def run(self, kind=StatementKind.WRITE):
         context, transport = make_context("text", kind)
-        ways = SimpleNamespace(observe_spent=self.observe_spent)
+        ways = SimpleNamespace(observe_quota_refusal=self.observe_quota_refusal)
         services = context.services._replace(ways=ways)
         context = context._replace(services=services)
         run_to_end(context, course.RequestCourse(context).run())
