--- a/beryltrack/relay/__init__.py
+++ b/beryltrack/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Shared connections to databases: owners open them, other instances use them."""
+"""Shared database connections: owners open them, other instances relay through them."""
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -1,8 +1,8 @@
-"""One database as an instance reaches it: itself, or through others.
+"""Connections to one database, opened directly or relayed through an owner.
 
-An instance that owns an account's connections opens them to the database. For all other
-accounts it keeps sessions at the instances that own theirs. Each way has a pool of its
-own, so that an owner that fails holds up no other way.
+An instance that owns an account's connections opens them to the database itself. For
+other accounts it keeps relayed sessions at their owners. The direct connections and the
+sessions at each owner have a pool each, so that a failed owner delays no other path.
 """
 
 import logging
@@ -29,8 +29,8 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WAYS = 3
-"""Ways that one request tries, each only after the one before could not be reached."""
+MAX_ATTEMPTS = 3
+"""Paths that one request tries; each next one only after a failure of the last."""
 
 ChooseVia = Callable[[str], str]
 Admit = Callable[[str], float]
@@ -39,30 +39,36 @@
 EstimateLoad = Callable[[str, Demand], Expected]
 
 
-class _Lent(NamedTuple):
-    """The pool that a connection came from, and for whom an operation was counted."""
+class _Checkout(NamedTuple):
+    """The pool that a connection came from, and the account that was charged for it.
+
+    `counted` is empty if the operation was not counted here.
+    """
 
     pool: PoolTask
     counted: str = ""
 
 
-class _Until(NamedTuple):
-    """What an operation asked for when it was sent on a way, and by when it is over."""
+class _Acquisition(NamedTuple):
+    """An operation that waits for a connection; times in seconds."""
 
     deadline: float
     demand: Demand
     asked_at: float
 
 
-class _Way(NamedTuple):
-    """The instance through which an operation goes, and if it is counted here."""
+class _Path(NamedTuple):
+    """The instance that relays an operation, and whether it is counted here.
 
-    way: str
-    counts: bool
+    `via` is empty for a direct connection.
+    """
+
+    via: str
+    is_counted_here: bool
 
 
 class DatabaseAccess:
-    """The pools of one database; used as one pool.
+    """The pools of one database, used like a single pool.
 
     Parameters
     ----------
@@ -71,34 +77,34 @@
     make_sessions : callable
         Returns the pool of sessions at an instance.
     choose_via : callable
-        Returns the instance through which an account's connections go; empty for none.
+        Returns the instance that relays an account's operations; empty for none.
     admit : callable
-        Counts an operation of an account that runs through this instance; returns 0,
-        or the seconds after which to come back.
+        Counts an operation against an account's limit at this instance; returns 0, or
+        the seconds after which to retry.
     refund : callable
-        Takes in that a counted operation of an account did not run.
+        Undoes the count of an account's operation that did not run.
     choose_lent_via : callable, optional
         The same as `choose_via` for an operation that another instance sent here.
     observe_quota_refusal : callable
-        Takes in that an operation of an account was refused as over its limit, and by
-        which instance; returns True if another one may run it.
+        Records which instance refused an account's operation as over its limit;
+        returns True if another instance may run it.
     counts_here : callable
-        Returns True if this instance counts an account's operations although their way
-        goes through another one, as this one does not reach the database itself.
+        Returns True if this instance counts an account's operations although another
+        one relays them, as this one does not reach the database itself.
     admit_ingress : callable
-        Decides whether an operation of this instance goes to another one; returns 0,
-        or the seconds after which to come back.
+        Ingress admission: decides whether an operation that this instance received is
+        sent to an owner; returns 0, or the seconds after which to retry.
     estimate : callable
-        Returns what an operation may expect of the database through an instance; empty
-        for this one.
+        Returns the expected load of the database through an instance; empty for this
+        one.
     seconds : callable
         The node's time.
     may_retry : callable
-        Draws on the budget of repeats; returns False if an operation whose instance
-        could not be reached is not to try another one at once.
+        Draws on the retry budget; returns False if an operation whose instance could
+        not be reached is not to try another one at once.
     make_gate : callable or None
-        Returns what decides which operations run at the database; None where as many
-        run as there are connections.
+        Returns the gate that decides which operations run at the database; None where
+        the number of connections is the only limit.
     """
 
     def __init__(
@@ -109,10 +115,10 @@
         admit: Admit = lambda account: 0.0,
         refund: Callable[[str], object] = lambda account: None,
         choose_lent_via: ChooseVia | None = None,
-        observe_quota_refusal: ObserveQuotaRefusal = lambda account, way: False,
+        observe_quota_refusal: ObserveQuotaRefusal = lambda account, via: False,
         counts_here: Callable[[str], bool] = lambda account: False,
-        admit_ingress: AdmitIngress = lambda way, demand: 0.0,
-        estimate: EstimateLoad = lambda way, demand: Expected(),
+        admit_ingress: AdmitIngress = lambda via, demand: 0.0,
+        estimate: EstimateLoad = lambda via, demand: Expected(),
         seconds: Callable[[], float] = lambda: 0.0,
         may_retry: Callable[[], bool] = lambda: True,
         make_gate: Callable[[], GateTask] | None = None,
@@ -127,19 +133,19 @@
         self._admit = admit
         self._refund = refund
         self._choose_lent_via = choose_lent_via or choose_via
-        self._observe_spent = observe_quota_refusal
+        self._observe_quota_refusal = observe_quota_refusal
         self._counts_here = counts_here
         self._gated = GatedPool(direct, make_gate)
         self._sessions: dict[str, PoolTask] = {}
-        self._lent: dict[PooledConnection, _Lent] = {}
+        self._checkouts: dict[PooledConnection, _Checkout] = {}
         self._is_drained = False
 
     @property
     def load(self) -> PoolLoad:
-        """The load of all ways together, with the limit of those that are used.
+        """The load of all pools together, with the limit of those in use.
 
-        What queues at other instances is not seen here: the expected wait is infinite
-        where all connections go through them.
+        Queues at other instances are not visible here: the expected wait is infinite
+        where all operations are relayed.
         """
         direct = self.direct.load
         others = [pool.load for pool in self._sessions.values()]
@@ -155,12 +161,12 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests that hold a connection of any way or wait for one."""
+        """Requests that hold a connection of any pool or wait for one."""
         return self._gated.waiting + sum(pool.outstanding for pool in self._pools)
 
     @property
     def limit(self) -> int:
-        """Connections that may be open to the database, or sessions if none may."""
+        """Connections allowed to the database, or sessions if none are allowed."""
         if self.direct.limit:
             return self.direct.limit
         return max((pool.limit for pool in self._sessions.values()), default=1)
@@ -170,7 +176,7 @@
         return (self.direct, *self._sessions.values())
 
     def start(self) -> None:
-        """Open the connections that are kept open."""
+        """Open the connections that the direct pool keeps open, if it is used."""
         if not self._choose_via(""):
             self.direct.start()
 
@@ -184,47 +190,48 @@
         deadline : float
             Time of the reactor's clock, in seconds, by which the request must be done.
         demand : Demand
-            What the request asks for, and whose it is.
+            The request's priority, times and account.
 
         Returns
         -------
         Deferred of PooledConnection
             Fails with `PoolRefused`; the request was not run then.
         """
-        return self._try_ways(deadline, demand, MOST_WAYS)
+        return self._acquire_with_retries(deadline, demand, MAX_ATTEMPTS)
 
     def lend(
         self, deadline: float, demand: Demand, is_counted: bool
     ) -> Deferred[PooledConnection]:
         """Get a connection for a request that another instance sent here.
 
-        One that was counted there already goes to the database itself and no further.
+        A request that was counted there already goes directly to the database and is
+        not relayed again.
         """
-        way = "" if is_counted else self._choose_lent_via(demand.account)
-        return self._acquire_by(way, deadline, demand, not is_counted, True)
+        via = "" if is_counted else self._choose_lent_via(demand.account)
+        return self._acquire_via(via, deadline, demand, not is_counted, True)
 
     def acquire_briefly(
-        self, patience: float, open_patience: float
+        self, wait_limit: float, open_limit: float
     ) -> Deferred[PooledConnection | None]:
         """Get a connection for a short request of the proxy's own; see `PoolTask`."""
-        way = self._choose_via("")
-        pool = self._get_sessions(way) if way else self.direct
-        return pool.acquire_briefly(patience, open_patience).addCallback(
-            self._note_lent, _Lent(pool)
+        via = self._choose_via("")
+        pool = self._get_sessions(via) if via else self.direct
+        return pool.acquire_briefly(wait_limit, open_limit).addCallback(
+            self._record_checkout, _Checkout(pool)
         )
 
     def release(
         self, connection: PooledConnection, reusable: bool, has_run: bool = True
     ) -> None:
-        """Give a connection back; `has_run` is False if what it was for did not run."""
-        lent = self._lent.pop(connection, None)
-        if lent is None:
+        """Return a connection; `has_run` is False if its operation did not run."""
+        checkout = self._checkouts.pop(connection, None)
+        if checkout is None:
             return
-        if lent.counted and not has_run:
-            self._refund(lent.counted)
-        # The pool may lend it on at once, so that its operation is looked up first.
-        operation = self._gated.take_back(connection)
-        lent.pool.release(connection, reusable)
+        if checkout.counted and not has_run:
+            self._refund(checkout.counted)
+        # The pool may lend the connection again at once, so pop its operation first.
+        operation = self._gated.pop_operation(connection)
+        checkout.pool.release(connection, reusable)
         if operation is not None:
             operation.finish()
 
@@ -233,17 +240,17 @@
         self._gated.set_bounds(bounds)
 
     def get_expected(self, demand: Demand) -> Expected:
-        """Return what is known of the database's load on the way of the moment."""
+        """Return the expected load of the database on the current path."""
         return self._estimate(self._choose_via(demand.account), demand)
 
     def get_tally(self) -> GateTally | None:
-        """Return what this instance's gate has counted; None without one."""
+        """Return the counts of this instance's gate; None without a gate."""
         return self._gated.get_tally()
 
     def get_report(self) -> DatabaseReport | None:
         """Return the load of the database through this instance's own connections.
 
-        None if as many operations run as there are connections.
+        None without a gate.
         """
         return self._gated.get_report()
 
@@ -252,25 +259,25 @@
         self.direct.set_limit(limit)
 
     def retain_sessions(self, names: Collection[str]) -> None:
-        """Keep sessions at these instances only."""
+        """Keep sessions at these instances; drain those at all others."""
         for name in self._sessions.keys() - set(names):
             self._sessions.pop(name).drain()
 
     def retire(self, is_stale: Callable[[RelayedConnection], bool]) -> None:
-        """Use some connections to the database no more; see `PoolTask`."""
+        """Retire stale direct connections; see `PoolTask`."""
         self.direct.retire(is_stale)
 
     def retire_stale(self) -> None:
-        """Look again which connections are used no more."""
+        """Retire the direct connections that have become stale since."""
         self.direct.retire_stale()
 
     def observe_reachable(self) -> None:
-        """Take in that the database answers."""
+        """Record that the database answers."""
         for pool in self._pools:
             pool.observe_reachable()
 
     def break_connections(self) -> None:
-        """Close all connections at once, also those in use."""
+        """Close all connections at once, including those in use."""
         for pool in self._pools:
             pool.break_connections()
 
@@ -279,8 +286,8 @@
         return tuple(each for pool in self._pools for each in pool.get_connections())
 
     def get_running(self) -> list[PooledConnection]:
-        """Return the connections that run something."""
-        return [each for each in self._lent if each.run_since is not None]
+        """Return the connections that run a statement."""
+        return [each for each in self._checkouts if each.run_since is not None]
 
     def close_idle(self, connection: PooledConnection) -> None:
         """Close a connection unless it is lent."""
@@ -288,143 +295,153 @@
             pool.close_idle(connection)
 
     def enforce_limit(self, limit: int) -> None:
-        """Close connections beyond a limit at once, also those in use."""
+        """Close connections beyond a limit at once, including those in use."""
         for pool in self._pools:
             pool.enforce_limit(limit)
 
     def drain(self) -> Deferred:
-        """Take no new work; fires when all connections are closed."""
+        """Refuse new work; the result fires when all connections are closed."""
         self._is_drained = True
         draining = gatherResults([pool.drain() for pool in self._pools])
-        # Who waits for the database is refused by the pool, as all others are.
-        self._gated.open()
+        # Operations that wait at the gate go on to the pool, which refuses them.
+        self._gated.admit_waiting()
         return draining
 
     def resume(self) -> None:
-        """Take work again after a drain."""
+        """Accept work again after a drain."""
         self._is_drained = False
         for pool in self._pools:
             pool.resume()
 
-    def _try_ways(
-        self, deadline: float, demand: Demand, tries: int
+    def _acquire_with_retries(
+        self, deadline: float, demand: Demand, attempts: int
     ) -> Deferred[PooledConnection]:
-        """Get a connection by the way of the moment, then by another one."""
-        chosen = self._choose(demand.account)
-        acquiring = self._acquire_by(chosen.way, deadline, demand, chosen.counts, False)
-        if tries > 1:
-            until = _Until(deadline, demand, self._seconds())
-            acquiring.addErrback(self._go_round, chosen, until, tries)
+        """Get a connection on the current path, and on another one if that fails."""
+        chosen = self._choose_path(demand.account)
+        acquiring = self._acquire_via(
+            chosen.via, deadline, demand, chosen.is_counted_here, False
+        )
+        if attempts > 1:
+            acquisition = _Acquisition(deadline, demand, self._seconds())
+            acquiring.addErrback(self._retry_elsewhere, chosen, acquisition, attempts)
         return acquiring
 
-    def _choose(self, account: str) -> _Way:
-        """Return the way of the moment, and whether the operation is counted here."""
-        way = self._choose_via(account)
-        return _Way(way, not way or self._counts_here(account))
+    def _choose_path(self, account: str) -> _Path:
+        """Return the current path, and whether the operation is counted here."""
+        via = self._choose_via(account)
+        return _Path(via, not via or self._counts_here(account))
 
-    def _go_round(
-        self, failure: Failure, tried: _Way, until: _Until, tries: int
+    def _retry_elsewhere(
+        self, failure: Failure, tried: _Path, acquisition: _Acquisition, attempts: int
     ) -> Deferred[PooledConnection] | Failure:
-        """Try another way if an instance could not be reached."""
-        demand = until.demand
+        """Try another path if an instance is unreachable or out of quota."""
+        demand = acquisition.demand
         refused = failure.check(PoolRefused)
         reason = failure.value.refusal.reason if refused else None
         if reason is RefusalReason.OVER_LIMIT:
-            # Refused here: another zone's owner may have rights left.
-            counting = "" if tried.counts else tried.way
-            if not self._observe_spent(demand.account, counting):
+            # The owner in another zone may have quota left.
+            counting = "" if tried.is_counted_here else tried.via
+            if not self._observe_quota_refusal(demand.account, counting):
                 return failure
-        elif not tried.way or reason is not RefusalReason.UNREACHABLE:
+        elif not tried.via or reason is not RefusalReason.UNREACHABLE:
             return failure
-        if self._choose(demand.account) == tried:
+        if self._choose_path(demand.account) == tried:
             return failure
-        # What is over one owner's limit draws on no budget: none is asked twice.
+        # A quota refusal draws on no retry budget: no owner is asked twice.
         if reason is RefusalReason.UNREACHABLE and not self._may_retry():
             return failure
-        # The way before has taken a part of its time.
-        left = demand.after(self._seconds() - until.asked_at)
-        return self._try_ways(until.deadline, left, tries - 1)
+        # The failed attempt has used a part of the operation's time.
+        left = demand.after(self._seconds() - acquisition.asked_at)
+        return self._acquire_with_retries(acquisition.deadline, left, attempts - 1)
 
-    def _acquire_by(
-        self, way: str, deadline: float, demand: Demand, counts: bool, is_lent: bool
+    def _acquire_via(
+        self,
+        via: str,
+        deadline: float,
+        demand: Demand,
+        is_counted_here: bool,
+        is_lent: bool,
     ) -> Deferred[PooledConnection]:
-        """Get a connection by one way.
+        """Get a connection on one path.
 
-        `counts` is True if the operation is counted here; at the end of the way it is
-        counted unless it was lent a connection here, as then it was counted before.
+        `is_counted_here` is True if this instance counts the operation. Otherwise the
+        instance at the end of the path counts it, unless it is a lent operation, which
+        was counted before.
         """
-        counted = demand.account if counts else ""
+        counted = demand.account if is_counted_here else ""
         wait = self._admit(counted) if counted else 0.0
         if wait:
             refusal = PoolRefusal(RefusalReason.OVER_LIMIT, wait)
             return fail(PoolRefused(refusal))
-        if way:
+        if via:
             is_counted = is_lent or bool(counted)
-            acquiring = self._acquire_through(
-                way, deadline, demand, is_lent, is_counted
+            acquiring = self._acquire_session(
+                via, deadline, demand, is_lent, is_counted
             )
         else:
             acquiring = self._acquire_directly(deadline, demand)
-        pool = self._get_sessions(way) if way else self.direct
-        acquiring.addCallback(self._note_lent, _Lent(pool, counted))
+        pool = self._get_sessions(via) if via else self.direct
+        acquiring.addCallback(self._record_checkout, _Checkout(pool, counted))
         if counted:
-            acquiring.addErrback(self._take_back, counted)
+            acquiring.addErrback(self._refund_failed, counted)
         return acquiring
 
     def _acquire_directly(
         self, deadline: float, demand: Demand
     ) -> Deferred[PooledConnection]:
-        """Get one of this instance's own connections, once the database has room."""
+        """Get a direct connection once the gate admits the operation."""
         pool = self.direct if self._is_drained else self._gated
         return pool.acquire(deadline, demand)
 
-    def _acquire_through(
+    def _acquire_session(
         self,
-        way: str,
+        via: str,
         deadline: float,
         demand: Demand,
         is_lent: bool,
         is_counted: bool,
     ) -> Deferred[PooledConnection]:
-        """Get a session at another instance, unless it is known to have no room."""
-        # What was lent here was judged by the instance that took it.
-        wait = 0.0 if is_lent else self._admit_ingress(way, demand)
+        """Get a session at an owner, unless ingress admission refuses."""
+        # For a lent operation the receiving instance has done ingress admission.
+        wait = 0.0 if is_lent else self._admit_ingress(via, demand)
         if wait:
             return fail(PoolRefused(PoolRefusal(RefusalReason.OWNER_FULL, wait)))
-        acquiring = self._get_sessions(way).acquire(deadline)
-        return acquiring.addCallback(self._mark, is_counted, demand, self._seconds())
+        acquiring = self._get_sessions(via).acquire(deadline)
+        return acquiring.addCallback(
+            self._set_options, is_counted, demand, self._seconds()
+        )
 
-    def _mark(
+    def _set_options(
         self,
         connection: RelayedConnection,
         is_counted: bool,
         demand: Demand,
         asked_at: float,
     ) -> RelayedConnection:
-        """Have an instance told what the next operation asks, and if it was counted."""
+        """Set what the next statement tells the owner of its operation."""
         connection.is_counted = is_counted
-        # It may have waited for the session.
+        # The wait for the session has used a part of the operation's time.
         connection.demand = demand.after(self._seconds() - asked_at)
         return connection
 
-    def _take_back(self, failure: Failure, account: str) -> Failure:
-        """Count an operation no more that got no connection."""
+    def _refund_failed(self, failure: Failure, account: str) -> Failure:
+        """Refund an operation that got no connection."""
         self._refund(account)
         return failure
 
-    def _note_lent(
-        self, connection: PooledConnection | None, lent: "_Lent"
+    def _record_checkout(
+        self, connection: PooledConnection | None, checkout: "_Checkout"
     ) -> PooledConnection | None:
-        """Keep which pool a connection goes back to."""
+        """Record which pool a connection goes back to."""
         if connection is not None:
-            self._lent[connection] = lent
+            self._checkouts[connection] = checkout
         return connection
 
-    def _get_sessions(self, way: str) -> PoolTask:
+    def _get_sessions(self, via: str) -> PoolTask:
         """Return the pool of sessions at an instance."""
-        pool = self._sessions.get(way)
+        pool = self._sessions.get(via)
         if pool is None:
-            pool = self._sessions[way] = self._make_sessions(way)
+            pool = self._sessions[via] = self._make_sessions(via)
             if self._is_drained:
                 pool.drain()
         return pool
--- a/beryltrack/relay/gated_pool.py
+++ b/beryltrack/relay/gated_pool.py
@@ -1,7 +1,7 @@
-"""The connections to one database behind the gate that decides what runs there.
+"""A connection pool behind the gate that limits what runs at one database.
 
-First the gate, then the pool, whose own refusals remain. Control requests take their
-connections from the pool and do not wait at the gate.
+An operation passes the gate first and then acquires a connection from the pool, which
+may still refuse it. Control requests use the pool directly and bypass the gate.
 """
 
 from collections.abc import Callable
@@ -19,17 +19,17 @@
 
 
 class GatedOperation:
-    """Tells a gate of the statements of one operation; see `RunObserver`.
+    """Reports the statements of one operation to its gate; see `RunObserver`.
 
-    Each statement that ends leaves its room at once. Whether it was the last one of
-    its operation is only known when the connection is given back.
+    A statement that ends frees its place at the gate at once. Whether it was the last
+    one of its operation is only known when the connection is returned.
 
     Parameters
     ----------
     gate : GateTask
-        Let it run.
+        The gate that admitted the operation.
     number : int
-        Its number there.
+        The operation's number at the gate.
     """
 
     def __init__(self, gate: GateTask, number: int):
@@ -37,41 +37,42 @@
         self._number = number
 
     def observe_start(self) -> None:
-        """Take in that a statement is sent."""
+        """Record that a statement is sent."""
         self._gate.resume(self._number)
 
     def observe_end(self, seconds: float, end: ResponseEnd | Failure) -> None:
-        """Take in that a statement has ended."""
+        """Record that a statement has ended after some seconds."""
         if isinstance(end, Failure):
             self._gate.rest(self._number, seconds, Outcome.LOST)
         elif end.error is None:
             self._gate.rest(self._number, seconds, Outcome.ANSWERED)
         elif end.error.sqlstate == TOO_MANY_CONNECTIONS:
-            # When it was sent says which crowd at the database it has met.
+            # The duration dates the statement's start, so that the gate cuts its limit
+            # once for all statements that met the same overload.
             self._gate.rest(self._number, seconds, Outcome.FULL)
         else:
-            # Most errors come at once, and tell nothing of how long statements take.
+            # Most errors come at once and say nothing about statement durations.
             self._gate.rest(self._number, None, Outcome.ANSWERED)
 
     def finish(self) -> None:
-        """Take in that the connection was given back."""
+        """Record that the connection was returned."""
         self._gate.finish(self._number)
 
-    def give_up(self, failure: Failure) -> Failure:
-        """Take in that it got no connection."""
+    def cancel(self, failure: Failure) -> Failure:
+        """Cancel an operation that got no connection; return the failure."""
         self._gate.cancel(self._number)
         return failure
 
 
 class GatedPool:
-    """Lends the connections of a pool to operations that a gate lets run.
+    """Lends the connections of a pool to operations that a gate admits.
 
     Parameters
     ----------
     pool : PoolTask
         The connections.
     make_gate : callable or None
-        Returns a gate; None where there is never one.
+        Returns a new gate; None if the pool never has one.
     """
 
     def __init__(self, pool: PoolTask, make_gate: Callable[[], GateTask] | None):
@@ -82,17 +83,17 @@
 
     @property
     def waiting(self) -> int:
-        """Operations that wait for the database to have room for them."""
+        """Number of operations that wait at the gate."""
         return self._gate.waiting if self._gate is not None else 0
 
     def set_bounds(self, bounds: Bounds | None) -> None:
-        """Decide which operations run at the database from now on.
+        """Set the bounds of the gate, or remove the gate.
 
         Parameters
         ----------
         bounds : Bounds or None
-            What this instance's part follows from; None if as many operations are to
-            run as there are connections.
+            What this instance's share of the database is computed from; None if the
+            number of connections is the only limit.
         """
         if bounds is not None and self._make_gate is not None:
             self._gate = self._gate or self._make_gate()
@@ -102,28 +103,28 @@
             gate.open()
 
     def get_tally(self) -> GateTally | None:
-        """Return what the gate has counted; None without one."""
+        """Return the counts of the gate; None without a gate."""
         return self._gate.get_tally() if self._gate is not None else None
 
     def get_report(self) -> DatabaseReport | None:
-        """Return the load of the database; None while there is no gate."""
+        """Return the load of the database; None without a gate."""
         return self._gate.get_report() if self._gate is not None else None
 
-    def open(self) -> None:
-        """Send on all that waits: the pool decides what becomes of it."""
+    def admit_waiting(self) -> None:
+        """Admit all waiting operations: the pool serves or refuses them."""
         if self._gate is not None:
             self._gate.open()
 
     def acquire(self, deadline: float, demand: Demand) -> Deferred[PooledConnection]:
-        """Get a connection once the database has room; see `PoolTask.acquire`."""
+        """Get a connection once the gate admits it; see `PoolTask.acquire`."""
         gate = self._gate
         if gate is None:
             return self._pool.acquire(deadline, demand)
         entering = gate.enter(deadline, demand)
         return entering.addCallback(self._acquire_admitted, gate, deadline, demand)
 
-    def take_back(self, connection: PooledConnection) -> GatedOperation | None:
-        """Return the operation that a connection was lent for, if a gate let it run."""
+    def pop_operation(self, connection: PooledConnection) -> GatedOperation | None:
+        """Remove and return a connection's operation; None if no gate admitted it."""
         operation = self._operations.pop(connection, None)
         if operation is not None:
             connection.observer = None
@@ -132,16 +133,16 @@
     def _acquire_admitted(
         self, number: int, gate: GateTask, deadline: float, demand: Demand
     ) -> Deferred[PooledConnection]:
-        """Get a connection for an operation that may run."""
+        """Get a connection for an operation that the gate has admitted."""
         operation = GatedOperation(gate, number)
         acquiring = self._pool.acquire(deadline, demand)
         return acquiring.addCallbacks(
-            self._follow, operation.give_up, callbackArgs=(operation,)
+            self._attach_observer, operation.cancel, callbackArgs=(operation,)
         )
 
-    def _follow(
+    def _attach_observer(
         self, connection: PooledConnection, operation: GatedOperation
     ) -> PooledConnection:
-        """Have the gate told what runs on a connection until it is given back."""
+        """Report a connection's statements to the gate until it is returned."""
         connection.observer = self._operations[connection] = operation
         return connection
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -1,11 +1,11 @@
-"""Runs the statements that other instances send through this one, an owner.
-
-A relayed session takes one of the owner's connections for a statement or for a
-transaction, and gives it back after. Everything that is decided about a request,
-which database runs it, what it must show, whether it is repeated, stays with the
-instance that took it from its caller; the owner lends connections and no more. What
-was not sent to a database is refused as such. What was sent and has lost its answer
-ends the session, so that the other side judges it by its own rules for that.
+"""Runs the statements that other instances relay through this one, an owner.
+
+A relayed session uses one of the owner's connections for one statement or transaction.
+All decisions about a request (which database runs it, which position it must show,
+whether it is retried) stay with the instance that received it from its caller; the
+owner only lends connections. A statement that was not sent to a database is refused as
+not run. One that was sent and lost its answer ends the session, so that the other
+instance applies its own rules for lost answers.
 """
 
 import logging
@@ -33,28 +33,32 @@
 
 log = logging.getLogger(__name__)
 
-BEHIND = SqlError(POSITION_NOT_SHOWN, "the replica has just refused the position")
-"""Of a statement that asks for a position which its replica lacked a moment ago."""
-ANSWER_TIME = 0.05
-"""Seconds of an operation's time that are left for a refusal to arrive: two ways of
-4 ms between availability zones, and a process that is late. One that comes too late is
-taken for a lost answer, and a write for one whose outcome nobody knows."""
+REPLICA_BEHIND = SqlError(
+    POSITION_NOT_SHOWN, "the replica has just refused the position"
+)
+"""Error of a statement for a position that its replica lacked a moment ago."""
+
+REFUSAL_MARGIN = 0.05
+"""Seconds of an operation's time that are reserved for the delivery of a refusal: two
+transits of 4 ms between availability zones and a late process. A refusal that arrives
+too late counts as a lost answer, and the outcome of a write as unknown."""
 
-UNREACHED = make_refusal("this instance does not reach the database", 0.0)
-"""Of a statement for a database that this instance alone does not reach."""
+TARGET_UNREACHABLE = make_refusal("this instance does not reach the database", 0.0)
+"""Error of a statement for a database that this instance alone does not reach."""
 
 NOT_OWNER_MESSAGE = "the group has other owners"
+"""Text of the error by which this instance lends a group no connections."""
 
 
 class Lender(NamedTuple):
-    """What lends connections to one database.
+    """The source of connections to one database.
 
     Parameters
     ----------
     pool : DatabaseAccess
         The connections.
     task : GroupTask
-        Watches the database's group.
+        Monitors the database's group.
     """
 
     pool: DatabaseAccess
@@ -65,14 +69,14 @@
 
 
 class AgedProof(NamedTuple):
-    """What is proven of a group's primary.
+    """A proof of a primary's position, with its age instead of a local time.
 
     Parameters
     ----------
     position : LogPosition
-        A position that shows all that was acknowledged until `age` seconds ago.
+        A position that includes everything acknowledged until `age` seconds ago.
     age : float
-        Seconds since the primary was asked for it.
+        Seconds since the position was requested from the primary.
     """
 
     position: LogPosition
@@ -82,22 +86,22 @@
 class RelayedUnit(Protocol):
     """A statement of another instance.
 
-    `after` is what its database must show, None for nothing.
+    `after` is the position that its database must show; None for any.
     """
 
     after: LogPosition | None
 
     @property
     def proves_lead(self) -> bool:
-        """True if a database refuses it once it leads no more."""
+        """True if a database that is no longer the primary refuses the statement."""
 
 
 class RelayedSession(ReportSession, Protocol):
     """A session of another instance.
 
-    `pinned` is the connection of its transaction; `proven_at` when the newest proof
-    that it was told of was asked for. `demand` is what the next operation asks for, and
-    `is_counted` says whether another instance has counted it.
+    `pinned` is the connection of its open transaction. `proven_at` is when the newest
+    proof that it was sent had been requested, in seconds. `demand` belongs to its next
+    operation; `is_counted` says whether another instance has counted that operation.
     """
 
     group: str
@@ -110,25 +114,25 @@
     def run_on(
         self, connection: PooledConnection, unit: RelayedUnit
     ) -> Deferred[RunResult]:
-        """Run a statement; its rows go out as they come."""
+        """Run a statement; its rows are sent as they arrive."""
 
     def send_refusal(self, error: SqlError) -> None:
-        """Say that a statement was not run."""
+        """Send the error of a statement that was not run."""
 
     def send_not_owner(self) -> None:
-        """Say that this instance gives no connections to the session's group."""
+        """Send that this instance lends no connections to the session's group."""
 
     def send_end(self, end: ResponseEnd, proven: AgedProof | None) -> None:
-        """Send the end of an answer, and what is proven of the primary if it is new."""
+        """Send the end of an answer, with a proof unless `proven` is None."""
 
     def send_status(self, status: DatabaseStatus, proven: AgedProof | None) -> None:
-        """Send the status of the session's database."""
+        """Send the status of the session's database, with a proof if there is one."""
 
     def set_gone(self, callback: Callable[[], object] | None) -> None:
         """Call back when the session ends."""
 
     def abort(self) -> None:
-        """End the session at once."""
+        """Close the session at once."""
 
 
 class RelayHandler:
@@ -139,19 +143,19 @@
     seconds : callable
         The clock of the pools' deadlines.
     get_lender : callable
-        Returns who lends connections to a group's database; None if this instance
+        Returns the lender of connections to a group's database; None if this instance
         lends none.
     time_limit : float
-        Seconds within which a statement must be done, if its own time is not shorter.
-    reporter : LoadTeller
-        Tells sessions of the load.
+        Seconds within which a statement must be done unless its own limit is shorter.
+    reporter : LoadReporter
+        Sends load reports to sessions.
     incarnation : int
-        Number of this process, which sessions are told; zero if it takes no demands.
+        Number of this process, sent to sessions; zero if it does not read demands.
     lagging_pause : float
-        Least seconds for which a replica that was behind is asked for nothing that it
-        lacked; zero: it is asked again at once.
+        Minimum seconds for which a lagging replica is sent no statement that needs a
+        position it lacked; with zero it is asked again at once.
     is_owner : callable
-        Says whether this instance lends connections to a group's databases.
+        Returns whether this instance lends connections to a group's databases.
     """
 
     def __init__(
@@ -176,13 +180,13 @@
         self._is_leaving = False
 
     def leave(self) -> None:
-        """Refuse what is new from now on; open transactions may end."""
+        """Refuse new operations from now on; open transactions may end."""
         self._is_leaving = True
 
     def refuse(self, session: RelayedSession) -> None:
-        """Say why this instance lends a session no connections."""
+        """Send the reason why this instance lends a session no connections."""
         if self._is_owner(session.group) and not self._is_leaving:
-            session.send_refusal(UNREACHED)
+            session.send_refusal(TARGET_UNREACHABLE)
         else:
             session.send_not_owner()
 
@@ -195,26 +199,26 @@
         return Deferred.fromCoroutine(self._handle(unit, session))
 
     def handle_status(self, session: RelayedSession) -> Deferred[None]:
-        """Answer with a status that was asked for after this call.
+        """Answer with a status that is requested after this call.
 
-        A status takes a slot of its database and is paid for: all sessions that
-        wait for the next one share it.
+        A status uses a slot of its database and is billed, so all sessions that wait
+        for the next one share it.
         """
         return Deferred.fromCoroutine(self._send_status(session))
 
     def forget(self, session: RelayedSession) -> None:
-        """Roll back what a session that is gone has left open."""
+        """Roll back the open transaction of a session that has closed."""
         connection, session.pinned = session.pinned, None
         lender = self._lent.pop(session, None)
         if connection is not None and lender is not None:
             lender.pool.release(connection, False)
 
     async def _handle(self, unit: RelayedUnit, session: RelayedSession) -> None:
-        """Run one statement on a connection of the pool."""
+        """Run one statement on the pinned connection or one of the pool."""
         connection, is_first = session.pinned, session.pinned is None
         if connection is None:
             if self._is_behind(unit, session):
-                session.send_refusal(BEHIND)
+                session.send_refusal(REPLICA_BEHIND)
                 return
             connection = await self._lend(session)
             if connection is None:
@@ -230,17 +234,17 @@
         _observe_end(task, session.database, unit, result, sent_at, is_first)
         if is_first and _is_lagging(unit, result) and not connection.way:
             task.observe_lagging(session.database, unit.after)
-        self._reporter.tell(session, pool)
-        session.send_end(result, _get_news(session, task))
+        self._reporter.report_load(session, pool)
+        session.send_end(result, _get_new_proof(session, task))
         session.pinned = connection
         if result.status is TransactionStatus.IDLE:
             is_refused = result.error and result.error.sqlstate in NOT_RUN_REFUSALS
-            self._take_back(session, connection, True, not (is_first and is_refused))
+            self._release(session, connection, True, not (is_first and is_refused))
 
     def _is_behind(self, unit: RelayedUnit, session: RelayedSession) -> bool:
-        """Return whether a replica has just refused what a statement asks for.
+        """Return whether a replica has just refused a statement's position.
 
-        All instances' reads pass through a few owners: one refusal tells them for all.
+        All instances' reads pass through a few owners, so one refusal serves them all.
         """
         lender = self._find_lender(session.group, session.database)
         if lender is None or unit.after is None:
@@ -248,17 +252,17 @@
         return lender.task.lacks(session.database, unit.after, self._lagging_pause)
 
     def _find_lender(self, group: str, database: str) -> Lender | None:
-        """Return what lends connections to a database, None once this one leaves."""
+        """Return the lender of a database; None once this instance leaves."""
         return None if self._is_leaving else self._get_lender(group, database)
 
     async def _lend(self, session: RelayedSession) -> PooledConnection | None:
-        """Return a connection for a session; None if it was refused or has gone."""
+        """Return a connection for a session; None if it was refused or has closed."""
         lender = self._find_lender(session.group, session.database)
         if lender is None:
             self.refuse(session)
             return None
-        # Whoever is refused at the last moment must hear so before it gives up.
-        time_left = max(0.0, session.demand.time_left - ANSWER_TIME)
+        # A refusal at the last moment must arrive before the other instance times out.
+        time_left = max(0.0, session.demand.time_left - REFUSAL_MARGIN)
         limit = min(self._time_limit, time_left)
         deadline = self._seconds() + limit
         acquiring = lender.pool.lend(deadline, session.demand, session.is_counted)
@@ -266,25 +270,29 @@
         try:
             connection = await acquiring
         except PoolRefused as refused:
-            self._reporter.tell(session, lender.pool)
+            self._reporter.report_load(session, lender.pool)
             session.send_refusal(_make_error(refused))
             return None
         except CancelledError:
-            log.info("relay: A session to %s ended while it waited.", session.database)
+            log.info(
+                "relay: a session to %s closed while it waited for a connection; "
+                "nothing was run.",
+                session.database,
+            )
             return None
         finally:
             session.set_gone(None)
         self._lent[session] = lender
         return connection
 
-    def _take_back(
+    def _release(
         self,
         session: RelayedSession,
         connection: PooledConnection,
         reusable: bool,
         has_run: bool = True,
     ) -> None:
-        """Take a connection back after a statement or a transaction."""
+        """Return a connection to its pool after a statement or a transaction."""
         session.pinned = None
         lender = self._lent.pop(session, None)
         if lender is not None:
@@ -296,7 +304,7 @@
         """End a statement whose connection was lost."""
         is_first = session.pinned is None
         has_run = lost.is_sent or not is_first
-        self._take_back(session, connection, False, has_run)
+        self._release(session, connection, False, has_run)
         if has_run:
             session.abort()
         else:
@@ -310,7 +318,7 @@
         elif isinstance(shared.answer, SqlError):
             session.send_refusal(shared.answer)
         else:
-            session.send_status(shared.answer, _get_news(session, shared.task))
+            session.send_status(shared.answer, _get_new_proof(session, shared.task))
 
 
 def _observe_end(
@@ -321,9 +329,9 @@
     sent_at: float,
     is_first: bool,
 ) -> None:
-    """Take in what an answer tells of its database.
+    """Record the position of an answer, and the lead that it proves.
 
-    Inside of a transaction it may tell of the time at which that began.
+    Inside a transaction the position may date from the transaction's start.
     """
     if end.position is None:
         return
@@ -334,17 +342,17 @@
 
 
 def _is_lagging(unit: RelayedUnit, end: ResponseEnd) -> bool:
-    """Return whether a database did not show what a statement asked for."""
+    """Return whether a database did not show the position that a statement needs."""
     is_refused = end.error is not None and end.error.sqlstate == CANNOT_CONNECT_NOW
     return is_refused and unit.after is not None
 
 
-def _get_news(session: RelayedSession, task: GroupTask) -> AgedProof | None:
-    """Return the newest proof, None if the session was told of it before.
+def _get_new_proof(session: RelayedSession, task: GroupTask) -> AgedProof | None:
+    """Return the newest proof; None if the session was sent it before.
 
-    An owner has many proofs from the statements that pass. Without them each
-    instance would ask each primary for a position of its own every second: on 74
-    instances that made 59,700 status requests beside 23,700 statements.
+    An owner gets many proofs from the statements that it relays. Without them each
+    instance would request a position from each primary every second: with 74 instances
+    that made 59,700 status requests beside 23,700 statements.
     """
     sample = task.get_proof()
     if sample is None or sample.sent_at <= session.proven_at:
@@ -354,6 +362,6 @@
 
 
 def _make_error(refused: PoolRefused) -> SqlError:
-    """Return the error of a statement that got no connection."""
+    """Return the error for a statement that got no connection."""
     refusal = refused.refusal
     return make_refusal(refusal.reason.value, refusal.retry_after, refusal.sqlstate)
--- a/beryltrack/relay/load_reporter.py
+++ b/beryltrack/relay/load_reporter.py
@@ -1,4 +1,4 @@
-"""Tells the sessions of other instances how loaded an owner's databases are."""
+"""Sends load reports of an owner's databases to the sessions of other instances."""
 
 import math
 from collections.abc import Callable
@@ -9,48 +9,48 @@
 
 
 class ReportSession(Protocol):
-    """A session that may be told of the load.
+    """A session that may be sent load reports.
 
-    `sends_demands` is True once it has told what an operation asks for: only then the
-    instance at its other end understands reports. `last_report` is the report that was
-    sent last, None before the first.
+    `sends_demands` is True once it has sent an operation's demand: only then does the
+    instance at its other end understand reports. `last_report` is the last report that
+    it was sent, None before the first.
     """
 
     database: str
     sends_demands: bool
     last_report: ToldReport | None
 
-    def send_report(self, told: ToldReport) -> None:
-        """Tell of the database's load; the end of an answer follows."""
+    def send_report(self, report: ToldReport) -> None:
+        """Send a report of the database's load; the end of an answer follows."""
 
 
-class Reporter(Protocol):
-    """What reports the load of one database."""
+class LoadSource(Protocol):
+    """The source of one database's load reports."""
 
     def get_report(self) -> DatabaseReport | None:
-        """Return the load now, None if it is not known."""
+        """Return the current load, None if it is unknown."""
 
 
 class LoadReporter:
-    """Tells sessions of the load with their answers.
+    """Sends load reports along with the answers of sessions.
 
     Parameters
     ----------
     seconds : callable
         The node's time.
-    is_on : bool
-        False if nothing is told.
+    is_enabled : bool
+        False if no reports are sent.
     """
 
-    def __init__(self, seconds: Callable[[], float], is_on: bool = True):
+    def __init__(self, seconds: Callable[[], float], is_enabled: bool = True):
         self._seconds = seconds
         self._started_at = seconds()
-        self._is_on = is_on
+        self._is_enabled = is_enabled
         self._busy_at: dict[str, float] = {}
 
-    def tell(self, session: ReportSession, pool: Reporter) -> None:
+    def report_load(self, session: ReportSession, pool: LoadSource) -> None:
         """Send a report before the end of an answer, if one is due."""
-        if not (self._is_on and session.sends_demands):
+        if not (self._is_enabled and session.sends_demands):
             return
         report = pool.get_report()
         if report is None:
--- a/beryltrack/relay/opener.py
+++ b/beryltrack/relay/opener.py
@@ -1,10 +1,10 @@
 """Opens connections to databases, directly or through another instance.
 
-An instance is often cut off from a database alone, while others reach it. An owner to
-which no packet comes back from a database asks the others for a way, one after the
-other, and tries in between whether it reaches the database itself again. So a partition
-between some instances and a primary costs those a hop, and the group no change of
-primary. A database that is slow or full is reached: it would only get more to do.
+Often one instance is cut off from a database that others reach. An owner that gets no
+packet back from a database connects through the other instances, one after the other,
+and periodically probes the direct path. A partition between some instances and a
+primary thus costs those one hop, and the group no change of primary. A database that is
+slow or full counts as reachable: an indirect path would only add to its load.
 """
 
 import logging
@@ -23,20 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-Open = Callable[[Endpoint, str, str, float, str], Deferred[RelayedConnection]]
+OpenConnection = Callable[[Endpoint, str, str, float, str], Deferred[RelayedConnection]]
 
 
 class OpenPolicy(NamedTuple):
-    """Times of opening, seconds, and which ways are taken.
+    """Timeouts of opening connections, and which paths are used.
 
     Parameters
     ----------
     relay_timeout : float
-        Until another instance counts as out of reach.
+        Seconds until another instance counts as unreachable.
     probe_timeout : float
-        Until a database counts as still out of reach.
+        Seconds until a probed database counts as still unreachable.
     uses_indirect_paths : bool
-        False if a database that is out of reach is not reached through others.
+        True if an unreachable database is reached through other instances.
     """
 
     relay_timeout: float
@@ -52,25 +52,25 @@
     reactor : IReactorTime
         Source of timers.
     directory : RelayDirectory
-        Says through which instance a connection goes.
+        Chooses the instance through which a connection goes.
     open_at : callable
-        Opens a connection at an address, for a group's database, within a time, for
-        an account.
+        Opens a connection to an endpoint for a group's database, within a timeout in
+        seconds, for an account.
     is_used : callable
-        Says whether a group's database is still used.
-    limits : OpenLimits
-        Times.
+        Returns whether a group's database is still used.
+    policy : OpenPolicy
+        Timeouts, and which paths are used.
     outlook : ReportedOutlook
-        Takes what other instances tell of their load.
+        Receives the load reports of other instances.
     """
 
     def __init__(
         self,
         reactor,
         directory: RelayDirectory,
-        open_at: Open,
+        open_at: OpenConnection,
         is_used: Callable[[str, str], bool],
-        limits: OpenPolicy,
+        policy: OpenPolicy,
         outlook: ReportedOutlook,
     ):
         self._outlook = outlook
@@ -78,18 +78,18 @@
         self._directory = directory
         self._open_at = open_at
         self._is_used = is_used
-        self._limits = limits
+        self._policy = policy
 
     def open(
         self, group: str, database: DatabaseSettings, timeout: float
     ) -> Deferred[RelayedConnection]:
-        """Open a connection; `timeout` holds for one straight to the database."""
+        """Open a connection; `timeout` (seconds) applies to a direct one."""
         return Deferred.fromCoroutine(self._open(group, database, timeout))
 
     def open_directly(
         self, group: str, database: DatabaseSettings, timeout: float, account: str = ""
     ) -> Deferred[RelayedConnection]:
-        """Open a connection of an account to the database itself."""
+        """Open a direct connection to the database for an account."""
         return Deferred.fromCoroutine(
             self._open_directly(group, database, timeout, account)
         )
@@ -97,119 +97,127 @@
     def open_session(
         self, group: str, database: DatabaseSettings, owner: str
     ) -> Deferred[RelayedConnection]:
-        """Open a session to the database at another instance."""
+        """Open a session to the database at another instance.
+
+        Fails with `ConnectionError` if that instance is no longer a member.
+        """
         peer = self._directory.get_peer(owner)
         if peer is None:
-            return fail(ConnectionError(f"{owner} is no instance any more"))
-        return Deferred.fromCoroutine(self._open_through(peer, group, database))
+            return fail(ConnectionError(f"{owner} is no longer a known instance"))
+        return Deferred.fromCoroutine(self._open_session(peer, group, database))
 
     def observe_silence(self, connection: RelayedConnection) -> None:
-        """Take another way next: nothing comes over this connection."""
+        """Avoid the instance that relays a connection over which nothing arrives."""
         if connection.way:
             self._directory.avoid(connection.way)
 
     async def _open(
         self, group: str, database: DatabaseSettings, timeout: float
     ) -> RelayedConnection:
-        """Try one way after the other, the direct one once."""
-        reason: Exception | None = None
+        """Try one path after the other, the direct one once."""
+        last_error: Exception | None = None
         while True:
-            owner = self._choose(group, database)
-            if owner is None and reason is not None:
-                raise reason
+            owner = self._choose_via(group, database)
+            if owner is None and last_error is not None:
+                raise last_error
             try:
                 if owner is None:
                     return await self._open_directly(group, database, timeout)
-                return await self._open_through(owner, group, database)
+                return await self._open_session(owner, group, database)
             except (ConnectRefused, OSError) as error:
                 if not self._directory.is_unreachable(database.name):
                     raise
-                reason = error
+                last_error = error
 
-    def _choose(self, group: str, database: DatabaseSettings) -> Peer | None:
+    def _choose_via(self, group: str, database: DatabaseSettings) -> Peer | None:
         limit = database.max_connections
         return self._directory.choose_via(group, database.name, limit)
 
     async def _open_directly(
         self, group: str, database: DatabaseSettings, timeout: float, account: str = ""
     ) -> RelayedConnection:
-        """Open a connection to the database itself."""
-        # A database knows its identifier alone; an owner is also told the incarnation.
+        """Open a direct connection and record whether the database was reachable."""
+        # A database knows only its identifier; an owner is also sent the incarnation.
         identifier = get_identifier(database.name)
         opening = self._open_at(database.endpoint, group, identifier, timeout, account)
         try:
             connection = await opening
         except TargetUnreachable:
-            self._block(group, database)
+            self._mark_unreachable(group, database)
             raise
         except (ConnectRefused, OSError):
-            self._end_detour(database)
+            self._mark_reachable(database)
             raise
-        self._end_detour(database)
+        self._mark_reachable(database)
         return connection
 
-    async def _open_through(
+    async def _open_session(
         self, owner: Peer, group: str, database: DatabaseSettings
     ) -> RelayedConnection:
-        """Open a session to another instance, and pass over one that gives none."""
+        """Open a session at another instance; avoid it if it gives none."""
         directory, name = self._directory, database.name
         opening = self._open_at(
-            owner.relay_endpoint, group, name, self._limits.relay_timeout, ""
+            owner.relay_endpoint, group, name, self._policy.relay_timeout, ""
         )
         try:
             connection = await opening
         except ConnectRefused as refused:
-            # One that is left for a database that it does not reach would be missed for
-            # all others: where a primary was lost, all owners of its group were left.
+            # Avoiding an instance that does not reach one database would lose it for
+            # all others: after the loss of a primary all owners of its group were
+            # avoided.
             if refused.is_useless or directory.is_unreachable(name):
-                directory.note_useless(name, owner.name)
+                directory.observe_target_unreachable(name, owner.name)
             else:
-                directory.note_refusal(owner.name)
+                directory.observe_refusal(owner.name)
             raise
         except OSError:
             directory.avoid(owner.name)
             raise
         connection.way = owner.name
         self._outlook.observe_owner(owner.name, connection.incarnation)
-        connection.on_report = lambda told, sent_at: self._outlook.observe(
-            owner.name, name, told, sent_at
+        connection.on_report = lambda report, sent_at: self._outlook.observe(
+            owner.name, name, report, sent_at
         )
         connection.on_useless = lambda has_left: (
-            directory.note_refusal(owner.name)
+            directory.observe_refusal(owner.name)
             if has_left
-            else directory.note_useless(name, owner.name)
+            else directory.observe_target_unreachable(name, owner.name)
         )
         return connection
 
-    def _block(self, group: str, database: DatabaseSettings) -> None:
-        """Reach a database through others until it is reached directly again."""
-        if not self._limits.uses_indirect_paths:
+    def _mark_unreachable(self, group: str, database: DatabaseSettings) -> None:
+        """Use indirect paths to a database until the direct one works again."""
+        if not self._policy.uses_indirect_paths:
             return
         if self._directory.mark_unreachable(database.name):
-            log.warning("relay: %s is reached through others.", database.name)
-            self._probe_later(group, database)
-
-    def _end_detour(self, database: DatabaseSettings) -> None:
-        """Reach a database directly from now on."""
+            log.warning(
+                "relay: no packet came back from %s; connecting through other "
+                "instances until a direct probe succeeds.",
+                database.name,
+            )
+            self._schedule_probe(group, database)
+
+    def _mark_reachable(self, database: DatabaseSettings) -> None:
+        """Use the direct path to a database from now on."""
         if self._directory.is_unreachable(database.name):
-            log.info("relay: %s is reached directly again.", database.name)
+            log.info("relay: %s answers directly again.", database.name)
             self._directory.mark_reachable(database.name)
 
-    def _probe_later(self, group: str, database: DatabaseSettings) -> None:
-        """Try in a while whether a database can be reached directly again."""
+    def _schedule_probe(self, group: str, database: DatabaseSettings) -> None:
+        """Schedule the next probe of the direct path to a database."""
         self._reactor.callLater(DIRECT_RETRY_INTERVAL, self._probe, group, database)
 
     def _probe(self, group: str, database: DatabaseSettings) -> None:
-        """Try whether a database can be reached directly again."""
+        """Probe the direct path to a database; repeat after a failure."""
         if not self._directory.is_unreachable(database.name):
             return
         if not self._is_used(group, database.name):
             self._directory.mark_reachable(database.name)
             return
         opening = Deferred.fromCoroutine(
-            self._open_directly(group, database, self._limits.probe_timeout)
+            self._open_directly(group, database, self._policy.probe_timeout)
         )
         opening.addCallbacks(
             lambda connection: connection.end_session(),
-            lambda failure: self._probe_later(group, database),
+            lambda failure: self._schedule_probe(group, database),
         )
--- a/beryltrack/relay/owners.py
+++ b/beryltrack/relay/owners.py
@@ -1,11 +1,14 @@
-"""Which instances open connections to the databases of a group.
-
-A database counts its connections over all instances. While the fleet is small
-beside that limit each instance opens its own, an even share of them. In a larger
-fleet a few instances, the owners of a group, open connections, and the others send
-their statements through an owner. Owners are worked out by each instance from the
-members that it knows: nothing is agreed on. Views that differ for a while cost a
-refused connection, never a promise.
+"""Placement: which instances open connections to the databases of a group.
+
+A group is a primary and its replicas. The connection limit of a database applies to all
+instances together. While the fleet is small compared to that limit, each instance opens
+an even share of the connections. In a larger fleet only a few instances, the owners of
+a group, open connections to its databases, and the others relay their statements
+through an owner.
+
+Each instance computes the owners by rendezvous hashing from the members that it knows,
+without consensus. Views that differ for a while cost refused connections, but break no
+guarantee.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,34 +18,34 @@
 from beryltrack.ranks import compute_rank
 from beryltrack.settings.messages import Endpoint
 
-RESERVED = 2
-"""Connections that no instance uses, for those of an instance that is replaced."""
+RESERVED_CONNECTIONS = 2
+"""Connections per database that are left unused, for those of an instance that is being
+replaced."""
 
-LEAST_SHARE = 2.5
-"""Connections for each instance, on average, below which not all open their own. With
+MIN_MEAN_SHARE = 2.5
+"""Mean connections per instance below which not all instances open their own. With
 fewer, an open transaction would often hold an instance's only connection."""
 
-LEAST_OWNERS = 2
-"""Owners below which all instances open their own connections, if there is one for
-each. All statements would pass through a single owner, mostly from other availability
-zones, and all would wait where it is cut off or overloaded."""
-
-OWNER_SHARE = 10
-"""Least connections of an owner, the one for control requests among them. With 5,
-transactions that rest held all of an owner's connections while those of others were
-idle: 884 of 21,000 tries were refused on 72 instances."""
+MIN_OWNERS = 2
+"""Number of owners below which all instances open their own connections, if there is
+one for each. All statements would pass through a single owner, mostly from other
+availability zones, and all would wait if it were cut off or overloaded."""
 
-OWNERS_PER_ZONE = 2
-"""Most owners of a group in each availability zone: one to use, one to go to when it
-is lost. More would only cut the connections into smaller shares."""
+MIN_OWNER_SHARE = 10
+"""Minimum connections of an owner, including the one for control requests. With 5, idle
+transactions held all connections of one owner while those of others were unused: 884 of
+21,000 attempts were refused on 72 instances."""
 
+MAX_OWNERS_PER_ZONE = 2
+"""Maximum number of a group's owners per availability zone: one to use and one for when
+it is lost. More would only divide the connections into smaller shares."""
 
-STRONG_PART = 0.5
-"""Part of the largest capacity that an owner of accounts has at the least, where enough
-instances have it: all that accounts ask for passes through a few owners."""
+STRONG_FRACTION = 0.5
+"""Minimum capacity of an owner of accounts, as a fraction of the largest capacity, if
+enough instances have it: all operations of accounts pass through a few owners."""
 
-ACCOUNTS = "accounts"
-"""What owners of accounts are chosen for."""
+ACCOUNTS_ROLE = "accounts"
+"""Rendezvous hashing key of the owners of accounts, in place of a group."""
 
 
 class Peer(NamedTuple):
@@ -55,11 +58,11 @@
     zone : str
         Its availability zone.
     relay_endpoint : Endpoint
-        Where it takes the statements of others.
+        Where it accepts statements of other instances.
     cache_endpoint : Endpoint or None
-        Where it tells others what the store holds; None if it does not.
+        Where it serves cached copies of the store's objects; None if it does not.
     quota_endpoint : Endpoint or None
-        Where it takes the rights of others to run accounts' operations.
+        Where it accepts other instances' quota shares of accounts; None if it does not.
     capacity : float
         Processor time that it may use, in cores.
     """
@@ -73,7 +76,7 @@
 
 
 class Placement(NamedTuple):
-    """Who opens connections to the databases of a group.
+    """The instances that open connections to the databases of a group.
 
     Parameters
     ----------
@@ -82,7 +85,7 @@
     share : int
         Connections of one owner to each database.
     favoured : frozenset of str
-        Names of the instances that have one more, where no even share uses up all.
+        Names of the instances with one connection more, which uses up the remainder.
     """
 
     owners: tuple[Peer, ...]
@@ -106,45 +109,46 @@
     zones = dict.fromkeys(peer.zone for peer in ranked)
     by_zone = [[peer for peer in ranked if peer.zone == zone] for zone in zones]
     longest = max(map(len, by_zone), default=0)
-    in_turn = chain.from_iterable(
-        (line[turn] for line in by_zone if turn < len(line)) for turn in range(longest)
+    interleaved = chain.from_iterable(
+        (zone_peers[index] for zone_peers in by_zone if index < len(zone_peers))
+        for index in range(longest)
     )
-    return tuple(in_turn)[:count]
+    return tuple(interleaved)[:count]
 
 
 def compute_placement(
     group: str,
     peers: Sequence[Peer],
     max_connections: int,
-    least_instances: int = 1,
+    min_instances: int = 1,
     choose: ChooseOwners = choose_owners,
 ) -> Placement:
-    """Return who opens connections to the databases of a group.
+    """Return the instances that open connections to the databases of a group.
 
     Parameters
     ----------
     group : str
         The group.
     peers : sequence of Peer
-        All instances that are known.
+        All known instances.
     max_connections : int
-        Most connections to each database, of all instances together.
-    least_instances : int
-        How many instances to reckon with at the least.
+        Connection limit of each database, for all instances together.
+    min_instances : int
+        Minimum number of instances to assume.
     choose : callable
         Chooses the owners.
 
     Returns
     -------
     Placement
-        Owners by rendezvous hashing, from as many availability zones as can be.
+        Owners by rendezvous hashing, over as many availability zones as possible.
     """
-    usable = max(1, max_connections - RESERVED)
-    instances = max(len(peers), least_instances)
+    usable = max(1, max_connections - RESERVED_CONNECTIONS)
+    instances = max(len(peers), min_instances)
     zones = len({peer.zone for peer in peers})
-    count = max(1, min(usable // OWNER_SHARE, zones * OWNERS_PER_ZONE))
-    can_all_own = instances <= usable and count < LEAST_OWNERS
-    if can_all_own or instances * LEAST_SHARE <= usable or count >= len(peers):
+    count = max(1, min(usable // MIN_OWNER_SHARE, zones * MAX_OWNERS_PER_ZONE))
+    can_all_own = instances <= usable and count < MIN_OWNERS
+    if can_all_own or instances * MIN_MEAN_SHARE <= usable or count >= len(peers):
         return _share_evenly(group, peers, usable, instances)
     return Placement(choose(group, peers, count), usable // count)
 
@@ -152,36 +156,36 @@
 def _share_evenly(
     group: str, peers: Sequence[Peer], usable: int, instances: int
 ) -> Placement:
-    """Return the placement in which all own a group; some have one connection more."""
-    share, rest = divmod(usable, instances)
+    """Return the placement in which all instances own a group."""
+    share, remainder = divmod(usable, instances)
     ranked = sorted(
         (peer.name for peer in peers),
         key=lambda name: compute_rank(group, name),
         reverse=True,
     )
-    return Placement((), max(1, share), frozenset(ranked[:rest] if share else ()))
+    return Placement((), max(1, share), frozenset(ranked[:remainder] if share else ()))
 
 
 def choose_account_owners(
-    peers: Sequence[Peer], least_connections: int
+    peers: Sequence[Peer], smallest_limit: int
 ) -> tuple[Peer, ...]:
     """Return the instances that run all accounts' operations.
 
     They are the same for all groups, so that one instance counts an account's
-    operations, and has its connections. Those that can carry the most are taken first.
+    operations and has its connections. Instances of high capacity are preferred.
     """
-    usable = max(1, least_connections - RESERVED)
+    usable = max(1, smallest_limit - RESERVED_CONNECTIONS)
     zones = len({peer.zone for peer in peers})
-    count = max(1, min(usable // OWNER_SHARE, zones * OWNERS_PER_ZONE))
-    most = max((peer.capacity for peer in peers), default=0.0)
-    strong = [peer for peer in peers if peer.capacity >= most * STRONG_PART]
-    fit = strong if len(strong) >= count else peers
-    return choose_owners(ACCOUNTS, fit, count)
+    count = max(1, min(usable // MIN_OWNER_SHARE, zones * MAX_OWNERS_PER_ZONE))
+    max_capacity = max((peer.capacity for peer in peers), default=0.0)
+    strong = [peer for peer in peers if peer.capacity >= max_capacity * STRONG_FRACTION]
+    eligible = strong if len(strong) >= count else peers
+    return choose_owners(ACCOUNTS_ROLE, eligible, count)
 
 
 def compute_account_share(max_connections: int, owners: Sequence[Peer]) -> int:
     """Return how many connections to a database each owner of accounts may open."""
-    return max(1, (max_connections - RESERVED) // max(1, len(owners)))
+    return max(1, (max_connections - RESERVED_CONNECTIONS) // max(1, len(owners)))
 
 
 def order_owners(
@@ -189,8 +193,8 @@
 ) -> list[Peer]:
     """Return the owners in the order in which an instance asks them.
 
-    Those of its own zone first, as bytes between zones are paid for and late; among
-    equals each instance has an order of its own, so that owners share the load.
+    Owners in its own zone come first, as traffic between zones is billed and slower.
+    Among equals each instance has its own order, which spreads the load over owners.
     """
     return sorted(
         owners,
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -1,7 +1,7 @@
-"""Probes of instances that are passed over, in place of callers' requests.
+"""Probes of avoided instances, so that no caller's request has to try them.
 
-A probe is a link on which nothing is lent. The process itself must answer: a kernel
-takes connections for one that is frozen.
+A probe is an empty offer on a quota link. It needs an answer of the process, as the
+kernel accepts connections even for a frozen process.
 """
 
 import logging
@@ -18,20 +18,20 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_PERIOD = 0.1
-"""Seconds between two looks at which probes are due."""
+CHECK_INTERVAL = 0.1
+"""Seconds between two checks for due probes."""
 
-PROBE_LIMIT = 0.5
-"""Seconds until a probe counts as not answered; it takes 1 to 10 ms."""
+PROBE_TIMEOUT = 0.5
+"""Seconds until a probe counts as unanswered; an answer takes 1 to 10 ms."""
 
-LAPSE_TIME = 2.0
-"""Seconds for which an instance is passed over where probes are switched off."""
+UNPROBED_AVOID_TIME = 2.0
+"""Seconds for which an instance is avoided that cannot be probed."""
 
-NOTHING = Offer(0, 0.0)
+EMPTY_OFFER = Offer(0, 0.0)
 
 
 class ProbeTask:
-    """Probes the instances that a directory passes over.
+    """Probes the instances that a directory avoids.
 
     Parameters
     ----------
@@ -40,78 +40,78 @@
     name : str
         Name of this instance.
     directory : RelayDirectory
-        Says which probes are due, and is told their result.
-    probes : bool
-        False if nobody is probed: callers' requests find out who is back.
+        Lists the due probes and receives their results.
+    is_enabled : bool
+        False if no instance is probed: callers' requests find out which are back.
     """
 
     def __init__(
-        self, reactor, name: str, directory: RelayDirectory, probes: bool = True
+        self, reactor, name: str, directory: RelayDirectory, is_enabled: bool = True
     ):
-        self._probes = probes
+        self._is_enabled = is_enabled
         self._reactor = reactor
         self._awake = get_awake_clock(reactor)
         self._name = name
         self._directory = directory
         self._running: set[str] = set()
-        self._looking = LoopingCall(self._look)
-        self._looking.clock = reactor
+        self._checking = LoopingCall(self._check_due)
+        self._checking.clock = reactor
 
     def start(self) -> None:
-        """Begin to probe."""
-        self._looking.start(LOOK_PERIOD, now=False)
+        """Start probing."""
+        self._checking.start(CHECK_INTERVAL, now=False)
 
     def stop(self) -> None:
-        """Probe no more."""
-        if self._looking.running:
-            self._looking.stop()
+        """Stop probing."""
+        if self._checking.running:
+            self._checking.stop()
 
-    def _look(self) -> None:
-        """Begin the probes that are due."""
+    def _check_due(self) -> None:
+        """Start the probes that are due."""
         for name in self._directory.get_due_probes():
             peer = self._directory.get_peer(name)
-            # One of an earlier release takes no probe: a caller's request finds out.
-            if not self._probes or peer is None or peer.quota_endpoint is None:
-                self._let_lapse(name)
+            # An instance of an earlier release accepts no probes.
+            if not self._is_enabled or peer is None or peer.quota_endpoint is None:
+                self._expire(name)
             elif name not in self._running:
-                self._begin(name, peer.quota_endpoint)
+                self._start_probe(name, peer.quota_endpoint)
 
-    def _let_lapse(self, name: str) -> None:
-        """Pass over an instance no more after a while, without a probe."""
-        if self._directory.get_time_since_failure(name) >= LAPSE_TIME:
-            self._directory.note_reached(name)
+    def _expire(self, name: str) -> None:
+        """Stop avoiding an instance after a while without a probe."""
+        if self._directory.get_time_since_failure(name) >= UNPROBED_AVOID_TIME:
+            self._directory.stop_avoiding(name)
 
-    def _begin(self, name: str, place: Endpoint) -> None:
-        """Begin a probe."""
+    def _start_probe(self, name: str, endpoint: Endpoint) -> None:
+        """Start a probe."""
         self._running.add(name)
-        probing = Deferred.fromCoroutine(self._probe(place))
+        probing = Deferred.fromCoroutine(self._probe(endpoint))
         probing.addCallbacks(
-            self._note_reached,
-            self._note_missed,
+            self._observe_answer,
+            self._observe_failure,
             callbackArgs=(name,),
             errbackArgs=(name,),
         )
 
-    async def _probe(self, place: Endpoint) -> None:
-        """Ask for an answer at an address; raise if there is none in time."""
-        endpoint = TCP4ClientEndpoint(
-            self._reactor, place.host, place.port, PROBE_LIMIT
+    async def _probe(self, endpoint: Endpoint) -> None:
+        """Request an answer from an endpoint; raise if there is none in time."""
+        client = TCP4ClientEndpoint(
+            self._reactor, endpoint.host, endpoint.port, PROBE_TIMEOUT
         )
-        link = await connectProtocol(endpoint, RightsLender())
-        answer = link.tell(self._name, NOTHING)
+        link = await connectProtocol(client, RightsLender())
+        answer = link.tell(self._name, EMPTY_OFFER)
         link.is_over.addCallback(lambda _: answer.called or answer.cancel())
         try:
-            await answer.addTimeout(PROBE_LIMIT, self._awake)
+            await answer.addTimeout(PROBE_TIMEOUT, self._awake)
         finally:
             link.give_up()
 
-    def _note_reached(self, _: None, name: str) -> None:
-        """Take in that an instance answers."""
+    def _observe_answer(self, _: None, name: str) -> None:
+        """Record that an instance answered its probe."""
         self._running.discard(name)
-        log.info("relay: %s answers again.", name)
-        self._directory.note_reached(name)
+        log.info("relay: %s answered a probe and is used again.", name)
+        self._directory.stop_avoiding(name)
 
-    def _note_missed(self, failure: object, name: str) -> None:
-        """Take in that an instance does not answer."""
+    def _observe_failure(self, failure: object, name: str) -> None:
+        """Record that an instance did not answer its probe."""
         self._running.discard(name)
-        self._directory.note_unreached(name)
+        self._directory.observe_probe_failure(name)
--- a/beryltrack/relay/relayed_connections.py
+++ b/beryltrack/relay/relayed_connections.py
@@ -1,7 +1,8 @@
-"""Connections that go through an owner, and when the owner is given up with one.
+"""Connections that are relayed by an owner, and the detection of silent owners.
 
-An owner that has lost power answers nothing and closes nothing. Without a judgement
-of the owner each idle connection to it would cost one more request its time.
+An owner that has lost power neither answers nor closes its connections. If an overdue
+request closed only its own connection, each idle connection to that owner would delay
+one more request.
 """
 
 import logging
@@ -16,15 +17,17 @@
 
 
 class RelayedConnection(PooledConnection, Protocol):
-    """A connection that tells when anything came over it, by the node's clock.
-
-    `busy` is True while a statement runs on it; `on_useless` is called if the
-    instance that it goes through says that it does not reach the database, with True
-    if it gives no connections to the group at all. That instance counts the next
-    operation unless `is_counted` says that it was counted, and is told of its `demand`.
-    `incarnation` is the number of that instance's process, zero if it is of an earlier
-    release; `on_report` takes what it tells of its load, and when the statement was
-    sent that it came with an answer to.
+    """A connection to a database, direct or relayed by another instance.
+
+    `heard_at` is when bytes last arrived, in seconds of the node's clock; `busy` is
+    True while a statement runs. The relaying instance counts the next operation unless
+    `is_counted` is True, and is sent its `demand`. `incarnation` is the number of that
+    instance's process, zero for an earlier release.
+
+    `on_useless` is called when the relaying instance answers that it does not reach the
+    database, with True if it lends no connections to the group at all. `on_report` is
+    called with each load report, and with the time at which the statement was sent
+    whose answer the report came with.
     """
 
     heard_at: float
@@ -37,7 +40,7 @@
 
 
 class ConnectionPool(Protocol):
-    """What holds connections, as `DatabaseAccess` does."""
+    """A holder of connections, such as `DatabaseAccess`."""
 
     def get_connections(self) -> tuple[RelayedConnection, ...]:
         """Return all connections that are open."""
@@ -50,23 +53,23 @@
 
 
 def never_answered(name: str, since: float) -> bool:
-    """Return False: an instance is heard over its sessions alone."""
+    """Return False: only the sessions of an instance show whether it answers."""
     return False
 
 
 def is_silent(
     connection: RelayedConnection,
     pools: Iterable[ConnectionPool],
-    was_heard: HasAnswered = never_answered,
+    has_answered: HasAnswered = never_answered,
 ) -> bool:
-    """Return whether nothing came from an owner since a connection's request was sent.
+    """Return whether an owner has sent nothing since a connection's request was sent.
 
-    A connection straight to a database is not judged by this. Where few statements go
-    to an owner, one that waits for a database that hangs says nothing of the owner:
-    `was_heard` tells whether it answered elsewhere since a time.
+    Always False for a direct connection. An owner that relays few statements may be
+    silent only because its database hangs, so `has_answered` says whether it has
+    answered this instance elsewhere since a time.
     """
     since, way = connection.run_since, connection.way
-    if not way or since is None or was_heard(way, since):
+    if not way or since is None or has_answered(way, since):
         return False
     return not any(
         each.heard_at > since
@@ -79,9 +82,9 @@
 def close_overdue(
     connection: RelayedConnection,
     pools: Iterable[ConnectionPool],
-    was_heard: HasAnswered = never_answered,
+    has_answered: HasAnswered = never_answered,
 ) -> str:
-    """Close a connection whose request is far too late.
+    """Close a connection whose request is long overdue.
 
     Parameters
     ----------
@@ -89,21 +92,25 @@
         The connection.
     pools : iterable of ConnectionPool
         All pools of this instance.
-    was_heard : callable
-        Says of an instance whether it has answered elsewhere since a time.
+    has_answered : callable
+        Returns whether an instance has answered elsewhere since a time.
 
     Returns
     -------
     str
-        The owner to ask no more for a while, as nothing came from it since the
-        request was sent; its idle connections are closed. Empty if there is none.
+        The owner to avoid, as it has sent nothing since the request was sent; its idle
+        connections are closed. Empty if there is no such owner.
     """
     pools = tuple(pools)
-    must_leave = is_silent(connection, pools, was_heard)
+    is_owner_silent = is_silent(connection, pools, has_answered)
     connection.close()
-    if not must_leave:
+    if not is_owner_silent:
         return ""
-    log.warning("relay: %s does not answer, others are asked.", connection.way)
+    log.warning(
+        "relay: %s does not answer; closing its idle connections and using other "
+        "owners.",
+        connection.way,
+    )
     for pool in pools:
         for each in pool.get_connections():
             if each.way == connection.way:
--- a/beryltrack/relay/slot_owners.py
+++ b/beryltrack/relay/slot_owners.py
@@ -1,11 +1,11 @@
-"""Which owners count and run the operations of an account, by the account's slot.
-
-Two ways. With one owner in the whole fleet an account's connections and its limit are
-in one place, and most operations cross availability zones to it. With one in each zone
-an operation stays in its zone. Each zone's owner then has the rights of the zone's
-instances, and where these are used up the operation goes to another zone's owner: the
-rights stay where they are, so that the limit holds as before. docs/notes/quota.md says
-why, and what each way costs.
+"""Policies for the owners that count and run operations, by account hash slot.
+
+With one owner in the whole fleet an account's connections and its limit are in one
+place, but most operations cross availability zones to reach it. With one owner in each
+zone an operation stays in its zone. Each zone's owner then holds the quota shares of
+the zone's instances. When these are used up, the operation goes to an owner in another
+zone while the shares stay where they are, so that the limit still holds.
+docs/notes/quota.md gives the reasons and the costs of both policies.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,27 +13,27 @@
 
 from beryltrack.accounts.slots import SLOTS
 from beryltrack.ranks import compute_rank
-from beryltrack.relay.owners import ACCOUNTS, Peer
+from beryltrack.relay.owners import ACCOUNTS_ROLE, Peer
 
-SPENT_TIME = 0.2
-"""Seconds for which an owner that refused an account's operation, as over its limit, is
-asked last. An account of 10 operations a second gets a third of a token in a zone in
-that time."""
+REFUSAL_RETENTION = 0.2
+"""Seconds for which an owner that refused an account's operation as over its limit is
+asked last. In that time an account of 10 operations a second earns a third of a token
+in a zone."""
 
-MOST_SPENT = 1024
-"""Accounts whose refusals are remembered, those that were refused last."""
+MAX_REFUSED_ACCOUNTS = 1024
+"""Accounts whose refusals are kept; the least recently refused are dropped."""
 
 PreferenceList = tuple[Peer, ...]
-"""Owners of which the first that is reached counts a slot's accounts."""
+"""Owners by preference: the first one that is reachable counts a slot's accounts."""
 
 
 class SlotOwnerPolicy(Protocol):
-    """Which owners count a slot's accounts, as one instance asks them."""
+    """Chooses the owners that count a slot's accounts, as one instance asks them."""
 
     def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
     ) -> tuple[PreferenceList, ...]:
-        """Return the lines of owners, the one to ask first before all others.
+        """Return the preference lists of owners, the one to ask first at the start.
 
         Parameters
         ----------
@@ -47,53 +47,54 @@
 
 
 class FleetOwners:
-    """One owner of each slot in the whole fleet."""
+    """One owner per slot in the whole fleet."""
 
     def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
     ) -> tuple[PreferenceList, ...]:
-        """Return one line, the same for all zones."""
+        """Return one preference list, the same for all zones."""
         return (rank_owners(owners, slot),)
 
 
 class ZoneOwners:
-    """One owner of each slot in each zone that has owners."""
+    """One owner per slot in each zone that has owners."""
 
     def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
     ) -> tuple[PreferenceList, ...]:
-        """Return the line of the zone, then those of the others by their first rank.
+        """Return the zone's preference list, then those of the other zones by rank.
 
-        Where the zone's owners are not reached, or it has none, the others follow in
-        the slot's order of all. The first of these is the one that its own zone asks,
-        so that it passes the operation on to nobody.
+        The zone's list starts with its own owners. The owners of other zones follow in
+        the slot's overall order, for a zone that has no owners or reaches none of them.
+        The first of these is also the first choice of its own zone, so that it does not
+        relay the operation again.
         """
         ranked = rank_owners(owners, slot)
         own = tuple(sorted(ranked, key=lambda peer: peer.zone != zone))
         others = dict.fromkeys(peer.zone for peer in ranked if peer.zone != zone)
-        lines = (tuple(p for p in ranked if p.zone == other) for other in others)
-        return (own, *lines)
+        lists = (tuple(p for p in ranked if p.zone == other) for other in others)
+        return (own, *lists)
 
 
 def rank_owners(owners: Sequence[Peer], slot: int) -> tuple[Peer, ...]:
-    """Return the owners by a slot's own ranks, the same on all instances."""
-    role = f"{ACCOUNTS} {slot}"
+    """Return the owners by rendezvous hashing of a slot, the same on all instances."""
+    role = f"{ACCOUNTS_ROLE} {slot}"
     return tuple(
         sorted(owners, key=lambda peer: compute_rank(role, peer.name), reverse=True)
     )
 
 
 def make_all_preference_lists(
-    owners: Sequence[Peer], choice: SlotOwnerPolicy, zone: str
+    owners: Sequence[Peer], policy: SlotOwnerPolicy, zone: str
 ) -> dict[int, tuple[PreferenceList, ...]]:
-    """Return the lines of all slots, as an instance of a zone asks them."""
+    """Return the preference lists of all slots for an instance of a zone."""
     return {
-        slot: choice.make_preference_lists(owners, slot, zone) for slot in range(SLOTS)
+        slot: policy.make_preference_lists(owners, slot, zone) for slot in range(SLOTS)
     }
 
 
 class QuotaRefusals:
-    """Which owners have lately refused an account's operations as over its limit.
+    """The owners that have recently refused operations as over an account's limit.
 
     Parameters
     ----------
@@ -106,34 +107,36 @@
         self._until: dict[str, dict[str, float]] = {}
 
     def has_refusals(self, account: str) -> bool:
-        """Return whether any owner has refused an account lately."""
+        """Return whether any owner has refused an account recently."""
         ends = self._until.get(account)
         return ends is not None and max(ends.values()) > self._seconds()
 
     def record(self, account: str, owner: str) -> None:
-        """Take in that an owner has no right left for an account."""
+        """Record that an owner has no quota left for an account."""
         now = self._seconds()
         before = self._until.pop(account, {}).items()
         ends = {name: end for name, end in before if end > now}
-        # The account that was noted longest ago stands first.
-        self._until[account] = ends | {owner: now + SPENT_TIME}
-        if len(self._until) > MOST_SPENT:
+        # Insertion order: the least recently refused account comes first.
+        self._until[account] = ends | {owner: now + REFUSAL_RETENTION}
+        if len(self._until) > MAX_REFUSED_ACCOUNTS:
             del self._until[next(iter(self._until))]
 
     def choose(self, account: str, owners: Sequence[str]) -> str:
-        """Return the owner to ask: the first that has not refused.
+        """Return the owner to ask: the first that has not refused recently.
 
-        If all have, the one that was so first: it has earned the most since then, and
-        what it answers is final.
+        If all have, it is the one that refused first: it has earned the most tokens
+        since then, and its answer is final.
         """
         now = self._seconds()
         ends = self._until.get(account, {})
         times = [ends.get(owner, now) for owner in owners]
-        fit = (name for name, end in zip(owners, times, strict=True) if end <= now)
-        return next(fit, owners[times.index(min(times))])
+        available = (
+            name for name, end in zip(owners, times, strict=True) if end <= now
+        )
+        return next(available, owners[times.index(min(times))])
 
     def has_available(self, account: str, owners: Sequence[str]) -> bool:
-        """Return whether any of the owners has not refused lately."""
+        """Return whether any of the owners has not refused recently."""
         now = self._seconds()
         ends = self._until.get(account, {})
         return any(ends.get(name, now) <= now for name in owners)
--- a/beryltrack/relay/statuses.py
+++ b/beryltrack/relay/statuses.py
@@ -1,7 +1,7 @@
-"""The statuses of an owner's databases, as the sessions of other instances share them.
+"""Status requests of an owner's databases, shared by the sessions of other instances.
 
-A status takes a slot of its database and is paid for: all sessions that wait for the
-next one of a database get the same.
+Requests are coalesced (single flight): a status uses a slot of its database and is
+billed, so all sessions that wait for the next status of a database get the same one.
 """
 
 import logging
@@ -23,31 +23,31 @@
 log = logging.getLogger(__name__)
 
 
-class Watcher(Protocol):
-    """What lends connections to a database, as `Lender` does."""
+class StatusSource(Protocol):
+    """A source of a database's status, as `Lender` is."""
 
     @property
     def task(self) -> GroupTask:
-        """Watches the database's group."""
+        """The task that monitors the database's group."""
 
 
 class SharedStatus(NamedTuple):
-    """What a database answered when it was asked for its status.
+    """The result of one status request.
 
     Parameters
     ----------
     answer : DatabaseStatus or SqlError
-        The status, or why there is none.
+        The status, or the error if there is none.
     task : GroupTask
-        Watches its group.
+        Monitors the database's group.
     """
 
     answer: DatabaseStatus | SqlError
     task: GroupTask
 
 
-class _StatusShare:
-    """Who waits for the status of one database."""
+class _StatusWaiters:
+    """The sessions that wait for the status of one database."""
 
     def __init__(self):
         self.waiting: list[Deferred] = []
@@ -55,65 +55,74 @@
 
 
 class StatusSharing:
-    """Asks databases for their statuses as long as sessions wait for one.
+    """Requests statuses from databases while sessions wait for one.
 
     Parameters
     ----------
-    find_watcher : callable
-        Returns who watches the group of a database; None if this instance gives no
+    find_source : callable
+        Returns the source of a database's status; None if this instance lends no
         connections to it.
     """
 
-    def __init__(self, find_watcher: Callable[[str, str], Watcher | None]):
-        self._find_watcher = find_watcher
-        self._shares: dict[tuple[str, str], _StatusShare] = {}
+    def __init__(self, find_source: Callable[[str, str], StatusSource | None]):
+        self._find_source = find_source
+        self._waiters: dict[tuple[str, str], _StatusWaiters] = {}
 
     def wait(self, group: str, database: str) -> "Deferred[SharedStatus | None]":
-        """Return what a database answers when it is asked after this call.
+        """Return a database's answer to a status request sent after this call.
 
-        None if this instance gives no connections to it.
+        None if this instance lends no connections to it.
         """
         key = (group, database)
-        share = self._shares.setdefault(key, _StatusShare())
+        waiters = self._waiters.setdefault(key, _StatusWaiters())
         waiter: Deferred = Deferred()
-        share.waiting.append(waiter)
-        if not share.is_running:
-            share.is_running = True
-            Deferred.fromCoroutine(self._ask(key, share)).addErrback(_log_defect)
+        waiters.waiting.append(waiter)
+        if not waiters.is_running:
+            waiters.is_running = True
+            Deferred.fromCoroutine(self._serve_waiters(key, waiters)).addErrback(
+                _log_defect
+            )
         return waiter
 
-    async def _ask(self, key: tuple[str, str], share: _StatusShare) -> None:
-        """Ask for statuses for as long as somebody waits for one."""
+    async def _serve_waiters(
+        self, key: tuple[str, str], waiters: _StatusWaiters
+    ) -> None:
+        """Request statuses until no session waits for one."""
         try:
-            while share.waiting:
-                # Whoever comes after this waits for the next answer.
-                waiting, share.waiting = share.waiting, []
-                shared = await self._ask_once(*key)
+            while waiters.waiting:
+                # Sessions that ask after this point wait for the next answer.
+                waiting, waiters.waiting = waiters.waiting, []
+                shared = await self._request_status(*key)
                 for waiter in waiting:
                     waiter.callback(shared)
         finally:
-            share.is_running = False
+            waiters.is_running = False
 
-    async def _ask_once(self, group: str, database: str) -> SharedStatus | None:
-        """Return a status or why there is none, and who watches the group."""
-        watcher = self._find_watcher(group, database)
-        if watcher is None:
+    async def _request_status(self, group: str, database: str) -> SharedStatus | None:
+        """Request one status; None if there is no source."""
+        source = self._find_source(group, database)
+        if source is None:
             return None
-        result = await watcher.task.ask_status(database)
+        result = await source.task.ask_status(database)
         if isinstance(result, Success):
-            return SharedStatus(result.unwrap(), watcher.task)
-        return SharedStatus(_make_status_error(result.failure()), watcher.task)
+            return SharedStatus(result.unwrap(), source.task)
+        return SharedStatus(_make_status_error(result.failure()), source.task)
 
 
 def _make_status_error(failure: ControlFailure) -> SqlError:
-    """Return the error of a status that the database did not give.
+    """Return the error for a status that a database did not return.
 
-    One that is at work and has no slot is told apart from one that is silent.
+    A database that answers but has no free slot gets another SQLSTATE than one that
+    does not answer.
     """
     state = TOO_MANY_CONNECTIONS if failure.is_answered else CANNOT_CONNECT_NOW
     return make_refusal(failure.text, 0.0, state)
 
 
 def _log_defect(failure) -> None:
-    """Log a defect: those who wait then run into their own time limits."""
-    log.error("relay: A status met a defect: %s", failure.getTraceback())
+    """Log an unexpected failure; the waiting sessions reach their own time limits."""
+    log.error(
+        "relay: a status request failed unexpectedly; the sessions that wait for it "
+        "will time out: %s",
+        failure.getTraceback(),
+    )
--- a/beryltrack/relay/wire_format.py
+++ b/beryltrack/relay/wire_format.py
@@ -1,13 +1,13 @@
-"""What instances tell each other beside the statements and answers of the databases.
+"""Wire format of what instances add to the databases' line protocol.
 
-These words pass between instances of this product alone. What an operation asks for
-stands in the text of its first statement, and what an owner tells of its load goes out
-with an answer: each byte between availability zones is paid for, and each message takes
-processor time at both ends.
+These messages pass only between instances of this product. An operation's demand is a
+prefix of its first statement, and an owner's load report goes out with an answer: each
+byte between availability zones is billed, and each message takes processor time at both
+ends.
 
-An owner that understands demands says so when a session opens, by the number of its
-process. Instances of earlier releases ignore that number, and never get a report, as
-they never send a demand.
+An owner that understands demands shows it when a session opens, by sending the number
+of its process (the incarnation). Instances of earlier releases ignore that number, and
+never get a report, as they never send a demand.
 """
 
 import math
@@ -25,32 +25,33 @@
 from beryltrack.wire.line_buffer import MalformedMessage
 
 ACCOUNT, COUNTED = b"ACCOUNT ", b"counted"
-"""Before an operation: whose it is, and if it was counted."""
+"""Before an operation: its account, and whether it was counted against the limit."""
 
 WITHIN = b"WITHIN "
-"""Before the text of an operation's first statement: priority, and the milliseconds
-within which its caller wants it done and after which its result is of no use."""
+"""Prefix of an operation's first statement: its priority, and the milliseconds left to
+its latency deadline and to the deadline after which its result is of no use."""
 
 LOAD = b"LOAD"
 """With an answer: the load of the session's database at the owner."""
 
 PROVEN = b"PROVEN"
-"""With an answer: a position of the primary that shows all that was acknowledged until
-some microseconds before this message was sent."""
+"""With an answer: a proof, that is a position of the primary that includes everything
+acknowledged until some microseconds before this message was sent."""
 
 UNREACHABLE = b"UNREACHABLE"
-"""What an instance answers another with when it gives no connection to a database:
-the statement did not run. Neither callers nor databases know it."""
+"""Error code from an instance that does not reach a database; the statement did not
+run. Neither callers nor databases know this code."""
 
 NOT_OWNER = b"NOTOWNER"
-"""What one answers that gives no connections to the group at all, as it leaves."""
+"""Error code from an instance that lends no connections to the group at all, because it
+leaves the fleet or does not own the group."""
 
 OVER_LIMIT = b"OVERLIMIT"
-"""What an instance answers another with whose account asks for too much."""
+"""Error code from an instance at which the operation's account is over its limit."""
 
 _UNKNOWN = b"-"
 _DISPLACED = b"+"
-_MOST_MS = 10**9 - 1
+_MAX_MS = 10**9 - 1
 _DEMAND = re.compile(rb"WITHIN (\d{1,3})(\+?) (-?\d{1,9}|-) (-?\d{1,9}|-) (.+)")
 _PROVEN = re.compile(rb"PROVEN (\d+)\.(\d+) (\d+)")
 _REPORT = re.compile(
@@ -59,7 +60,7 @@
 
 
 def format_proven(position: LogPosition, age: float) -> bytes:
-    """Return a PROVEN message; the age is rounded up, which is the safe side."""
+    """Return a PROVEN message; the age in seconds is rounded up to be safe."""
     return b"PROVEN %d.%d %d\r\n" % (*position, math.ceil(age * 1e6))
 
 
@@ -69,7 +70,7 @@
     Raises
     ------
     MalformedMessage
-        If it is malformed.
+        If the line is malformed.
     """
     match = _PROVEN.fullmatch(line)
     if match is None:
@@ -81,38 +82,42 @@
 def format_account_message(
     connection: ExclusiveConnection, account: str
 ) -> list[bytes]:
-    """Return the texts that tell another instance whose statement comes.
+    """Return the ACCOUNT message to send before a statement, if it has changed.
+
+    Empty on a direct connection, which belongs to one account.
 
     Raises
     ------
     ValueError
-        If the connection belongs to another account.
+        If a direct connection belongs to another account.
     """
     if not connection.way:
         if connection.account != account:
-            raise ValueError("a statement on a connection of another account")
+            raise ValueError(
+                "the statement and the connection belong to different accounts"
+            )
         return []
     counted = COUNTED if connection.is_counted else b"new"
-    terms = b"%s%s %s" % (ACCOUNT, account.encode(), counted)
-    if terms == connection.terms or not (account or connection.terms):
+    message = b"%s%s %s" % (ACCOUNT, account.encode(), counted)
+    if message == connection.terms or not (account or connection.terms):
         return []
-    connection.terms = terms
-    return [terms]
+    connection.terms = message
+    return [message]
 
 
 def take_demand_prefix(connection: ExclusiveConnection) -> bytes:
-    """Return the prefix of the next statement on a connection.
+    """Return the demand prefix of the next statement on a connection, and clear it.
 
     Only the first statement of an operation has one, and only if the instance at the
     other end understands it.
     """
     demand, connection.demand = connection.demand, NO_DEMAND
-    is_told = connection.way and connection.incarnation
-    return format_demand(demand) if is_told else b""
+    takes_demands = connection.way and connection.incarnation
+    return format_demand(demand) if takes_demands else b""
 
 
 def format_demand(demand: Demand) -> bytes:
-    """Return the prefix that tells a demand; empty if there is nothing to tell."""
+    """Return the prefix that encodes a demand; empty for one without requirements."""
     if demand._replace(account="", is_returning=False) == NO_DEMAND:
         return b""
     displaced = _DISPLACED if demand.is_displaced else b""
@@ -128,13 +133,13 @@
     text : bytes
         The text.
     account : str
-        Whose operation it is, which the session knows.
+        Account of the operation, which the session knows.
 
     Returns
     -------
     tuple of Demand and bytes, or None
         None if the prefix is malformed. A text without a prefix, as instances of
-        earlier releases send, demands nothing.
+        earlier releases send it, has an empty demand.
     """
     if not text.startswith(WITHIN):
         return NO_DEMAND._replace(account=account), text
@@ -153,7 +158,7 @@
 
 
 def format_report(told: ToldReport) -> bytes:
-    """Return a LOAD message; waits in milliseconds, the work in microseconds."""
+    """Return a LOAD message; times in milliseconds, the work in microseconds."""
     report = told.report
     waits = b",".join(_format_time(wait) for wait in report.waits) or _UNKNOWN
     return b"%s %d %d %d %d %s\r\n" % (
@@ -167,12 +172,12 @@
 
 
 def parse_report(line: bytes, incarnation: int) -> ToldReport:
-    """Return what a LOAD line of an owner's process says.
+    """Return the report of a LOAD line from an owner's process.
 
     Raises
     ------
     MalformedMessage
-        If it is malformed.
+        If the line is malformed.
     """
     match = _REPORT.fullmatch(line)
     if match is None:
@@ -186,22 +191,22 @@
 
 
 def parse_incarnation(line: bytes) -> int:
-    """Return the number of an owner's process in its answer to START.
+    """Return the number of an owner's process from its answer to START.
 
     Zero if there is none: an instance of an earlier release understands no demands.
     """
     fields = line.split(b" ")
-    is_told = len(fields) > 3 and re.fullmatch(rb"\d{1,15}", fields[3])
-    return int(fields[3]) if is_told else 0
+    has_number = len(fields) > 3 and re.fullmatch(rb"\d{1,15}", fields[3])
+    return int(fields[3]) if has_number else 0
 
 
 def _format_time(seconds: float) -> bytes:
-    """Return whole milliseconds, rounded down; a dash for what is without end."""
+    """Return whole milliseconds, rounded down; a dash for infinity."""
     if math.isinf(seconds):
         return _UNKNOWN
-    return b"%d" % max(-_MOST_MS, min(_MOST_MS, math.floor(seconds * 1e3)))
+    return b"%d" % max(-_MAX_MS, min(_MAX_MS, math.floor(seconds * 1e3)))
 
 
 def _parse_time(field: bytes) -> float:
-    """Return a time in seconds."""
+    """Return a time in seconds; infinity for a dash."""
     return math.inf if field == _UNKNOWN else int(field) / 1e3
--- a/tests/relay/test_access_calls.py
+++ b/tests/relay/test_access_calls.py
@@ -155,7 +155,7 @@
     site.end_all()
     assert len(site.ended) == len(site.asked) and set(site.ended) == {None}
     assert site.counted == site.ran and site.access.outstanding == 0
-    assert not (site.access._lent or site.access._gated._operations)
+    assert not (site.access._checkouts or site.access._gated._operations)
     for gate in site.gates:
         assert gate.waiting == 0 and gate.get_report().running == 0
         assert not (gate._waiters or gate._decider._spent)
--- a/tests/relay/test_avoided.py
+++ b/tests/relay/test_avoided.py
@@ -19,7 +19,7 @@
         now = number * step
         for name in avoided.get_due(now):
             found.append(now)
-            avoided.note_miss(name, now)
+            avoided.record_probe_failure(name, now)
     return found
 
 
@@ -38,7 +38,7 @@
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     for _ in range(2000):
-        avoided.note_miss("a", 0.0)
+        avoided.record_probe_failure("a", 0.0)
     assert avoided.get_due(MAX_PROBE_INTERVAL - 0.1) == ()
     assert avoided.get_due(MAX_PROBE_INTERVAL) == ("a",)
 
@@ -47,8 +47,8 @@
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     assert avoided.get_due(MIN_PROBE_INTERVAL) == ("a",)
-    assert avoided.note_answer("a") and not avoided.has("a")
-    assert not avoided.note_answer("a")
+    assert avoided.remove("a") and not avoided.has("a")
+    assert not avoided.remove("a")
 
 
 def test_one_that_refuses_connections_is_not_probed_at_once():
@@ -62,7 +62,7 @@
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     for _ in range(7):
-        avoided.note_miss("a", 0.0)
+        avoided.record_probe_failure("a", 0.0)
     assert not avoided.add("a", 0.1)
     assert avoided.get_due(7.9) == () and avoided.get_due(8.0) == ("a",)
 
@@ -77,12 +77,12 @@
         if avoided.get_due(now):
             break
     assert now == pytest.approx(least, abs=0.06)
-    assert avoided.get_time("a") == now
+    assert avoided.get_failed_at("a") == now
 
 
 def test_those_that_are_no_members_any_more_are_forgotten():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     avoided.add("b", 0.0)
-    avoided.keep(frozenset("b"))
+    avoided.retain(frozenset("b"))
     assert not avoided.has("a") and avoided.has("b")
--- a/tests/relay/test_directory.py
+++ b/tests/relay/test_directory.py
@@ -102,7 +102,7 @@
     fleet = Fleet(30)
     group = fleet.find_group(False)
     first = fleet.directory.choose_via(group, "db-1", LIMIT)
-    fleet.directory.note_useless("db-1", first.name)
+    fleet.directory.observe_target_unreachable("db-1", first.name)
     assert fleet.directory.choose_via(group, "db-1", LIMIT) != first
     assert fleet.directory.choose_via(group, "db-2", LIMIT) == first
 
@@ -111,5 +111,5 @@
     fleet = Fleet(30)
     group = fleet.find_group(False)
     for name in fleet.directory.get_candidates(group, LIMIT):
-        fleet.directory.note_useless("db-1", name)
+        fleet.directory.observe_target_unreachable("db-1", name)
     assert fleet.directory.choose_via(group, "db-1", LIMIT) is not None
--- a/tests/relay/test_slot_choice.py
+++ b/tests/relay/test_slot_choice.py
@@ -6,8 +6,8 @@
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.relay.slot_owners import (
-    MOST_SPENT,
-    SPENT_TIME,
+    MAX_REFUSED_ACCOUNTS,
+    REFUSAL_RETENTION,
     FleetOwners,
     QuotaRefusals,
     ZoneOwners,
@@ -81,13 +81,13 @@
     assert not notes.has_available("a", ("one", "two"))
     # All have refused: the one that did so first has earned the most.
     assert notes.choose("a", ("two", "one")) == "one"
-    now[0] = 10.0 + SPENT_TIME
+    now[0] = 10.0 + REFUSAL_RETENTION
     assert notes.has_available("a", ("one", "two"))
 
 
 def test_what_is_remembered_of_refusals_is_bounded():
     notes = QuotaRefusals(lambda: 10.0)
-    for number in range(MOST_SPENT + 1):
+    for number in range(MAX_REFUSED_ACCOUNTS + 1):
         notes.record(f"a{number}", "one")
     assert notes.choose("a0", ("one", "two")) == "one"
     assert notes.choose("a1", ("one", "two")) == "two"
@@ -130,7 +130,7 @@
     fleet.directory.avoid(second)
     ranked = [each.name for each in rank_owners(PEERS, get_slot("a"))]
     assert fleet.choose() == next(n for n in ranked if n not in (first, second))
-    fleet.directory.note_reached(first)
+    fleet.directory.stop_avoiding(first)
     assert fleet.choose() == first
 
 
@@ -143,7 +143,7 @@
     assert fleet.directory.choose_slot_owner(get_slot("a")).name == first
     assert fleet.directory.observe_quota_refusal("a", second)
     assert not fleet.directory.observe_quota_refusal("a", fleet.choose())
-    fleet.now += SPENT_TIME
+    fleet.now += REFUSAL_RETENTION
     assert fleet.choose() == first
 
 
