--- a/tests/relay/test_access.py
+++ b/tests/relay/test_access.py
@@ -1,4 +1,4 @@
-"""One database, reached directly and through other instances."""
+"""`DatabaseAccess`: direct and relayed connections, retries, refunds and the gate."""
 
 import random
 from types import SimpleNamespace
@@ -27,25 +27,25 @@
 
 
 class Site:
-    """An instance that runs the accounts ``own``; ``two`` and ``three`` run others."""
+    """An instance that owns the accounts ``own``; ``two`` and ``three`` own others."""
 
     def __init__(self):
         self.clock = Clock()
         self.targets = {name: FakeTarget() for name in ("", "two", "three")}
         self.opened = []
-        self.ways = {"": "two"}
-        self.judged, self.has_budget = {}, True
+        self.paths = {"": "two"}
+        self.ingress_waits, self.has_budget = {}, True
         self.waits, self.refunds, self.counted = {}, [], []
-        self.spent, self.noted, self.owned = {}, [], set()
+        self.next_owners, self.quota_refusals, self.owned = {}, [], set()
         self.access = DatabaseAccess(
             self.make_pool(""),
             self.make_pool,
-            lambda account: self.ways.get(account, ""),
+            lambda account: self.paths.get(account, ""),
             self.admit,
             self.refunds.append,
             observe_quota_refusal=self.observe_quota_refusal,
             counts_here=lambda account: account in self.owned,
-            admit_ingress=lambda way, demand: self.judged.get(way, 0.0),
+            admit_ingress=lambda way, demand: self.ingress_waits.get(way, 0.0),
             seconds=self.clock.seconds,
             may_retry=lambda: self.has_budget,
             make_gate=self.make_gate,
@@ -54,7 +54,7 @@
     def make_pool(self, name):
         def connect(account):
             self.opened.append((name, account))
-            return self.targets[name].connect().addCallback(self.mark, name)
+            return self.targets[name].connect().addCallback(self.set_way, name)
 
         return PoolTask(
             self.clock, DATABASE, connect, POLICY, limit=2, rng=random.Random(1)
@@ -68,7 +68,7 @@
         """Let one statement run at the database, which has two connections."""
         self.access.set_bounds(Bounds(slots=1, owners=1, connections=1))
 
-    def mark(self, connection, name):
+    def set_way(self, connection, name):
         connection.way = name
         return connection
 
@@ -77,12 +77,12 @@
         return self.waits.get(account, 0.0)
 
     def observe_quota_refusal(self, account, way):
-        """Send the account's operations elsewhere, if there is a way."""
-        if account not in self.spent:
+        """Send the account's operations to another owner if one is set."""
+        if account not in self.next_owners:
             return False
-        self.noted.append((account, way))
+        self.quota_refusals.append((account, way))
         self.owned.discard(account)
-        self.ways[account] = self.spent.pop(account)
+        self.paths[account] = self.next_owners.pop(account)
         return True
 
     def acquire(self, account):
@@ -103,7 +103,7 @@
 
 
 def test_other_accounts_share_the_sessions_at_their_instance(site):
-    site.ways |= {"a": "two", "b": "two"}
+    site.paths |= {"a": "two", "b": "two"}
     first = site.acquire("a")
     site.access.release(first, True)
     assert site.acquire("b") is first and not first.is_counted
@@ -119,25 +119,25 @@
     assert site.opened == [] and site.refunds == []
 
 
-def test_what_this_zones_owner_may_not_run_goes_to_another_zones(site):
+def test_an_operation_over_the_limit_in_its_zone_goes_to_another_zones_owner(site):
     site.waits["own"] = 0.4
-    site.spent["own"] = "two"
+    site.next_owners["own"] = "two"
     given = site.acquire("own")
     assert given.way == "two" and not given.is_counted
-    # It is counted once, where it runs.
+    # The operation is counted only where it runs.
     site.access.release(given, True, False)
     assert site.refunds == []
 
 
-def test_what_another_instance_sent_is_refused_and_not_passed_on(site):
+def test_a_lent_operation_over_the_limit_is_refused_and_not_relayed(site):
     site.waits["own"] = 0.4
-    site.spent["own"] = "two"
+    site.next_owners["own"] = "two"
     with pytest.raises(PoolRefused):
         get_result(site.access.lend(10.0, Demand(account="own"), False))
     assert site.opened == []
 
 
-def test_what_got_no_connection_or_did_not_run_is_not_counted(site):
+def test_an_operation_without_a_connection_or_that_did_not_run_is_refunded(site):
     site.access.release(site.acquire("own"), True, False)
     assert site.refunds == ["own"]
     site.access.drain()
@@ -147,45 +147,45 @@
     assert site.counted == ["own", "own"]
 
 
-def test_another_instance_is_tried_where_the_first_cannot_be_reached(site):
-    site.ways["a"] = "two"
+def test_another_instance_is_tried_if_the_first_is_unreachable(site):
+    site.paths["a"] = "two"
     site.targets["two"].at_once = False
     waiting = site.access.acquire(10.0, Demand(account="a"))
-    site.ways["a"] = "three"
+    site.paths["a"] = "three"
     site.targets["two"].pending[0].errback(ConnectRefused(CANNOT_CONNECT_NOW))
     assert get_result(waiting).way == "three"
 
 
-def test_another_instance_is_told_what_the_first_way_has_left_of_the_time(site):
-    site.ways["a"] = "two"
+def test_a_second_attempt_is_sent_the_time_left_after_the_first(site):
+    site.paths["a"] = "two"
     site.targets["two"].at_once = False
     waiting = site.access.acquire(10.0, Demand(1, 0.25, 1.0, "a"))
     site.clock.advance(0.5)
-    site.ways["a"] = "three"
+    site.paths["a"] = "three"
     site.targets["two"].pending[0].errback(ConnectRefused(CANNOT_CONNECT_NOW))
     assert get_result(waiting).demand == Demand(1, -0.25, 0.5, "a")
 
 
-def test_an_operation_lent_to_another_instance_is_counted_where_it_is_to_run(site):
+def test_a_lent_operation_is_counted_where_it_runs(site):
     get_result(site.access.lend(10.0, Demand(account="own"), False))
     assert site.counted == ["own"] and site.opened == [("", "own")]
 
 
-def test_what_was_counted_goes_straight_to_the_database_and_no_further(site):
-    site.ways["a"] = "two"
+def test_a_counted_lent_operation_goes_directly_to_the_database(site):
+    site.paths["a"] = "two"
     get_result(site.access.lend(10.0, Demand(account="a"), True))
     assert site.opened == [("", "a")] and site.counted == []
 
 
-def test_an_owner_that_does_not_reach_a_database_counts_and_passes_on(site):
-    site.ways["own"] = "three"
+def test_an_owner_that_does_not_reach_a_database_counts_and_relays(site):
+    site.paths["own"] = "three"
     passed = get_result(site.access.lend(10.0, Demand(account="own"), False))
     assert site.counted == ["own"] and site.opened == [("three", "")]
     assert passed.is_counted
 
 
-def test_an_owner_that_does_not_reach_a_database_counts_what_it_took_itself(site):
-    site.ways["own"], site.owned = "three", {"own"}
+def test_an_owner_that_does_not_reach_a_database_counts_its_own_operations(site):
+    site.paths["own"], site.owned = "three", {"own"}
     connection = site.acquire("own")
     assert connection.is_counted and site.counted == ["own"]
     assert site.opened == [("three", "")]
@@ -193,25 +193,25 @@
     assert site.refunds == ["own"]
 
 
-def test_a_refusal_of_its_own_is_noted_as_its_own_whatever_the_way(site):
-    site.ways["own"], site.owned = "three", {"own"}
+def test_a_quota_refusal_here_is_recorded_for_this_instance_on_any_path(site):
+    site.paths["own"], site.owned = "three", {"own"}
     site.waits["own"] = 0.3
-    site.spent["own"] = "two"
+    site.next_owners["own"] = "two"
     assert site.acquire("own").way == "two"
-    assert site.noted == [("own", "")]
+    assert site.quota_refusals == [("own", "")]
 
 
-def test_short_requests_of_the_proxy_go_the_way_of_no_account(site):
+def test_short_requests_of_the_proxy_use_the_path_of_no_account(site):
     given = get_result(site.access.acquire_briefly(0.1, 0.1).addCallback(lambda c: c))
     assert given is None or given.way == "two"
-    site.ways[""] = ""
+    site.paths[""] = ""
     held = site.acquire("own")
     site.access.release(held, True)
     assert get_result(site.access.acquire_briefly(0.1, 0.1)) is held
 
 
-def test_sessions_at_instances_that_own_nothing_any_more_are_closed(site):
-    site.ways["a"] = "two"
+def test_sessions_at_former_owners_are_closed(site):
+    site.paths["a"] = "two"
     held = site.acquire("a")
     site.access.retain_sessions(["three"])
     assert not held.closed.called
@@ -219,17 +219,17 @@
     assert held.closed.called
 
 
-def test_a_lost_database_ends_what_runs_on_all_ways(site):
-    site.ways["a"] = "two"
+def test_a_lost_database_closes_connections_on_all_paths(site):
+    site.paths["a"] = "two"
     held = [site.acquire("a"), site.acquire("own")]
     site.access.break_connections()
     assert all(each.closed.called for each in held)
     assert site.access.load.in_use == 0
 
 
-def test_a_database_that_nobody_reaches_is_told_so_at_once(site):
-    """No other way fits, and this instance does not reach it: no wait for a share."""
-    site.ways[""] = ""
+def test_a_database_that_no_instance_reaches_is_refused_at_once(site):
+    """Without a path the request fails at once and does not wait for a share."""
+    site.paths[""] = ""
     site.targets[""].failure = ConnectRefused(CANNOT_CONNECT_NOW)
     with pytest.raises(PoolRefused) as refused:
         site.acquire("own")
@@ -237,9 +237,9 @@
     assert site.clock.seconds() == 0.0
 
 
-def test_an_operation_that_would_wait_too_long_at_an_owner_does_not_ask_it(site):
-    site.ways["a"] = "two"
-    site.judged["two"] = 0.4
+def test_ingress_admission_refuses_before_the_owner_is_asked(site):
+    site.paths["a"] = "two"
+    site.ingress_waits["two"] = 0.4
     with pytest.raises(PoolRefused) as refused:
         site.acquire("a")
     refusal = refused.value.refusal
@@ -248,20 +248,20 @@
     assert site.opened == [] and site.refunds == []
 
 
-def test_own_connections_are_not_judged_in_front(site):
-    site.judged[""] = 0.4
+def test_direct_connections_skip_ingress_admission(site):
+    site.ingress_waits[""] = 0.4
     assert site.acquire("own") is not None
 
 
-def test_what_was_lent_here_was_judged_by_who_took_it(site):
-    site.ways["own"] = "three"
-    site.judged["three"] = 0.4
+def test_lent_operations_skip_ingress_admission(site):
+    site.paths["own"] = "three"
+    site.ingress_waits["three"] = 0.4
     passed = get_result(site.access.lend(10.0, Demand(account="own"), False))
     assert passed.way == "three"
 
 
-def test_an_owner_is_told_what_is_left_after_the_wait_for_a_session(site):
-    site.ways["a"] = "two"
+def test_an_owner_is_sent_the_time_left_after_the_wait_for_a_session(site):
+    site.paths["a"] = "two"
     site.targets["two"].at_once = False
     waiting = site.access.acquire(10.0, Demand(1, 0.25, 1.0, "a"))
     site.clock.advance(0.5)
@@ -269,33 +269,33 @@
     assert get_result(waiting).demand == Demand(1, -0.25, 0.5, "a")
 
 
-def test_without_a_budget_of_repeats_no_other_instance_is_tried_at_once(site):
+def test_without_a_retry_budget_no_other_instance_is_tried_at_once(site):
     site.has_budget = False
-    site.ways["a"] = "two"
+    site.paths["a"] = "two"
     site.targets["two"].at_once = False
     waiting = site.access.acquire(10.0, Demand(account="a"))
-    site.ways["a"] = "three"
+    site.paths["a"] = "three"
     site.targets["two"].pending[0].errback(ConnectRefused(CANNOT_CONNECT_NOW))
     with pytest.raises(PoolRefused) as refused:
         get_result(waiting)
-    # The request looks again 20 ms later, and goes the other way then.
+    # The request retries 20 ms later, on the other path.
     assert refused.value.refusal.reason is RefusalReason.UNREACHABLE
     assert [name for name, _ in site.opened] == ["two"]
 
 
-def test_what_was_refused_as_over_the_limit_goes_on_without_a_budget(site):
-    """It has not run, and no owner is asked twice."""
+def test_a_quota_refusal_is_retried_without_a_budget(site):
+    """The operation has not run, and no owner is asked twice."""
     site.has_budget = False
-    site.waits["own"], site.spent["own"] = 0.3, "two"
+    site.waits["own"], site.next_owners["own"] = 0.3, "two"
     assert site.acquire("own").way == "two"
 
 
-def test_without_owners_as_many_run_as_there_are_connections(site):
+def test_without_owners_only_connections_limit_concurrency(site):
     assert site.acquire("own") is not site.acquire("own")
     assert site.access.get_report() is None
 
 
-def test_what_is_beyond_the_limit_waits_at_the_gate(site):
+def test_operations_beyond_the_limit_wait_at_the_gate(site):
     site.limit_to_one()
     first = site.acquire("own")
     waiting = site.access.acquire(10.0, Demand(account="own"))
@@ -307,7 +307,7 @@
     assert (report.running, report.limit, report.incarnation) == (1, 1, 3)
 
 
-def test_what_was_lent_for_another_instance_waits_at_the_gate_too(site):
+def test_lent_operations_wait_at_the_gate(site):
     site.limit_to_one()
     site.acquire("own")
     assert not site.access.lend(10.0, Demand(account="a"), True).called
@@ -322,15 +322,15 @@
     assert urgent.called and not low.called
 
 
-def test_what_goes_through_another_instance_does_not_wait_here(site):
-    site.ways["a"] = "two"
+def test_relayed_operations_bypass_the_gate(site):
+    site.paths["a"] = "two"
     site.limit_to_one()
     site.acquire("own")
     assert site.acquire("a").way == "two"
 
 
-def test_short_requests_of_the_proxy_do_not_wait_at_the_gate(site):
-    site.ways[""] = ""
+def test_short_requests_of_the_proxy_bypass_the_gate(site):
+    site.paths[""] = ""
     idle, first = site.acquire("own"), site.acquire("own")
     site.access.release(idle, True)
     site.access.release(first, True)
@@ -340,7 +340,7 @@
     assert site.access.get_report().running == 1
 
 
-def test_a_transaction_that_rests_leaves_its_room(site):
+def test_an_idle_transaction_frees_its_place_at_the_gate(site):
     site.limit_to_one()
     first = site.acquire("own")
     waiting = site.access.acquire(10.0, Demand(account="own"))
@@ -352,7 +352,7 @@
     assert site.access.get_report().running == 1 and first.observer is None
 
 
-def test_an_operation_that_got_no_connection_leaves_its_room(site):
+def test_an_operation_without_a_connection_frees_its_place_at_the_gate(site):
     site.limit_to_one()
     site.targets[""].failure = ConnectRefused(CANNOT_CONNECT_NOW)
     refused = [site.access.acquire(10.0, Demand(account="own")) for _ in range(3)]
@@ -362,7 +362,7 @@
     assert site.access.get_report().running == 0
 
 
-def test_who_gives_up_while_a_connection_opens_leaves_its_room(site):
+def test_a_cancelled_operation_frees_its_place_while_a_connection_opens(site):
     site.limit_to_one()
     site.targets[""].at_once = False
     waiting = site.access.acquire(10.0, Demand(account="own"))
@@ -372,7 +372,7 @@
     assert site.access.get_report().running == 0
 
 
-def test_a_database_that_says_that_it_is_full_is_given_fewer(site):
+def test_a_database_that_refuses_as_full_lowers_the_limit(site):
     site.access.set_bounds(Bounds(slots=2, owners=2, connections=2))
     site.access.set_bounds(Bounds(slots=2, owners=1, connections=4))
     assert site.access.get_report().limit == 4
@@ -382,7 +382,7 @@
     assert site.access.get_report().limit == 2
 
 
-def test_statements_that_met_one_crowd_at_a_full_database_cut_it_once(site):
+def test_statements_refused_in_one_overload_lower_the_limit_once(site):
     site.access.set_bounds(Bounds(slots=2, owners=2, connections=2))
     site.access.set_bounds(Bounds(slots=2, owners=1, connections=8))
     assert site.access.get_report().limit == 6
@@ -394,7 +394,7 @@
     assert site.access.get_report().limit == 3
 
 
-def test_who_waits_when_the_limit_ends_is_served_by_the_pool(site):
+def test_waiting_operations_go_to_the_pool_when_the_gate_is_removed(site):
     site.limit_to_one()
     site.acquire("own")
     waiting = site.access.acquire(10.0, Demand(account="own"))
@@ -402,7 +402,7 @@
     assert waiting.called and site.access.get_report() is None
 
 
-def test_who_waits_at_a_drain_is_told_so_at_once(site):
+def test_waiting_operations_are_refused_at_once_at_a_drain(site):
     site.limit_to_one()
     first = site.acquire("own")
     waiting = site.access.acquire(10.0, Demand(account="own"))
--- a/tests/relay/test_access_calls.py
+++ b/tests/relay/test_access_calls.py
@@ -1,4 +1,4 @@
-"""Random calls of one database's access: in the end nothing is held or counted."""
+"""Random calls of `DatabaseAccess`: in the end no connection or count is left over."""
 
 import math
 import random
@@ -22,12 +22,12 @@
 from tests.connections.fake_target import FakeTarget
 from tests.connections.test_task import DATABASE
 
-MOST_OPENED = 50
-"""Connections that a pool of four opens at one moment only if it goes on for ever."""
+MAX_OPENED = 50
+"""Connections that a pool of four opens at one moment only in an endless loop."""
 
 
 class Site:
-    """An owner of a database whose operations do what a seed says."""
+    """An owner of a database with operations that a seed chooses."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -70,13 +70,13 @@
         deadline = self.clock.seconds() + rng.choice((0.1, 0.5, 4.0))
         asked = self.access.acquire(deadline, demand)
         self.asked.append(asked)
-        asked.addCallbacks(self.held.append, self.note_refused)
+        asked.addCallbacks(self.held.append, self.check_refused)
         asked.addBoth(self.ended.append)
 
-    def note_refused(self, failure):
+    def check_refused(self, failure):
         failure.trap(PoolRefused, CancelledError)
 
-    def give_up(self):
+    def cancel_one(self):
         if self.asked:
             self.rng.choice(self.asked).cancel()
 
@@ -88,7 +88,7 @@
             self.target.pending.pop(0).errback(ConnectRefused(state))
 
     def run(self):
-        """Send a statement over a connection that is held, or end the one there."""
+        """Send a statement on a held connection, or end the one that runs there."""
         if not self.held:
             return
         held, now, rng = self.rng.choice(self.held), self.clock.seconds(), self.rng
@@ -115,8 +115,8 @@
         self.ran += has_run
         self.access.release(held, is_reusable, has_run)
 
-    def change(self):
-        """Change the fleet, or lose the database."""
+    def change_access(self):
+        """Change the bounds, limit or state of the access, or lose the database."""
         rng, access = self.rng, self.access
         bounds = Bounds(rng.randint(1, 4), rng.randint(1, 4), rng.randint(1, 4))
         rng.choice(
@@ -130,12 +130,12 @@
             )
         )()
 
-    def end_all(self):
-        """Serve all that is left."""
+    def finish_all(self):
+        """Serve all operations that are left."""
         self.access.resume()
         self.access.set_limit(2)
         for _ in range(200):
-            for _ in range(MOST_OPENED):
+            for _ in range(MAX_OPENED):
                 if self.target.pending:
                     self.target.finish_one()
             assert not self.target.pending
@@ -145,14 +145,14 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_ends_leaves_its_room_and_its_count(seed):
+def test_ended_operations_release_places_and_counts(seed):
     site = Site(seed)
     site.access.set_bounds(Bounds(2, 2, 3))
-    calls = (site.ask, site.give_up, site.open, site.run, site.change)
+    calls = (site.ask, site.cancel_one, site.open, site.run, site.change_access)
     for _ in range(400):
         site.rng.choices(calls, (8, 1, 4, 6, 1))[0]()
         site.clock.advance(site.rng.choice((0.0, 0.001, 0.02, 0.1)))
-    site.end_all()
+    site.finish_all()
     assert len(site.ended) == len(site.asked) and set(site.ended) == {None}
     assert site.counted == site.ran and site.access.outstanding == 0
     assert not (site.access._checkouts or site.access._gated._operations)
--- a/tests/relay/test_avoided.py
+++ b/tests/relay/test_avoided.py
@@ -1,4 +1,4 @@
-"""When an instance that is passed over is probed."""
+"""When avoided instances are probed."""
 
 from itertools import pairwise
 
@@ -13,7 +13,7 @@
 
 
 def find_probes(avoided, until, step=0.1):
-    """Return when an instance is probed that never answers."""
+    """Return the probe times of an instance that never answers."""
     found = []
     for number in range(int(until / step)):
         now = number * step
@@ -23,18 +23,18 @@
     return found
 
 
-def test_pauses_between_probes_grow():
+def test_intervals_between_probes_grow():
     avoided = AvoidedOwners()
     assert avoided.add("a", 0.0)
     times = find_probes(avoided, 60.0)
-    pauses = [after - before for before, after in pairwise([0.0, *times])]
-    assert pauses[:4] == pytest.approx([0.2, 0.2, 0.4, 0.8], abs=0.11)
-    assert pauses[-1] == pytest.approx(MAX_PROBE_INTERVAL, abs=0.11) and avoided.has(
+    intervals = [after - before for before, after in pairwise([0.0, *times])]
+    assert intervals[:4] == pytest.approx([0.2, 0.2, 0.4, 0.8], abs=0.11)
+    assert intervals[-1] == pytest.approx(MAX_PROBE_INTERVAL, abs=0.11) and avoided.has(
         "a"
     )
 
 
-def test_one_that_is_cut_off_for_hours_is_probed_in_the_same_pauses():
+def test_the_probe_interval_of_an_instance_lost_for_hours_stays_at_its_maximum():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     for _ in range(2000):
@@ -43,7 +43,7 @@
     assert avoided.get_due(MAX_PROBE_INTERVAL) == ("a",)
 
 
-def test_one_that_answers_a_probe_is_passed_over_no_more():
+def test_an_instance_that_answers_a_probe_is_no_longer_avoided():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     assert avoided.get_due(MIN_PROBE_INTERVAL) == ("a",)
@@ -51,14 +51,14 @@
     assert not avoided.remove("a")
 
 
-def test_one_that_refuses_connections_is_not_probed_at_once():
+def test_an_instance_that_refuses_connections_is_not_probed_at_once():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0, REFUSAL_AVOID_TIME)
     assert avoided.get_due(REFUSAL_AVOID_TIME - 0.1) == ()
     assert avoided.get_due(REFUSAL_AVOID_TIME) == ("a",)
 
 
-def test_another_failure_does_not_shorten_the_pause():
+def test_another_failure_does_not_shorten_the_interval():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     for _ in range(7):
@@ -67,20 +67,20 @@
     assert avoided.get_due(7.9) == () and avoided.get_due(8.0) == ("a",)
 
 
-@pytest.mark.parametrize("least", [MIN_PROBE_INTERVAL, REFUSAL_AVOID_TIME])
-def test_failures_that_go_on_put_off_no_probe(least):
-    """Where all owners are passed over requests are sent to them all the same."""
+@pytest.mark.parametrize("min_time", [MIN_PROBE_INTERVAL, REFUSAL_AVOID_TIME])
+def test_continued_failures_postpone_no_probe(min_time):
+    """If all owners are avoided, requests are still sent to them and may fail again."""
     avoided = AvoidedOwners()
     for number in range(100):
         now = 0.05 * number
-        avoided.add("a", now, least)
+        avoided.add("a", now, min_time)
         if avoided.get_due(now):
             break
-    assert now == pytest.approx(least, abs=0.06)
+    assert now == pytest.approx(min_time, abs=0.06)
     assert avoided.get_failed_at("a") == now
 
 
-def test_those_that_are_no_members_any_more_are_forgotten():
+def test_former_members_are_dropped():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
     avoided.add("b", 0.0)
--- a/tests/relay/test_directory.py
+++ b/tests/relay/test_directory.py
@@ -1,4 +1,4 @@
-"""An instance's part in the groups."""
+"""`RelayDirectory`: ownership of groups and the choice of the next owner."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -28,7 +28,7 @@
         return owner and owner.name
 
     def find_group(self, owned):
-        """Return a group that this instance owns, or does not own."""
+        """Return the name of a group that this instance owns, or does not own."""
         names = (f"g{number}" for number in range(1000))
         return next(n for n in names if self.directory.is_owner(n, LIMIT) is owned)
 
@@ -39,12 +39,12 @@
     assert directory.get_placement("g", 43).share == 5
 
 
-def test_all_of_a_small_fleet_may_act_for_a_group():
+def test_all_instances_of_a_small_fleet_are_candidates():
     directory = Fleet(3).directory
     assert directory.get_candidates("g", 43) == ("me", "n0", "n1", "n2")
 
 
-def test_only_owners_act_for_a_group_of_a_large_fleet():
+def test_only_owners_are_candidates_in_a_large_fleet():
     directory = Fleet(30).directory
     owners = directory.get_candidates("g", LIMIT)
     assert len(owners) == 2
@@ -57,7 +57,7 @@
     assert fleet.directory.choose_owner(group, LIMIT) is None
 
 
-def test_an_owner_that_gave_no_connection_is_passed_over_for_a_while():
+def test_an_owner_that_failed_is_avoided():
     fleet = Fleet(30)
     group = fleet.find_group(False)
 
@@ -70,7 +70,7 @@
     assert second != first
     fleet.now += 0.5
     fleet.directory.avoid(second)
-    # All are passed over: the one that was so first is asked again.
+    # All are avoided: the one whose last failure is the oldest is asked again.
     assert choose() == first
     fleet.now += REFUSAL_AVOID_TIME
     assert choose() == first
@@ -80,9 +80,7 @@
     ("others", "connections", "is_crowded"),
     [(5, 22, False), (7, 43, False), (71, 156, True)],
 )
-def test_a_fleet_is_crowded_if_its_databases_do_not_take_all_instances(
-    others, connections, is_crowded
-):
+def test_a_fleet_is_crowded_if_its_groups_have_owners(others, connections, is_crowded):
     me = Peer("me", "a", Endpoint("me", 1))
     directory = RelayDirectory(me, Clock().seconds, 8)
     names = [f"n{each}" for each in range(others)]
@@ -92,13 +90,13 @@
     directory.set_peers(peers)
     directory.get_placement("g", connections)
     assert directory.is_crowded is is_crowded
-    # Accounts have owners in each fleet; what a small one does stays.
+    # Accounts have owners in every fleet; that alone does not make it crowded.
     directory.set_accounts(connections)
     directory.get_placement("g", connections)
     assert directory.is_crowded is is_crowded
 
 
-def test_an_owner_that_does_not_reach_a_database_serves_the_others():
+def test_an_owner_that_does_not_reach_one_database_is_used_for_others():
     fleet = Fleet(30)
     group = fleet.find_group(False)
     first = fleet.directory.choose_via(group, "db-1", LIMIT)
@@ -107,7 +105,7 @@
     assert fleet.directory.choose_via(group, "db-2", LIMIT) == first
 
 
-def test_where_no_owner_reaches_a_database_one_is_asked_all_the_same():
+def test_an_owner_is_asked_even_if_none_reaches_the_database():
     fleet = Fleet(30)
     group = fleet.find_group(False)
     for name in fleet.directory.get_candidates(group, LIMIT):
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -1,4 +1,4 @@
-"""An owner lends connections for statements and transactions of other instances."""
+"""`RelayHandler`: an owner lends connections to the sessions of other instances."""
 
 import math
 from types import SimpleNamespace
@@ -35,7 +35,7 @@
 
 
 class Pool:
-    """Gives connections when a test says so."""
+    """A pool that lends connections when a test calls `give`."""
 
     def __init__(self):
         self.asked, self.lent_to = [], []
@@ -57,10 +57,10 @@
 
 
 class Task:
-    """Watches a group: notes what it is told, and has one proof."""
+    """A group task that records its calls and has one proof."""
 
     def __init__(self):
-        self.now, self.proof, self.told = 50.0, None, []
+        self.now, self.proof, self.observed = 50.0, None, []
         self.statuses = []
 
     def get_time(self):
@@ -73,10 +73,10 @@
         return self.proof
 
     def observe_position(self, database, position, sent_at=None):
-        self.told.append(("position", database, position))
+        self.observed.append(("position", database, position))
 
     def observe_lead(self, database, position, sent_at):
-        self.told.append(("lead", database, position, sent_at))
+        self.observed.append(("lead", database, position, sent_at))
 
     async def ask_status(self, database):
         self.statuses.append(Deferred())
@@ -84,7 +84,7 @@
 
 
 class Session:
-    """A session of another instance that notes what it is sent."""
+    """A session of another instance that records what it is sent."""
 
     def __init__(self, database="db-1"):
         self.group, self.database = "g", database
@@ -102,8 +102,8 @@
         self.states.append(error.sqlstate)
         self.sent.append(("refused", error.message))
 
-    def send_report(self, told):
-        self.sent.append(("load", told))
+    def send_report(self, report):
+        self.sent.append(("load", report))
 
     def send_not_owner(self):
         self.sent.append(("refused", "the group has other owners"))
@@ -139,7 +139,7 @@
         return Lender(self.pool, self.task) if self.pool is not None else None
 
     def give(self, name="c1", way=""):
-        """Give the last one that asked a connection."""
+        """Lend a connection to the last session that asked."""
         closed = []
         connection = SimpleNamespace(
             name=name, way=way, close=lambda: closed.append(name)
@@ -154,7 +154,7 @@
     return Owner()
 
 
-def test_a_statement_takes_a_connection_and_gives_it_back(owner):
+def test_a_statement_borrows_a_connection_and_returns_it(owner):
     session = Session()
     owner.handler.handle(READ, session)
     owner.give()
@@ -176,7 +176,7 @@
     assert owner.pool.released == [("c1", True)]
 
 
-def test_a_refusal_of_the_pool_says_that_nothing_was_run(owner):
+def test_a_pool_refusal_is_sent_as_not_run(owner):
     session = Session()
     owner.handler.handle(READ, session)
     refusal = PoolRefusal(RefusalReason.QUEUE_FULL, 0.1)
@@ -212,7 +212,7 @@
     assert session.sent[-1] == ("aborted", "")
 
 
-def test_a_session_that_ends_rolls_its_transaction_back(owner):
+def test_a_closed_session_rolls_back_its_transaction(owner):
     session = Session()
     owner.handler.handle(READ, session)
     owner.give()
@@ -223,7 +223,7 @@
     assert len(owner.pool.released) == 1
 
 
-def test_a_session_that_ends_breaks_off_what_runs(owner):
+def test_a_closed_session_cancels_its_running_statement(owner):
     session = Session()
     owner.handler.handle(READ, session)
     connection = owner.give()
@@ -231,14 +231,14 @@
     assert connection.closings == ["c1"]
 
 
-def test_a_session_that_ends_while_it_waits_leaves_the_queue(owner):
+def test_a_session_closed_while_it_waits_leaves_the_queue(owner):
     session = Session()
     owner.handler.handle(READ, session)
     session.on_gone()
     assert owner.pool.asked[0].called and session.sent == []
 
 
-def test_who_owns_no_group_refuses(owner):
+def test_an_instance_that_is_no_owner_refuses(owner):
     owner.pool = None
     session = Session()
     assert not owner.handler.serves(session)
@@ -252,7 +252,7 @@
     owner.handler.handle_status(sessions[0])
     for session in sessions[1:]:
         owner.handler.handle_status(session)
-    # Those that asked after it was sent get the next one, together.
+    # The sessions that asked after it was sent share the next status.
     owner.task.statuses[0].callback(Success("old"))
     assert [session.sent for session in sessions] == [[("status", "old")], [], []]
     owner.task.statuses[1].callback(Success("new"))
@@ -264,7 +264,9 @@
     ("is_answered", "state"),
     [(False, CANNOT_CONNECT_NOW), (True, TOO_MANY_CONNECTIONS)],
 )
-def test_a_silent_database_is_told_apart_from_a_busy_one(owner, is_answered, state):
+def test_a_silent_database_gets_another_sqlstate_than_a_busy_one(
+    owner, is_answered, state
+):
     session = Session()
     owner.handler.handle_status(session)
     failure = ControlFailure("db-1", "no status", is_answered)
@@ -273,22 +275,22 @@
     assert session.states == [state]
 
 
-def test_a_statement_that_a_primary_took_proves_its_lead(owner):
+def test_a_write_accepted_by_a_primary_proves_its_lead(owner):
     session = Session()
-    place = LogPosition(3, 9)
+    position = LogPosition(3, 9)
     for unit in (READ, WRITE):
         owner.handler.handle(unit, session)
         owner.give()
-        session.runs[-1][2].callback(make_end(position=place))
-    assert owner.task.told == [
-        ("position", "db-1", place),
-        ("position", "db-1", place),
-        ("lead", "db-1", place, 50.0),
+        session.runs[-1][2].callback(make_end(position=position))
+    assert owner.task.observed == [
+        ("position", "db-1", position),
+        ("position", "db-1", position),
+        ("lead", "db-1", position, 50.0),
     ]
 
 
 def test_an_answer_carries_the_newest_proof_with_its_age_once(owner):
-    session, place = Session(), LogPosition(3, 9)
+    session, position = Session(), LogPosition(3, 9)
 
     def run_one():
         owner.handler.handle(READ, session)
@@ -296,16 +298,21 @@
         session.runs[-1][2].callback(make_end())
 
     run_one()
-    owner.task.proof = Sample(place, 49.5)
+    owner.task.proof = Sample(position, 49.5)
     run_one()
     run_one()
-    owner.task.proof = Sample(place, 50.0)
+    owner.task.proof = Sample(position, 50.0)
     owner.task.now = 50.25
     run_one()
-    assert session.proven == [None, AgedProof(place, 0.5), None, AgedProof(place, 0.25)]
+    assert session.proven == [
+        None,
+        AgedProof(position, 0.5),
+        None,
+        AgedProof(position, 0.25),
+    ]
 
 
-def test_an_owner_that_leaves_refuses_what_is_new_and_ends_what_is_open(owner):
+def test_a_leaving_owner_refuses_new_operations_and_finishes_open_ones(owner):
     session = Session()
     owner.handler.handle(READ, session)
     owner.give()
@@ -319,8 +326,8 @@
 
 
 @pytest.mark.parametrize("is_counted", [True, False])
-def test_a_connection_is_lent_for_an_account_that_was_counted_or_not(owner, is_counted):
-    """What was counted elsewhere goes no further; see `DatabaseAccess.lend`."""
+def test_the_pool_is_passed_whether_an_operation_was_counted(owner, is_counted):
+    """A counted operation is not relayed again; see `DatabaseAccess.lend`."""
     session = Session()
     session.is_counted = is_counted
     owner.handler.handle(READ, session)
@@ -330,7 +337,7 @@
 @pytest.mark.parametrize(
     ("state", "has_run"), [("53300", False), ("25006", False), ("58000", True)]
 )
-def test_what_a_database_did_not_run_is_not_counted(owner, state, has_run):
+def test_an_operation_that_a_database_did_not_run_is_not_counted(owner, state, has_run):
     session = Session()
     owner.handler.handle(READ, session)
     owner.give()
@@ -339,7 +346,7 @@
     assert owner.pool.has_run == [has_run]
 
 
-def test_an_operation_over_the_limit_is_refused_with_a_time_to_come_back(owner):
+def test_an_operation_over_the_limit_is_refused_with_its_sqlstate(owner):
     session = Session()
     owner.handler.handle(READ, session)
     refusal = PoolRefusal(RefusalReason.OVER_LIMIT, 0.4)
@@ -350,7 +357,7 @@
 @pytest.mark.parametrize(
     ("time_left", "deadline"), [(0.25, 10.2), (9.0, 10.5), (0.04, 10.0)]
 )
-def test_a_statement_waits_as_long_as_its_caller_and_no_longer_than_the_owner(
+def test_a_statement_waits_until_the_earlier_of_both_deadlines(
     owner, time_left, deadline
 ):
     session = Session()
@@ -359,18 +366,18 @@
     assert owner.pool.deadlines == [deadline]
 
 
-def test_a_session_that_has_told_a_demand_is_told_of_the_load(owner):
+def test_a_session_that_sent_a_demand_is_sent_load_reports(owner):
     session = Session()
     session.sends_demands = True
     owner.pool.report = DatabaseReport(4, 4, (0.3,), 0.01, 7)
     owner.handler.handle(READ, session)
     owner.give()
     session.runs[0][2].callback(make_end())
-    told = ToldReport(owner.pool.report, 0.0)
-    assert session.sent == [("load", told), ("end", IDLE)]
+    report = ToldReport(owner.pool.report, 0.0)
+    assert session.sent == [("load", report), ("end", IDLE)]
 
 
-def test_a_refusal_comes_with_the_load_that_it_answers(owner):
+def test_a_refusal_is_sent_with_a_load_report(owner):
     session = Session()
     session.sends_demands = True
     owner.pool.report = DatabaseReport(4, 4, (0.3,), 0.01, 7)
@@ -380,7 +387,7 @@
     assert [word for word, _ in session.sent] == ["load", "refused"]
 
 
-def test_a_session_of_an_earlier_release_is_told_no_load(owner):
+def test_a_session_of_an_earlier_release_is_sent_no_load_report(owner):
     session = Session()
     owner.pool.report = DatabaseReport(4, 4, (0.3,), 0.01, 7)
     owner.handler.handle(READ, session)
@@ -389,8 +396,8 @@
     assert session.sent == [("end", IDLE)]
 
 
-def test_an_owner_that_does_not_reach_a_database_says_so_and_stays_an_owner():
-    """It was left for all databases of all groups when it did not reach one."""
+def test_an_owner_that_does_not_reach_a_database_refuses_and_stays_owner():
+    """Other instances avoided it for all databases when it did not reach one."""
     owner, session = Owner(is_owner=True), Session()
     owner.pool = None
     owner.handler.handle(READ, session)
--- a/tests/relay/test_lagging_replica.py
+++ b/tests/relay/test_lagging_replica.py
@@ -1,4 +1,4 @@
-"""Replicas that stay far behind are left alone by a whole fleet, not by each one."""
+"""An owner refuses reads that a lagging replica cannot serve, for the whole fleet."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class WatchingTask(Task):
-    """A group's task whose refusals are kept by the real decider."""
+    """A group task that uses the real decider for lagging replicas."""
 
     def __init__(self):
         super().__init__()
@@ -35,32 +35,32 @@
 
 
 def read(owner, after=POSITION):
-    """Send a read of an instance of its own; return its session."""
+    """Send a read in a session of another instance; return the session."""
     session = Session()
     owner.handler.handle(SimpleNamespace(proves_lead=False, after=after), session)
     return session
 
 
 def refuse(owner, session):
-    """Have the database refuse a session's read as it is behind."""
+    """Have the database refuse a session's read because it lags."""
     owner.give()
     session.runs[0][2].callback(make_end()._replace(error=LAGGING))
 
 
-def test_one_refusal_of_a_replica_tells_an_owner_for_all_instances(owner):
+def test_one_refusal_of_a_replica_serves_all_instances(owner):
     refuse(owner, read(owner))
     others = [read(owner) for _ in range(66)]
     assert len(owner.pool.asked) == 1
     assert {session.states[0] for session in others} == {"55000"}
 
 
-def test_a_read_that_asks_for_less_is_worth_a_try(owner):
+def test_a_read_of_an_earlier_position_is_tried(owner):
     refuse(owner, read(owner))
     read(owner, LogPosition(1, 8))
     assert len(owner.pool.asked) == 2
 
 
-def test_the_longer_a_replica_is_behind_the_longer_it_is_left_alone(owner):
+def test_the_pause_grows_with_the_time_that_a_replica_lags(owner):
     asked_at = []
     for step in range(300):
         owner.task.now = 50.0 + step / 10
--- a/tests/relay/test_opener.py
+++ b/tests/relay/test_opener.py
@@ -1,4 +1,4 @@
-"""Ways to a database that an instance does not reach itself."""
+"""`TargetOpener`: direct and indirect paths to a database."""
 
 from types import SimpleNamespace
 
@@ -23,7 +23,7 @@
 
 
 class Site:
-    """An instance among three others; `answers` says what an address answers."""
+    """An instance among three others; `answers` holds the error of each host."""
 
     def __init__(self):
         self.clock = Clock()
@@ -72,16 +72,16 @@
     assert site.open().way == "" and site.tried == ["10.0.0.9"]
 
 
-def test_one_that_is_not_reached_is_opened_through_another_instance_at_once():
+def test_an_unreachable_database_is_opened_through_another_instance_at_once():
     site = cut_off()
     connection = site.open()
     assert connection.way in OTHERS
     assert site.tried == ["10.0.0.9", connection.way]
-    # The next one does not try the direct way first.
+    # The next connection does not try the direct path first.
     assert site.open().way == connection.way and len(site.tried) == 1
 
 
-def test_others_that_do_not_reach_it_either_are_passed_over():
+def test_instances_that_do_not_reach_it_either_are_skipped():
     site = cut_off()
     first = site.open().way
     site.answers[first] = ConnectRefused("57P03")
@@ -90,21 +90,21 @@
     assert site.open().way == second
 
 
-def test_one_that_says_so_later_is_passed_over_too():
+def test_an_instance_that_stops_reaching_it_is_skipped():
     site = cut_off()
     first = site.open()
     first.on_useless(False)
     assert site.open().way not in ("", first.way)
 
 
-def test_a_database_that_nobody_reaches_fails_after_one_round():
+def test_a_database_that_no_instance_reaches_fails_after_one_round():
     site = cut_off()
     site.answers |= {name: ConnectRefused("57P03") for name in OTHERS}
     assert site.open().check(ConnectRefused)
     assert sorted(site.tried) == ["10.0.0.9", *OTHERS]
 
 
-def test_a_database_that_is_full_or_slow_is_not_gone_round():
+def test_a_full_or_slow_database_is_opened_directly_only():
     for error in (ConnectRefused("53300"), ConnectionError("not ready in time")):
         site = Site()
         site.answers["10.0.0.9"] = error
@@ -112,7 +112,7 @@
         assert not site.directory.is_unreachable("db-1")
 
 
-def test_the_direct_way_is_tried_again_and_then_used():
+def test_the_direct_path_is_probed_and_then_used():
     site = cut_off()
     site.open()
     site.clock.advance(DIRECT_RETRY_INTERVAL)
@@ -123,7 +123,7 @@
     assert site.open().way == ""
 
 
-def test_an_instance_that_gives_no_answer_is_passed_over():
+def test_an_instance_that_does_not_answer_is_avoided():
     site = cut_off()
     first = site.open().way
     site.answers[first] = TargetUnreachable("nothing came back")
@@ -133,14 +133,14 @@
 REPORT = DatabaseReport(4, 4, (0.5,), 0.01, 7)
 
 
-def test_what_an_owner_tells_of_its_load_is_kept():
+def test_load_reports_of_an_owner_are_stored():
     site = cut_off()
     connection = site.open()
     connection.on_report(ToldReport(REPORT, 3.0), site.clock.seconds())
     assert site.outlook.get_wait(connection.way, "db-1", 0) == 0.5
 
 
-def test_a_session_to_a_later_process_voids_what_the_one_before_told():
+def test_a_session_to_a_later_process_voids_earlier_reports():
     site = cut_off()
     connection = site.open()
     connection.on_report(ToldReport(REPORT, 3.0), site.clock.seconds())
@@ -149,7 +149,7 @@
     assert site.outlook.get_wait(connection.way, "db-1", 0) == 0.0
 
 
-def test_an_owner_that_does_not_reach_one_database_is_no_lost_owner():
+def test_an_owner_that_does_not_reach_one_database_is_not_avoided():
     site = Site()
     site.answers = {name: ConnectRefused("57P03", True) for name in OTHERS}
     outcomes = []
--- a/tests/relay/test_owners.py
+++ b/tests/relay/test_owners.py
@@ -1,4 +1,4 @@
-"""Who opens connections to databases, on tiny fleets."""
+"""Placement of groups and the order of their owners."""
 
 import pytest
 
@@ -29,12 +29,12 @@
     assert sum(shares) == limit - 2 and max(shares) - min(shares) <= 1
 
 
-def test_a_single_owner_is_none_while_there_is_a_connection_for_each():
+def test_there_is_no_single_owner_while_each_instance_gets_a_connection():
     assert compute_placement("g", make_peers(14), 16).owners == ()
     assert len(compute_placement("g", make_peers(15), 16).owners) == 1
 
 
-def test_instances_that_are_not_known_yet_are_reckoned_with():
+def test_instances_that_are_not_known_yet_are_assumed():
     assert compute_placement("g", make_peers(1), 43, 8).share == 5
 
 
@@ -52,14 +52,14 @@
     assert sorted(peer.zone for peer in owners) == ["z0", "z0", "z1", "z1", "z2", "z2"]
 
 
-def test_a_member_that_goes_changes_no_other_owner():
+def test_the_loss_of_a_member_changes_no_other_owner():
     peers = make_peers(20)
     owners = choose_owners("g", peers, 6)
     rest = tuple(peer for peer in peers if peer != owners[0])
     assert len(set(owners[1:]) & set(choose_owners("g", rest, 6))) >= 5
 
 
-def test_all_work_out_the_same_owners():
+def test_all_instances_compute_the_same_owners():
     peers = make_peers(20)
     assert choose_owners("g", peers, 4) == choose_owners("g", peers[::-1], 4)
 
@@ -69,7 +69,7 @@
     assert [peer.zone == "z1" for peer in ordered] == [True, True] + [False] * 4
 
 
-def test_instances_ask_different_owners_first():
+def test_instances_spread_their_first_choice_over_the_owners():
     owners = make_peers(6, zones=1)
     firsts = {order_owners(owners, "g", f"n{n}", "z0")[0].name for n in range(40)}
     assert len(firsts) == 6
--- a/tests/relay/test_slot_choice.py
+++ b/tests/relay/test_slot_choice.py
@@ -1,4 +1,4 @@
-"""Which owners count an account's operations, on tiny fleets."""
+"""The owners that count an account's operations, in a small fleet."""
 
 import pytest
 
@@ -38,8 +38,8 @@
             assert {line[0].zone for line in others} == {"z0", "z1", "z2"} - {zone}
 
 
-def test_all_instances_name_the_same_owner_of_a_zone():
-    """Or the one that is asked from another zone would pass the operation on."""
+def test_all_instances_choose_the_same_owner_of_a_zone():
+    """Otherwise the owner that another zone asks would relay the operation again."""
     for slot in range(SLOTS):
         lines = {
             z: ZoneOwners().make_preference_lists(PEERS, slot, z)
@@ -53,7 +53,7 @@
             assert len(firsts) == 1
 
 
-def test_a_zone_without_owners_asks_the_one_that_its_own_zone_asks():
+def test_a_zone_without_owners_asks_the_first_choice_of_another_zone():
     for slot in range(SLOTS):
         asked = ZoneOwners().make_preference_lists(PEERS, slot, "elsewhere")[0][0]
         assert (
@@ -61,7 +61,7 @@
         )
 
 
-def test_the_loss_of_an_owner_moves_only_what_it_had():
+def test_the_loss_of_an_owner_moves_only_its_slots():
     rest = tuple(peer for peer in PEERS if peer.name != "n0")
     for slot in range(SLOTS):
         for zone in ("z0", "z1", "z2"):
@@ -72,33 +72,33 @@
 
 def test_an_owner_that_refused_is_asked_last_for_a_while():
     now = [10.0]
-    notes = QuotaRefusals(lambda: now[0])
-    notes.record("a", "one")
-    assert notes.choose("a", ("one", "two")) == "two"
-    assert notes.choose("b", ("one", "two")) == "one"
+    refusals = QuotaRefusals(lambda: now[0])
+    refusals.record("a", "one")
+    assert refusals.choose("a", ("one", "two")) == "two"
+    assert refusals.choose("b", ("one", "two")) == "one"
     now[0] += 0.1
-    notes.record("a", "two")
-    assert not notes.has_available("a", ("one", "two"))
-    # All have refused: the one that did so first has earned the most.
-    assert notes.choose("a", ("two", "one")) == "one"
+    refusals.record("a", "two")
+    assert not refusals.has_available("a", ("one", "two"))
+    # All have refused: the one that refused first has earned the most tokens.
+    assert refusals.choose("a", ("two", "one")) == "one"
     now[0] = 10.0 + REFUSAL_RETENTION
-    assert notes.has_available("a", ("one", "two"))
+    assert refusals.has_available("a", ("one", "two"))
 
 
-def test_what_is_remembered_of_refusals_is_bounded():
-    notes = QuotaRefusals(lambda: 10.0)
+def test_the_number_of_stored_refusals_is_bounded():
+    refusals = QuotaRefusals(lambda: 10.0)
     for number in range(MAX_REFUSED_ACCOUNTS + 1):
-        notes.record(f"a{number}", "one")
-    assert notes.choose("a0", ("one", "two")) == "one"
-    assert notes.choose("a1", ("one", "two")) == "two"
+        refusals.record(f"a{number}", "one")
+    assert refusals.choose("a0", ("one", "two")) == "one"
+    assert refusals.choose("a1", ("one", "two")) == "two"
 
 
 class Fleet:
-    """The directory of an instance of the zone z0 that owns nothing."""
+    """The directory of an instance in the zone z0 that owns nothing."""
 
     def __init__(self, choice):
         self.now = 100.0
-        # All others are stronger, so that it owns nothing.
+        # All others have more capacity, so that it owns nothing.
         me = Peer("me", "z0", Endpoint("10.0.0.1", 1), capacity=0.1)
         self.directory = RelayDirectory(me, lambda: self.now, 8, choice)
         self.directory.set_peers(PEERS)
@@ -122,7 +122,7 @@
     assert fleet.directory.choose_slot_owner(get_slot("a")).name == first
 
 
-def test_a_lost_owner_is_followed_by_the_next_one_of_the_zone(fleet):
+def test_a_lost_owner_is_replaced_by_the_next_one_of_the_zone(fleet):
     first = fleet.choose()
     fleet.directory.avoid(first)
     second = fleet.choose()
@@ -134,12 +134,12 @@
     assert fleet.choose() == first
 
 
-def test_what_the_zone_may_not_run_any_more_goes_to_another_zone_once(fleet):
+def test_operations_over_the_zones_quota_go_to_another_zone_once(fleet):
     first = fleet.choose()
     assert fleet.directory.observe_quota_refusal("a", first)
     second = fleet.choose()
     assert fleet.get_zone(second) != "z0"
-    # The rights stay: what is lent goes to the zone's owner as before.
+    # The quota shares stay: lent operations go to the zone's owner as before.
     assert fleet.directory.choose_slot_owner(get_slot("a")).name == first
     assert fleet.directory.observe_quota_refusal("a", second)
     assert not fleet.directory.observe_quota_refusal("a", fleet.choose())
@@ -147,7 +147,7 @@
     assert fleet.choose() == first
 
 
-def test_another_zones_owner_that_is_lost_is_not_asked_for_its_rights(fleet):
+def test_a_lost_owner_in_another_zone_is_not_asked(fleet):
     first = fleet.choose()
     fleet.directory.observe_quota_refusal("a", first)
     second = fleet.choose()
@@ -156,28 +156,28 @@
     assert third not in (first, second) and fleet.get_zone(third) != "z0"
 
 
-def test_what_another_instance_sent_goes_on_to_no_other_zone(fleet):
-    """One hop: the instance that took the operation asks the next owner itself."""
+def test_a_lent_operation_is_not_sent_on_to_another_zone(fleet):
+    """One hop only: the receiving instance asks the next owner itself."""
     first = fleet.choose()
     fleet.directory.observe_quota_refusal("a", first)
-    way = fleet.directory.choose_via("g", "db", 62, "a", is_lent=True)
-    assert way.name == first
+    owner = fleet.directory.choose_via("g", "db", 62, "a", is_lent=True)
+    assert owner.name == first
 
 
-def test_one_owner_of_the_whole_fleet_is_the_only_one_that_may_run_it():
+def test_with_one_owner_in_the_fleet_no_other_may_run_an_operation():
     fleet = Fleet(FleetOwners())
     first = fleet.choose()
     assert not fleet.directory.observe_quota_refusal("a", first)
     assert fleet.choose() == first
 
 
-def test_without_accounts_nothing_is_passed_on(fleet):
+def test_without_accounts_no_quota_refusal_is_recorded(fleet):
     assert not fleet.directory.observe_quota_refusal("", "n0")
     fleet.directory.set_accounts(None)
     assert not fleet.directory.observe_quota_refusal("a", "n0")
 
 
-def test_the_zone_in_which_an_account_runs_follows_its_way(fleet):
+def test_the_zone_of_an_account_follows_the_chosen_owner(fleet):
     assert fleet.directory.get_zone("a") == "z0" and fleet.directory.get_zone("") == ""
     fleet.directory.observe_quota_refusal("a", fleet.choose())
     assert fleet.directory.get_zone("a") == fleet.get_zone(fleet.choose()) != "z0"
--- a/tests/relay/test_strong_owners.py
+++ b/tests/relay/test_strong_owners.py
@@ -1,4 +1,4 @@
-"""Who owns groups where some instances can carry far more than others."""
+"""Owners of groups in a fleet of instances with very different capacities."""
 
 from collections import Counter
 
@@ -37,11 +37,11 @@
     )
 
 
-def test_no_weak_instance_owns_a_group_while_strong_ones_stand_by():
+def test_weak_instances_own_no_group_while_there_are_enough_strong_ones():
     owned = count_owned(MIXED, 6)
     strong = {peer.name for peer in MIXED if peer.capacity > 2.0}
     assert set(owned) == strong
-    # Each has about its part of the 1,200 places, none all groups.
+    # Each has about its share of the 1,200 ownerships, and none owns all groups.
     assert all(60 <= number <= 140 for number in owned.values())
 
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("count", [2, 6])
 def test_strong_instances_of_one_zone_alone_do_not_own_all_of_a_group(count):
-    """With that zone all owners of each group would be lost."""
+    """The loss of that zone would lose all owners of each group."""
     peers = make_fleet([2.0] * 8, [0.5] * 8, [0.5] * 8)
     for group in GROUPS:
         zones = {peer.zone for peer in choose_strong_owners(group, peers, count)}
@@ -73,7 +73,7 @@
 
 
 def test_the_only_strong_instance_of_a_zone_does_not_own_all_groups():
-    """Others can: it would carry all that the callers of its zone ask for."""
+    """It would run all requests of its zone's callers, though others could."""
     peers = make_fleet([2.15] + [0.5] * 11, [2.15] * 6, [2.15] * 6)
     owned = count_owned(peers, 6)
     assert 0 < owned["z0-n0"] < 0.75 * len(GROUPS)
@@ -86,13 +86,13 @@
     assert Counter(peer.zone for peer in owners) == {"z0": 2, "z1": 2}
 
 
-def test_instances_that_are_alike_own_what_they_owned_before():
+def test_instances_of_similar_capacity_are_chosen_as_without_weights():
     peers = make_fleet([2.0, 1.9, 1.2], [2.0] * 3)
     for group in GROUPS:
         assert choose_strong_owners(group, peers, 4) == choose_owners(group, peers, 4)
 
 
-def test_all_choose_the_same_whatever_order_they_know_the_members_in():
+def test_the_choice_does_not_depend_on_the_order_of_members():
     for group in GROUPS:
         chosen = choose_strong_owners(group, MIXED, 6)
         assert choose_strong_owners(group, MIXED[::-1], 6) == chosen
@@ -108,7 +108,7 @@
         assert gone in before or after == before
 
 
-def test_a_fleet_in_which_all_own_all_groups_is_served_as_before():
+def test_weights_do_not_matter_where_all_instances_own_all_groups():
     peers = make_fleet([2.0, 0.5], [2.0, 0.5], [2.0, 0.5])
     placements = {
         compute_placement("g", peers, 22, 1, choose)
@@ -118,7 +118,7 @@
     assert placement.owners == ()
 
 
-def test_the_directory_places_groups_so():
+def test_the_directory_uses_the_given_choice_of_owners():
     own = MIXED[0]
     directory = RelayDirectory(own, lambda: 0.0, 8, choose_owners=choose_strong_owners)
     directory.set_peers(MIXED)
--- a/tests/relay/test_ways.py
+++ b/tests/relay/test_ways.py
@@ -1,4 +1,4 @@
-"""Owners that fall silent."""
+"""Detection of silent owners, and the connections that are closed with them."""
 
 from types import SimpleNamespace
 
@@ -24,7 +24,7 @@
     return SimpleNamespace(get_connections=lambda: connections, close_idle=close_idle)
 
 
-def test_a_silent_owner_is_left_with_its_idle_connections():
+def test_the_idle_connections_of_a_silent_owner_are_closed():
     late, idle, busy = Connection("n1", 5.0), Connection("n1"), Connection("n1", 6.0)
     other = Connection("n2")
     assert close_overdue(late, [make_pool(late, idle), make_pool(busy, other)]) == "n1"
@@ -32,32 +32,34 @@
     assert not busy.closed and not other.closed
 
 
-def test_an_owner_that_has_answered_others_is_kept():
+def test_an_owner_that_answered_on_another_connection_is_kept():
     late, idle = Connection("n1", 5.0), Connection("n1", heard_at=5.1)
     assert close_overdue(late, [make_pool(late, idle)]) == ""
     assert late.closed and not idle.closed
 
 
-def test_a_connection_straight_to_a_database_is_closed_alone():
+def test_an_overdue_direct_connection_is_closed_alone():
     late, idle = Connection("", 5.0), Connection("")
     assert close_overdue(late, [make_pool(late, idle)]) == ""
     assert late.closed and not idle.closed
 
 
 def test_only_an_owner_can_be_silent():
-    straight, late = Connection("", 5.0), Connection("n1", 5.0)
-    assert not is_silent(straight, [make_pool(straight)])
+    direct, late = Connection("", 5.0), Connection("n1", 5.0)
+    assert not is_silent(direct, [make_pool(direct)])
     assert is_silent(late, [make_pool(late)])
     assert not is_silent(late, [make_pool(late, Connection("n1", heard_at=5.1))])
 
 
 def test_an_owner_that_has_answered_elsewhere_is_kept():
-    """Its database hangs: few statements go there, and none of them is answered."""
+    """Its database hangs, and the few statements sent there get no answer."""
     late, idle = Connection("n1", 5.0), Connection("n1")
     pools = [make_pool(late, idle)]
-    heard = {"n1": 5.2}
-    assert not is_silent(late, pools, lambda name, since: heard[name] > since)
-    assert close_overdue(late, pools, lambda name, since: heard[name] > since) == ""
+    answered_at = {"n1": 5.2}
+    assert not is_silent(late, pools, lambda name, since: answered_at[name] > since)
+    assert (
+        close_overdue(late, pools, lambda name, since: answered_at[name] > since) == ""
+    )
     assert late.closed and not idle.closed
-    heard["n1"] = 4.9
-    assert is_silent(late, pools, lambda name, since: heard[name] > since)
+    answered_at["n1"] = 4.9
+    assert is_silent(late, pools, lambda name, since: answered_at[name] > since)
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -1,4 +1,4 @@
-"""The words that instances say to each other."""
+"""The wire format between instances: demands, load reports, proofs, process numbers."""
 
 import math
 from types import SimpleNamespace
@@ -36,7 +36,7 @@
         (Demand(account="one", is_returning=True), b""),
     ],
 )
-def test_a_demand_passes_as_a_short_prefix(demand, prefix):
+def test_a_demand_is_encoded_as_a_short_prefix(demand, prefix):
     assert format_demand(demand) == prefix
     expected = demand._replace(account="one", is_returning=False)
     assert parse_demand(prefix + b"READ x", "one") == (expected, b"READ x")
@@ -57,17 +57,17 @@
         b"WITHIN 1 250 9999999999 READ x",
     ],
 )
-def test_a_malformed_demand_is_told_apart(text):
+def test_a_malformed_demand_is_rejected(text):
     parsed = parse_demand(text, "")
     assert parsed is None or parsed == (NO_DEMAND, b"WITHIN")
 
 
-def test_what_is_out_of_bounds_counts_as_the_bound():
+def test_values_out_of_bounds_are_clamped():
     demand, _ = parse_demand(b"WITHIN 9 -5 -7 READ x", "")
     assert demand == Demand(3, -0.005, 0.0)
 
 
-def test_only_an_instance_that_understands_it_is_told_a_demand_and_once():
+def test_a_demand_is_sent_once_and_only_to_instances_that_understand_it():
     def take(way, incarnation):
         connection = SimpleNamespace(
             demand=Demand(1, 0.25, 0.8), way=way, incarnation=incarnation
@@ -89,17 +89,17 @@
         (b"READY I - 7 further", 7),
     ],
 )
-def test_the_answer_to_a_start_tells_of_the_process(line, incarnation):
+def test_the_answer_to_start_holds_the_process_number(line, incarnation):
     assert parse_incarnation(line) == incarnation
 
 
-def test_a_report_passes():
+def test_a_report_is_encoded_and_parsed():
     line = format_report(ToldReport(REPORT, 83.2114))
     assert line == b"LOAD 83211 24 20 1400 0,15,400\r\n"
     assert parse_report(line[:-2], 7) == ToldReport(REPORT, 83.211)
 
 
-def test_a_report_without_waits_passes():
+def test_a_report_without_waits_is_encoded_and_parsed():
     report = REPORT._replace(waits=())
     line = format_report(ToldReport(report, 1.0))
     assert parse_report(line[:-2], 7).report == report
@@ -108,13 +108,13 @@
 @pytest.mark.parametrize(
     "line", [b"LOAD", b"LOAD 1 2 3 4", b"LOAD 1 2 3 4 5,", b"LOAD -1 2 3 4 5"]
 )
-def test_a_malformed_report_is_told_apart(line):
+def test_a_malformed_report_is_rejected(line):
     with pytest.raises(MalformedMessage):
         parse_report(line, 7)
 
 
 @given(st.binary(max_size=40))
-def test_any_bytes_are_read_or_told_apart(data):
+def test_any_bytes_are_parsed_or_rejected(data):
     parse_demand(b"WITHIN " + data, "")
     for parse in (lambda: parse_report(b"LOAD " + data, 7), lambda: parse_proven(data)):
         with pytest.raises(MalformedMessage):
