--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -68,7 +68,7 @@
         True if an instance that starts may go by another one's copies.
     shares_copies : bool
         True if instances may tell each other what the store holds.
-    owners_of_accounts : SlotChoice
+    owners_of_accounts : SlotOwnerPolicy
         Which owners count and run the operations of accounts.
     choose_owners : callable
         Chooses the owners of a group whose connections belong to no account.
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -42,11 +42,11 @@
 class _Checkout(NamedTuple):
     """The pool that a connection came from, and the account that was charged for it.
 
-    `counted` is empty if the operation was not counted here.
+    `counted_account` is empty if the operation was not counted here.
     """
 
     pool: PoolTask
-    counted: str = ""
+    counted_account: str = ""
 
 
 class _Acquisition(NamedTuple):
@@ -227,8 +227,8 @@
         checkout = self._checkouts.pop(connection, None)
         if checkout is None:
             return
-        if checkout.counted and not has_run:
-            self._refund(checkout.counted)
+        if checkout.counted_account and not has_run:
+            self._refund(checkout.counted_account)
         # The pool may lend the connection again at once, so pop its operation first.
         operation = self._gated.pop_operation(connection)
         checkout.pool.release(connection, reusable)
@@ -340,8 +340,8 @@
         reason = failure.value.refusal.reason if refused else None
         if reason is RefusalReason.OVER_LIMIT:
             # The owner in another zone may have quota left.
-            counting = "" if tried.is_counted_here else tried.via
-            if not self._observe_quota_refusal(demand.account, counting):
+            refusing_owner = "" if tried.is_counted_here else tried.via
+            if not self._observe_quota_refusal(demand.account, refusing_owner):
                 return failure
         elif not tried.via or reason is not RefusalReason.UNREACHABLE:
             return failure
@@ -368,22 +368,22 @@
         instance at the end of the path counts it, unless it is a lent operation, which
         was counted before.
         """
-        counted = demand.account if is_counted_here else ""
-        wait = self._admit(counted) if counted else 0.0
+        counted_account = demand.account if is_counted_here else ""
+        wait = self._admit(counted_account) if counted_account else 0.0
         if wait:
             refusal = PoolRefusal(RefusalReason.OVER_LIMIT, wait)
             return fail(PoolRefused(refusal))
         if via:
-            is_counted = is_lent or bool(counted)
+            is_counted = is_lent or bool(counted_account)
             acquiring = self._acquire_session(
                 via, deadline, demand, is_lent, is_counted
             )
         else:
             acquiring = self._acquire_directly(deadline, demand)
         pool = self._get_sessions(via) if via else self.direct
-        acquiring.addCallback(self._record_checkout, _Checkout(pool, counted))
-        if counted:
-            acquiring.addErrback(self._refund_failed, counted)
+        acquiring.addCallback(self._record_checkout, _Checkout(pool, counted_account))
+        if counted_account:
+            acquiring.addErrback(self._refund_failed, counted_account)
         return acquiring
 
     def _acquire_directly(
--- a/beryltrack/relay/directory.py
+++ b/beryltrack/relay/directory.py
@@ -347,7 +347,7 @@
         self._observe_owners = callback
 
     def set_quota_holder_source(self, get_quota_holder: Callable[[int], str]) -> None:
-        """Set what returns the holder of this instance's quota shares of a slot."""
+        """Set what returns the holder of this instance's share of a slot."""
         self._get_quota_holder = get_quota_holder
 
     def set_reachability_observer(self, callback: Callable[[], object]) -> None:
@@ -375,7 +375,7 @@
         )
 
     def avoid(self, name: str, min_time: float = MIN_PROBE_INTERVAL) -> None:
-        """Avoid an owner until it answers a probe, which comes after `min_time` s."""
+        """Avoid an owner until it answers a probe, the first after `min_time` s."""
         if self._avoided.add(name, self._seconds(), min_time):
             self._observe_owners()
 
@@ -396,6 +396,6 @@
         self._avoided.record_probe_failure(name, self._seconds())
 
     def stop_avoiding(self, name: str) -> None:
-        """Use an owner again that answers."""
+        """Use an owner again, as it answers."""
         if self._avoided.remove(name):
             self._observe_owners()
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -176,7 +176,7 @@
         self._time_limit = time_limit
         self._lagging_pause = lagging_pause
         self._statuses = StatusSharing(self._find_lender)
-        self._lent: dict[RelayedSession, Lender] = {}
+        self._lenders: dict[RelayedSession, Lender] = {}
         self._is_leaving = False
 
     def leave(self) -> None:
@@ -209,7 +209,7 @@
     def forget(self, session: RelayedSession) -> None:
         """Roll back the open transaction of a session that has closed."""
         connection, session.pinned = session.pinned, None
-        lender = self._lent.pop(session, None)
+        lender = self._lenders.pop(session, None)
         if connection is not None and lender is not None:
             lender.pool.release(connection, False)
 
@@ -224,7 +224,7 @@
             if connection is None:
                 return
         session.set_gone(connection.close)
-        pool, task = self._lent[session]
+        pool, task = self._lenders[session]
         sent_at = task.get_time()
         result = await session.run_on(connection, unit)
         session.set_gone(None)
@@ -282,7 +282,7 @@
             return None
         finally:
             session.set_gone(None)
-        self._lent[session] = lender
+        self._lenders[session] = lender
         return connection
 
     def _release(
@@ -294,7 +294,7 @@
     ) -> None:
         """Return a connection to its pool after a statement or a transaction."""
         session.pinned = None
-        lender = self._lent.pop(session, None)
+        lender = self._lenders.pop(session, None)
         if lender is not None:
             lender.pool.release(connection, reusable, has_run)
 
--- a/beryltrack/relay/slot_owners.py
+++ b/beryltrack/relay/slot_owners.py
@@ -33,7 +33,7 @@
     def make_preference_lists(
         self, owners: Sequence[Peer], slot: int, zone: str
     ) -> tuple[PreferenceList, ...]:
-        """Return the preference lists of owners, the one to ask first at the start.
+        """Return the preference lists of owners, starting with the one to use first.
 
         Parameters
         ----------
--- a/beryltrack_bench/quota/site.py
+++ b/beryltrack_bench/quota/site.py
@@ -116,7 +116,7 @@
         Instances.
     seed : int
         Decides the accounts and what they ask for.
-    choice : SlotChoice
+    choice : SlotOwnerPolicy
         Which owner runs a slot's accounts.
     """
 
