--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -13,7 +13,7 @@
 from beryltrack.groups.policy import ProbePolicy
 from beryltrack.load.policy import LoadPolicy
 from beryltrack.relay.owners import ChooseOwners, choose_owners
-from beryltrack.relay.slot_choice import FleetOwners, SlotChoice, ZoneOwners
+from beryltrack.relay.slot_owners import FleetOwners, SlotOwnerPolicy, ZoneOwners
 from beryltrack.relay.strong_owners import choose_strong_owners
 from beryltrack.requests.admission import AdmissionPolicy
 from beryltrack.requests.overdue import LATE_AFTER
@@ -68,7 +68,7 @@
         True if an instance that starts may go by another one's copies.
     shares_copies : bool
         True if instances may tell each other what the store holds.
-    owners_of_accounts : SlotChoice
+    owners_of_accounts : SlotOwnerPolicy
         Which owners count and run the operations of accounts.
     choose_owners : callable
         Chooses the owners of a group whose connections belong to no account.
@@ -90,7 +90,7 @@
     takes_detours: bool
     takes_snapshots: bool
     shares_copies: bool
-    owners_of_accounts: SlotChoice
+    owners_of_accounts: SlotOwnerPolicy
     choose_owners: ChooseOwners
     probes_owners: bool
 
