--- a/beryltrack/objects/__init__.py
+++ b/beryltrack/objects/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform's service: its objects, watches and instance list."""
+"""Client of the platform's object store, with the cached copies of its objects."""
--- a/beryltrack/objects/backoff.py
+++ b/beryltrack/objects/backoff.py
@@ -1,14 +1,19 @@
-"""Delays between attempts, grown exponentially and spread by full jitter.
+"""Exponential back-off between attempts, with jitter.
 
 Many proxies lose the platform at the same moment. Without jitter they would
-all come back at the same moment too.
+all retry at the same moment too.
 """
 
 import random
 
 FIRST_DELAY = 0.1
+"""Upper bound of the first delay, seconds."""
+
 MAX_DELAY = 10.0
+"""Upper bound of all delays, seconds."""
+
 MAX_DOUBLINGS = 16
+"""Doublings of the first delay, bounded so that the power stays small."""
 
 
 def compute_delay(
--- a/beryltrack/objects/client.py
+++ b/beryltrack/objects/client.py
@@ -1,10 +1,9 @@
 """Client of the platform's object API and instance list over HTTP.
 
-The platform counts calls and has outages, so this client bounds the calls in
-flight and those that wait, gives each call a timeout, and repeats with jittered
-back-off only what is safe to repeat: reads, and changes that were refused
-before they took effect. A change whose answer was lost ends as
-`ErrorKind.UNKNOWN`; `beryltrack.settings.change` resolves it.
+Writes and deletions are conditional on a version (compare-and-set). Retries cover only
+what is safe to repeat: reads, and changes that were refused before they took effect;
+see `http`. A change whose answer is lost ends as `ErrorKind.UNKNOWN`, which
+`beryltrack.settings.change` resolves.
 """
 
 import json
@@ -62,7 +61,7 @@
     timeout : float, optional
         Time limit of one attempt, seconds.
     agent : IAgent, optional
-        Carries the requests in place of connections of this client's own.
+        Sends the requests, instead of this client's own connections.
     """
 
     def __init__(
@@ -77,7 +76,7 @@
 
     @property
     def eras(self) -> EraTracker:
-        """The era that the store is in."""
+        """Tracks the era of the store."""
         return self._http.eras
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
@@ -87,13 +86,13 @@
     async def list(self, prefix: str) -> Result[ObjectList, PlatformError]:
         """Return all objects whose path begins with `prefix`."""
         query = urlencode({"prefix": prefix})
-        return _require(await self._read(f"/objects?{query}", parse_list))
+        return _require_value(await self._read(f"/objects?{query}", parse_list))
 
     async def list_instances(
         self,
     ) -> Result[tuple[InstanceEntry, ...], PlatformError]:
-        """Return the platform's instance list, which lags."""
-        return _require(await self._read("/instances", parse_instances))
+        """Return the platform's instance list, which lags behind."""
+        return _require_value(await self._read("/instances", parse_instances))
 
     async def watch(
         self, prefix: str, after: int, timeout: float
@@ -105,21 +104,23 @@
         prefix : str
             Beginning of the paths that are watched.
         after : int
-            Revision that is known; later changes are wanted.
+            Version that is known; later changes are returned.
         timeout : float
-            Time that the platform waits for a change, seconds. Zero asks for
-            the changes so far.
+            Time that the platform waits for a change, seconds. Zero returns the
+            changes so far.
 
         Returns
         -------
         Result
             The changed objects, possibly none.
         """
-        place = {"prefix": prefix, "after": get_revision(after), "timeout": timeout}
+        arguments = {"prefix": prefix, "after": get_revision(after), "timeout": timeout}
         limit = timeout + self._http.timeout
-        url = f"/watch?{urlencode(place)}"
+        url = f"/watch?{urlencode(arguments)}"
         result = await self._http.watch(url, after, limit)
-        return _require(result.bind(lambda answer: _read_answer(answer, parse_list)))
+        return _require_value(
+            result.bind(lambda answer: _read_answer(answer, parse_list))
+        )
 
     async def put(
         self, path: str, value: object, if_version: int
@@ -151,7 +152,7 @@
         return self._http.close()
 
     async def _read(self, url: str, parse: Callable[[object, int], T]) -> Result:
-        """Repeat a read until it gives an answer or the attempts are used up."""
+        """Send a read with retries and parse its answer."""
         repeatable = frozenset({ErrorKind.REFUSED, ErrorKind.UNKNOWN})
         result = await self._http.send_with_retries("GET", url, None, repeatable)
         return result.bind(lambda answer: _read_answer(answer, parse))
@@ -159,18 +160,18 @@
     async def _change(
         self, method: str, url: str, body: object, if_version: int
     ) -> Result:
-        """Send a change, again only as long as it was refused before its effect."""
+        """Send a change, retried only while it is refused before it takes effect."""
         result = await self._http.send_change(method, url, body, if_version)
         return result.bind(_read_change)
 
 
 def _get_object_url(path: str) -> str:
-    """Return the address of an object, relative to the service."""
+    """Return the URL of an object, relative to the service."""
     return f"/objects/{quote(path)}"
 
 
 def _read_answer(answer: HttpAnswer, parse: Callable[[object, int], T]) -> Result:
-    """Return the parsed answer to a read, None for an object that is not there."""
+    """Return the parsed answer to a read, None for an object that does not exist."""
     if answer.code == NOT_FOUND:
         return Success(None)
     if answer.code >= 400:
@@ -179,30 +180,30 @@
         return Success(parse(json.loads(answer.body), answer.era))
     except ValueError as error:
         return make_failure(
-            ErrorKind.INVALID, f"the platform's answer is faulty: {error}"
+            ErrorKind.INVALID, f"the platform's answer is malformed: {error}"
         )
 
 
 def _read_change(answer: HttpAnswer) -> Result[int, PlatformError]:
-    """Return the new version that a change gave."""
+    """Return the new version from the answer to a change."""
     if answer.code == NOT_FOUND:
-        return make_failure(ErrorKind.CONFLICT, "the object is not there")
+        return make_failure(ErrorKind.CONFLICT, "the object does not exist")
     if answer.code >= 400 and answer.code != CONFLICT:
         return make_failure(ErrorKind.INVALID, f"the platform answered {answer.code}")
     try:
         version = parse_version(json.loads(answer.body), answer.era)
     except ValueError as error:
-        # The change was accepted although its answer cannot be read.
+        # The platform accepted the change although its answer cannot be parsed.
         kind = ErrorKind.CONFLICT if answer.code == CONFLICT else ErrorKind.UNKNOWN
-        return make_failure(kind, f"the platform's answer is faulty: {error}")
+        return make_failure(kind, f"the platform's answer is malformed: {error}")
     if answer.code == CONFLICT:
         text = f"the object has version {format_version(version)}"
         return make_failure(ErrorKind.CONFLICT, text, version)
     return Success(version)
 
 
-def _require(result: Result) -> Result:
-    """Turn a successful None into a failure, where something must be there."""
+def _require_value(result: Result) -> Result:
+    """Turn a successful None into a failure, for paths that always exist."""
     if result == Success(None):
         return make_failure(ErrorKind.INVALID, "the platform answered 404")
     return result
--- a/beryltrack/objects/copies.py
+++ b/beryltrack/objects/copies.py
@@ -1,11 +1,12 @@
-"""What a watcher tells its followers: frames of changes, and that it is at work.
+"""Publishes a watcher's cached copies to its followers, as frames of CBOR over TCP.
 
-A frame says up to which revision the watcher knows a kind, and whether it hears from
-the store. The first frames of a link hold all objects, later ones what has changed.
-Most followers are told the same at the same moment, which is encoded once for all.
+A frame says up to which version the watcher knows a kind, and whether it is in contact
+with the store; frames without changes serve as heartbeats. The first frames of a link
+contain all objects, later ones what has changed. Most followers get the same frame at
+the same moment, which is encoded once for all.
 
-The store's era is a field of its own: an instance of an earlier release, which knows no
-eras, cannot read the frames, and asks the store instead of taking a version for a
+The store's era is a field of its own: an instance of an earlier release without eras
+cannot decode the frames and calls the store, instead of mistaking a version for a
 revision.
 """
 
@@ -20,24 +21,23 @@
 from beryltrack.objects.eras import get_era, get_revision, make_version
 from beryltrack.objects.feed import FeedTask
 from beryltrack.objects.messages import PlatformObject
-from beryltrack.objects.snapshot import MALFORMED, decode_object
+from beryltrack.objects.snapshot import DECODE_ERRORS, decode_object
 
-HEARTBEAT = 0.5
-"""Seconds between two frames of a link on which nothing changes."""
+HEARTBEAT_PERIOD = 0.5
+"""Seconds between frames of a link without changes."""
 
-MOST_FOLLOWERS = 64
-"""Links that one watcher takes; a zone of a hundred instances has three watchers."""
-
-MOST_BYTES = 8 << 20
-"""Largest frame; all objects of 400 routes and 40 databases have 0.1 MB."""
+MAX_FOLLOWERS = 64
+"""Links that one watcher accepts; a zone of 100 instances has three watchers."""
 
+MAX_FRAME_BYTES = 8 << 20
+"""Largest frame, bytes; all objects of 400 routes and 40 databases have 0.1 MB."""
 
 _CBOR_ARRAY = 0x80
-"""First byte of an array of CBOR, to which the number of its items is added."""
+"""First byte of a CBOR array of up to 23 items, without their number."""
 
 
 class CopyFrame(NamedTuple):
-    """What a watcher tells of one kind.
+    """The state or the changes of one kind.
 
     Parameters
     ----------
@@ -46,9 +46,9 @@
     revision : int
         The store's version up to which the watcher knows them.
     is_live : bool
-        True if the watcher follows the store itself and hears from it.
-    is_whole : bool
-        True if these are all objects, False if they are those that have changed.
+        True if the watcher watches the store itself and gets answers.
+    is_complete : bool
+        True if these are all objects, False if only changed ones.
     objects : tuple of PlatformObject
         The objects.
     """
@@ -56,39 +56,41 @@
     kind: str
     revision: int
     is_live: bool
-    is_whole: bool
+    is_complete: bool
     objects: tuple[PlatformObject, ...]
 
 
 def encode_frames(frames: tuple[CopyFrame, ...]) -> bytes:
-    """Return the form of some frames."""
+    """Return the encoded array of some frames."""
     return join_frames(tuple(map(encode_frame, frames)))
 
 
 def encode_frame(frame: CopyFrame) -> bytes:
-    """Return the form of one frame."""
-    place = [get_era(frame.revision), get_revision(frame.revision)]
+    """Return one encoded frame."""
+    version = [get_era(frame.revision), get_revision(frame.revision)]
     objects = [list(item) for item in frame.objects]
-    return cbor2.dumps([frame.kind, *place, frame.is_live, frame.is_whole, objects])
+    return cbor2.dumps(
+        [frame.kind, *version, frame.is_live, frame.is_complete, objects]
+    )
 
 
 def join_frames(encoded: tuple[bytes, ...]) -> bytes:
-    """Return the form of some frames that are encoded already, at most 23."""
+    """Return the array of at most 23 encoded frames."""
     return bytes((_CBOR_ARRAY | len(encoded),)) + b"".join(encoded)
 
 
 def decode_frames(data: bytes) -> tuple[CopyFrame, ...]:
-    """Return the frames that a form stands for.
+    """Return the frames of an encoded array.
 
     Raises
     ------
     ValueError
-        If they cannot be read. A single object that cannot be read is left out.
+        If a frame is malformed. A single malformed object is skipped and logged.
     """
     try:
         return tuple(_decode_frame(fields) for fields in cbor2.loads(data))
-    except MALFORMED as error:
-        raise ValueError(f"no frames: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise ValueError(f"the frames are malformed: {error!r}") from error
 
 
 def _decode_frame(fields: object) -> CopyFrame:
@@ -99,31 +101,31 @@
             int() as era,
             int() as revision,
             bool() as live,
-            bool() as whole,
-            list() as of,
+            bool() as complete,
+            list() as items,
         ]:
-            objects = tuple(item for item in map(decode_object, of) if item)
+            objects = tuple(item for item in map(decode_object, items) if item)
             version = make_version(era, revision)
-            return CopyFrame(kind, version, live, whole, objects)
+            return CopyFrame(kind, version, live, complete, objects)
     raise ValueError("a frame is malformed")
 
 
 Objects = dict[str, PlatformObject]
 
 
-class _Encoded(NamedTuple):
-    """The last frame of a kind, what it rests on, and its form."""
+class _EncodedFrame(NamedTuple):
+    """The last encoded frame of a kind, with the states that it leads from and to."""
 
-    before: Objects | None
-    now: Objects
+    known: Objects | None
+    current: Objects
     revision: int
     is_live: bool
-    form: bytes
+    data: bytes
 
-    def fits(self, feed: FeedTask, before: Objects | None) -> bool:
-        """Return whether a follower that knows `before` is to be told the same."""
-        told = (self.revision, self.is_live) == (feed.revision, feed.is_live)
-        return told and self.before is before and self.now is feed.objects
+    def matches(self, feed: FeedTask, known: Objects | None) -> bool:
+        """Return whether a follower that knows `known` needs this same frame."""
+        is_same = (self.revision, self.is_live) == (feed.revision, feed.is_live)
+        return is_same and self.known is known and self.current is feed.objects
 
 
 class CopySender(Int32StringReceiver):
@@ -133,71 +135,71 @@
 
     def __init__(self, feeds: tuple[FeedTask, ...]):
         self._feeds = feeds
-        self._told: dict[str, Objects] = {}
+        self._sent: dict[str, Objects] = {}
         self._is_paused = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Tell all that is known."""
+        """Send all objects, or close a link above `MAX_FOLLOWERS`."""
         self.transport.setTcpNoDelay(True)
         self.factory.links.add(self)
-        if len(self.factory.links) > MOST_FOLLOWERS:
+        if len(self.factory.links) > MAX_FOLLOWERS:
             self.transport.loseConnection()
             return
         self.transport.registerProducer(self, True)
-        self.tell(self._feeds)
+        self.send_updates(self._feeds)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Tell nothing while the follower does not read."""
+        """Send nothing while the follower does not read."""
         self._is_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Tell what has changed meanwhile."""
+        """Send what has changed meanwhile."""
         self._is_paused = False
-        self.tell(self._feeds)
+        self.send_updates(self._feeds)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Tell no more: the link is lost."""
+        """Send no more: the link is lost."""
         self._is_paused = True
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell no more."""
+        """Remove the link from the publisher."""
         self.factory.links.discard(self)
 
-    def tell(self, feeds: tuple[FeedTask, ...]) -> None:
-        """Tell what has changed of some kinds, or that nothing has."""
+    def send_updates(self, feeds: tuple[FeedTask, ...]) -> None:
+        """Send the changes of some kinds, or a heartbeat for unchanged ones."""
         if self._is_paused:
             return
         encoded = (
-            self.factory.encode(each, self._told.get(each.kind)) for each in feeds
+            self.factory.encode(each, self._sent.get(each.kind)) for each in feeds
         )
         self.sendString(join_frames(tuple(encoded)))
-        self._told |= {feed.kind: feed.objects for feed in feeds}
+        self._sent |= {feed.kind: feed.objects for feed in feeds}
 
 
-def make_frame(feed: FeedTask, before: Objects | None) -> CopyFrame:
-    """Return what a follower is to be told of a kind; None if it knows nothing."""
-    now, known = feed.objects, before or {}
+def make_frame(feed: FeedTask, known: Objects | None) -> CopyFrame:
+    """Return the frame for a follower that knows `known`, None if it knows nothing."""
+    current, previous = feed.objects, known or {}
     changed: tuple[PlatformObject, ...] = ()
-    if before is not now:
-        new = (each for path, each in now.items() if known.get(path) is not each)
-        gone = (
+    if known is not current:
+        new = (each for path, each in current.items() if previous.get(path) is not each)
+        deleted = (
             each._replace(value=None, deleted=True)
-            for path, each in known.items()
-            if path not in now
+            for path, each in previous.items()
+            if path not in current
         )
-        changed = (*new, *gone)
-    return CopyFrame(feed.kind, feed.revision, feed.is_live, before is None, changed)
+        changed = (*new, *deleted)
+    return CopyFrame(feed.kind, feed.revision, feed.is_live, known is None, changed)
 
 
 class CopyPublisher(Factory):
-    """Takes the links of followers, and tells them of each change.
+    """Accepts the links of followers, and sends them each change and heartbeats.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     feeds : tuple of FeedTask
-        What is told of.
+        The feeds whose objects are published.
     """
 
     noisy = False
@@ -205,47 +207,47 @@
     def __init__(self, reactor, feeds: tuple[FeedTask, ...]):
         self.links: set[CopySender] = set()
         self._feeds = feeds
-        self._encoded: dict[str, _Encoded] = {}
-        self._beating = LoopingCall(self._beat)
-        self._beating.clock = reactor
+        self._last_encoded: dict[str, _EncodedFrame] = {}
+        self._heartbeat = LoopingCall(self._send_heartbeat)
+        self._heartbeat.clock = reactor
         for feed in feeds:
-            feed.subscribe(self._tell)
+            feed.subscribe(self._send_update)
 
     def start(self) -> None:
-        """Begin to tell, in regular intervals, that this instance is at work."""
-        self._beating.start(HEARTBEAT, now=False)
+        """Start the heartbeats."""
+        self._heartbeat.start(HEARTBEAT_PERIOD, now=False)
 
     def stop(self) -> None:
-        """Close all links: their followers go on with another watcher at once."""
-        if self._beating.running:
-            self._beating.stop()
+        """Close all links, so that their followers turn to another watcher at once."""
+        if self._heartbeat.running:
+            self._heartbeat.stop()
         for link in tuple(self.links):
             link.transport.abortConnection()
 
     def buildProtocol(self, addr) -> CopySender:  # noqa: N802
-        """Return a link."""
+        """Return the sender of a new link."""
         link = CopySender(self._feeds)
         link.factory = self
         return link
 
-    def encode(self, feed: FeedTask, before: Objects | None) -> bytes:
-        """Return the form of what a follower that knows `before` is to be told."""
-        last = self._encoded.get(feed.kind)
-        if last is None or not last.fits(feed, before):
-            form = encode_frame(make_frame(feed, before))
-            last = _Encoded(before, feed.objects, feed.revision, feed.is_live, form)
-            self._encoded[feed.kind] = last
-        return last.form
-
-    def _beat(self) -> None:
-        """Tell all followers of all kinds."""
+    def encode(self, feed: FeedTask, known: Objects | None) -> bytes:
+        """Return the encoded frame for a follower that knows `known`."""
+        last = self._last_encoded.get(feed.kind)
+        if last is None or not last.matches(feed, known):
+            data = encode_frame(make_frame(feed, known))
+            last = _EncodedFrame(known, feed.objects, feed.revision, feed.is_live, data)
+            self._last_encoded[feed.kind] = last
+        return last.data
+
+    def _send_heartbeat(self) -> None:
+        """Send a frame of all kinds to all followers."""
         for link in tuple(self.links):
-            link.tell(self._feeds)
+            link.send_updates(self._feeds)
 
-    def _tell(self, feed: FeedTask) -> None:
-        """Tell all followers of a change of one kind."""
+    def _send_update(self, feed: FeedTask) -> None:
+        """Send the changes of one kind to all followers."""
         for link in tuple(self.links):
-            link.tell((feed,))
+            link.send_updates((feed,))
 
 
 class CopyReceiver(Int32StringReceiver):
@@ -253,27 +255,27 @@
 
     Parameters
     ----------
-    take : callable
-        Takes each set of frames.
-    lose : callable
-        Called when the link has ended.
+    on_frames : callable
+        Called with this link and each array of frames.
+    on_lost : callable
+        Called with this link when it has ended.
     """
 
-    MAX_LENGTH = MOST_BYTES
+    MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, take, lose):
-        self._take = take
-        self._lose = lose
+    def __init__(self, on_frames, on_lost):
+        self._on_frames = on_frames
+        self._on_lost = on_lost
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take frames; a link with one that cannot be read is given up."""
+        """Pass decoded frames on; close the link on a malformed one."""
         try:
             frames = decode_frames(string)
         except ValueError:
             self.transport.abortConnection()
             return
-        self._take(self, frames)
+        self._on_frames(self, frames)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Say that the link has ended."""
-        self._lose(self)
+        """Report that the link has ended."""
+        self._on_lost(self)
--- a/beryltrack/objects/feed.py
+++ b/beryltrack/objects/feed.py
@@ -1,8 +1,9 @@
-"""A live copy of all objects of one kind, by one list and then watches.
+"""A cached copy of all objects of one kind, kept current by list and watch.
 
-The store counts each call, a waiting watch as one, so that a feed makes few: a
-list at the start and after the store forgot its changes, else one watch at a time. A
-feed may be held back while another instance tells what the store holds.
+The scheme is that of Kubernetes informers: a list, then long-polling watches from its
+revision on, and a new list after a failure. The store counts each call, also a watch
+that waits, so a feed makes one call at a time. A feed can be paused while another
+instance forwards the objects.
 """
 
 import logging
@@ -26,27 +27,28 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_WAIT = 0.5
-"""Seconds that a watch waits at the least, two calls a second."""
+MIN_WATCH_TIMEOUT = 0.5
+"""Lower bound of the wait of a watch, seconds: at most two calls a second."""
 
-SECOND_LOOK = 1.5
-"""Seconds after a failure was over until all objects are listed again. A store that
-compacts its changes may be silent for a second."""
+RELIST_DELAY = 1.5
+"""Seconds that the first watch after a failure waits before all objects are listed once
+again. A store that compacts its changes may be silent for a second."""
 
-FIRST_DELAY = 0.05
-MOST_DELAY = 0.5
-"""Seconds between two attempts while the store gives no answer. Settings are to be
-in force within seconds of its return, and a refused call costs as much as another."""
+FIRST_RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 0.5
+"""Bounds of the delay between attempts while the store does not answer, seconds.
+Settings must be in force within seconds of its return, but a refused call costs as much
+as any other."""
 
-MOST_NAMED = 8
-"""Objects that a line of the log names."""
+MAX_LOGGED_PATHS = 8
+"""Paths that one log line names."""
 
 _ABSENT = object()
-_UNANSWERED = frozenset((ErrorKind.REFUSED, ErrorKind.UNKNOWN))
+_UNAVAILABLE = frozenset((ErrorKind.REFUSED, ErrorKind.UNKNOWN))
 
 
 class ObjectFeed(Protocol):
-    """Lists and watches the objects of a kind."""
+    """Source of objects that can be listed and watched by kind."""
 
     async def list(self, kind: str) -> Result[ObjectList, PlatformError]:
         """Return all objects of a kind."""
@@ -61,11 +63,11 @@
 
 
 def compute_watch_timeout(limit: float) -> float:
-    """Return how long a watch may wait if its changes are to be known in time.
+    """Return how long a watch may wait so that changes are known in time.
 
-    A watch that reaches a silent store is lost without a sign, so that the store may
-    be back for the whole of its wait before its objects are listed again. A third of
-    the limit is left for a late answer (0.6 s) and the list (0.4 s).
+    A watch that a silent store received is never answered, so that the store may be
+    back for the whole wait before its objects are listed again. A third of the limit
+    remains for a late answer (0.6 s) and the list (0.4 s).
 
     Parameters
     ----------
@@ -77,11 +79,11 @@
     float
         Seconds.
     """
-    return max(LEAST_WAIT, limit * 2 / 3)
+    return max(MIN_WATCH_TIMEOUT, limit * 2 / 3)
 
 
 class FeedTask:
-    """Keeps the copy of one kind.
+    """Keeps the cached copy of one kind.
 
     Parameters
     ----------
@@ -90,18 +92,18 @@
     source : ObjectFeed
         The store.
     kind : str
-        The kind.
+        The kind of objects.
     callback : callable
         Called with all objects by path after each change of them.
     rng : random.Random
         Source of jitter.
-    wait : float
-        Seconds that a watch waits for a change. A watch that a silent store has taken
-        is never answered, and holds changes up for as long as it may last; see
+    watch_timeout : float
+        Seconds that a watch waits for a change. A watch that a silent store received
+        is never answered and delays changes until it times out; see
         `compute_watch_timeout`.
-    gap : float
-        Seconds after a change until the next is asked for. Changes that come in
-        a row, as at a start, then cost one call together.
+    batch_delay : float
+        Seconds between an answer and the next call. Changes in quick succession, as at
+        a start, then cost one call together.
     """
 
     def __init__(
@@ -111,38 +113,38 @@
         kind: str,
         callback: FeedCallback,
         rng: random.Random,
-        wait: float,
-        gap: float = 0.0,
+        watch_timeout: float,
+        batch_delay: float = 0.0,
     ):
         self._reactor = reactor
         self._seconds = get_seconds(reactor)
         self._source = source
         self._kind = kind
         self._callback = callback
-        self._wait = wait
-        self._gap = gap
+        self._watch_timeout = watch_timeout
+        self._batch_delay = batch_delay
         self._rng = rng
         self._objects: dict[str, PlatformObject] = {}
         self._revision: int | None = None
         self._answered_at = self._seconds()
         self._failures = 0
         self._last_error: ErrorKind | None = None
-        self._looks_twice = False
+        self._must_relist = False
         self._must_list = True
-        self._most_delay = MOST_DELAY
-        self._is_held = False
-        self._released: Deferred | None = None
+        self._max_retry_delay = MAX_RETRY_DELAY
+        self._is_paused = False
+        self._resumed: Deferred | None = None
         self._observers: list[Callable[[FeedTask], None]] = []
         self._loop: Deferred | None = None
 
     @property
     def objects(self) -> dict[str, PlatformObject]:
-        """All objects by path, as they were last told."""
+        """All objects by path, in their last known state."""
         return self._objects
 
     @property
     def kind(self) -> str:
-        """The kind that is followed."""
+        """The kind of objects."""
         return self._kind
 
     @property
@@ -151,129 +153,129 @@
         return self._revision or 0
 
     @property
-    def is_held(self) -> bool:
-        """True if the store is not asked, as another instance tells."""
-        return self._is_held
+    def is_paused(self) -> bool:
+        """True if the feed makes no calls; `follow` says when."""
+        return self._is_paused
 
     @property
     def is_live(self) -> bool:
-        """True if the store is asked and answers."""
-        return not (self._is_held or self._failures) and self._revision is not None
+        """True if the feed calls the store and gets answers."""
+        return not (self._is_paused or self._failures) and self._revision is not None
 
     @property
-    def is_unanswered(self) -> bool:
-        """True if the last call found no store that answers."""
-        return self._failures > 0 and self._last_error in _UNANSWERED
+    def is_store_unavailable(self) -> bool:
+        """True if the last call was refused or not answered."""
+        return self._failures > 0 and self._last_error in _UNAVAILABLE
 
     @property
     def is_failing(self) -> bool:
-        """True if the last call failed, in whatever way."""
+        """True if the last call failed for any reason."""
         return self._failures > 0
 
     @property
     def silence(self) -> float:
-        """Seconds since the store last answered for this kind, or since the start."""
+        """Seconds since the last answer for this kind, or since the start."""
         return self._seconds() - self._answered_at
 
     def start(self) -> None:
-        """Begin to follow the objects."""
+        """Start to list and watch the objects."""
         self._loop = Deferred.fromCoroutine(self._run())
         self._loop.addErrback(lambda failure: failure.trap(CancelledError))
 
     def subscribe(self, observer: "Callable[[FeedTask], None]") -> None:
-        """Call back after each change, and when the store is heard or lost."""
+        """Call `observer` after each change, and when the store is lost or back."""
         self._observers.append(observer)
 
-    def set_most_delay(self, seconds: float) -> None:
-        """Take how long to wait at the most between two attempts that fail."""
-        self._most_delay = seconds
+    def set_max_retry_delay(self, seconds: float) -> None:
+        """Set the upper bound of the delay between failing attempts, seconds."""
+        self._max_retry_delay = seconds
 
-    def hold(self) -> None:
-        """Ask the store no more once the present call is answered."""
-        self._is_held = True
+    def pause(self) -> None:
+        """Make no more calls once the present one has ended."""
+        self._is_paused = True
 
-    def release(self) -> None:
-        """Ask the store again for what came after the last word."""
-        if self._is_held:
-            self._is_held = False
-            released, self._released = self._released, None
-            if released is not None:
-                released.callback(None)
+    def resume(self) -> None:
+        """Resume calls, from the known revision on."""
+        if self._is_paused:
+            self._is_paused = False
+            resumed, self._resumed = self._resumed, None
+            if resumed is not None:
+                resumed.callback(None)
 
-    def learn(
-        self, revision: int, objects: tuple[PlatformObject, ...], is_whole: bool
+    def apply_copy(
+        self, revision: int, objects: tuple[PlatformObject, ...], is_complete: bool
     ) -> None:
-        """Take in what another instance has been told by the store.
+        """Apply objects that another instance forwards from the store.
 
         Parameters
         ----------
         revision : int
-            The store's version up to which that instance knows the kind. What is
-            older than the own knowledge, or of an earlier era, is left out.
+            The store's version up to which that instance knows the kind. A version
+            older than the known one, also one of an earlier era, is ignored.
         objects : tuple of PlatformObject
             All objects, or those that have changed.
-        is_whole : bool
-            True if these are all.
+        is_complete : bool
+            True if `objects` are all objects of the kind.
         """
-        if revision < self.revision or (not is_whole and self._revision is None):
+        if revision < self.revision or (not is_complete and self._revision is None):
             return
         self._answered_at = self._seconds()
         found = ObjectList(revision, objects)
-        if not is_whole:
-            self._take_changes(found)
+        if not is_complete:
+            self._apply_changes(found)
         elif {item.path: item for item in objects} == self._objects:
             self._revision, self._must_list = revision, False
         else:
-            self._take_list(found)
+            self._apply_list(found)
 
     def stop(self) -> None:
-        """Follow them no more."""
+        """Stop all calls."""
         loop, self._loop = self._loop, None
         if loop is not None:
             loop.cancel()
 
     async def _run(self) -> None:
         while True:
-            if self._is_held:
-                self._released = Deferred()
-                await self._released
-            result = await self._ask()
+            if self._is_paused:
+                self._resumed = Deferred()
+                await self._resumed
+            result = await self._call_store()
             if isinstance(result, Success):
-                self._note_answer()
-                if self._gap:
-                    await deferLater(self._reactor, self._gap)
+                self._record_answer()
+                if self._batch_delay:
+                    await deferLater(self._reactor, self._batch_delay)
                 continue
-            self._note_failure(result.failure())
+            self._record_failure(result.failure())
             delay = compute_delay(
                 self._failures,
                 self._rng,
-                first_delay=FIRST_DELAY,
-                max_delay=self._most_delay,
+                first_delay=FIRST_RETRY_DELAY,
+                max_delay=self._max_retry_delay,
             )
             await deferLater(self._reactor, delay)
 
-    async def _ask(self) -> Result[ObjectList, PlatformError]:
-        """Make one call and take in what it says."""
+    async def _call_store(self) -> Result[ObjectList, PlatformError]:
+        """Make one call, a list or a watch, and apply its answer."""
         if self._must_list:
             result = await self._source.list(self._kind)
             if isinstance(result, Success):
-                self._take_list(result.unwrap())
+                self._apply_list(result.unwrap())
             return result
-        timeout = SECOND_LOOK if self._looks_twice else self._wait
+        timeout = RELIST_DELAY if self._must_relist else self._watch_timeout
         result = await self._source.watch(self._kind, self._revision, timeout)
         if isinstance(result, Success):
-            self._take_changes(result.unwrap())
-            if self._looks_twice:
-                self._looks_twice, self._must_list = False, True
+            self._apply_changes(result.unwrap())
+            if self._must_relist:
+                self._must_relist, self._must_list = False, True
         return result
 
-    def _take_list(self, found: ObjectList) -> None:
-        """Take in all objects; those that are not listed are gone."""
+    def _apply_list(self, found: ObjectList) -> None:
+        """Replace all objects; those that are not listed no longer exist."""
         self._must_list = False
         if found.revision < self.revision:
-            # Another instance has told of later changes meanwhile.
+            # Another instance has forwarded later changes meanwhile.
             log.info(
-                "objects: A list of %s at revision %s is passed over, %s is known.",
+                "objects: Ignored a list of %s at revision %s: revision %s is known.",
                 self._kind,
                 format_version(found.revision),
                 format_version(self.revision),
@@ -283,36 +285,36 @@
         if self._revision and get_era(found.revision) > get_era(self._revision):
             self._log_restore(found.revision, objects)
         self._revision, self._objects = found.revision, objects
-        self._tell()
+        self._publish()
 
     def _log_restore(self, revision: int, objects: dict[str, PlatformObject]) -> None:
-        """Log what a store that was restored from a backup has otherwise than known."""
+        """Log in which objects a restored store differs from the cached copy."""
         known = {path: item.value for path, item in self._objects.items()}
-        told = {path: item.value for path, item in objects.items()}
-        other = sorted(
+        listed = {path: item.value for path, item in objects.items()}
+        changed = sorted(
             path
-            for path in known.keys() | told.keys()
-            if known.get(path, _ABSENT) != told.get(path, _ABSENT)
+            for path in known.keys() | listed.keys()
+            if known.get(path, _ABSENT) != listed.get(path, _ABSENT)
         )
         log.warning(
-            "objects: The store has %s at %s after %s; %d of %d objects are not as "
-            "they were known: %s.",
+            "objects: The restored store has %s at revision %s, after %s; %d of %d "
+            "objects differ from the cached ones: %s.",
             self._kind,
             format_version(revision),
             format_version(self.revision),
-            len(other),
-            len(told),
-            ", ".join(other[:MOST_NAMED]) or "none",
+            len(changed),
+            len(listed),
+            ", ".join(changed[:MAX_LOGGED_PATHS]) or "none",
         )
 
-    def _take_changes(self, found: ObjectList) -> None:
-        """Take in what has changed."""
+    def _apply_changes(self, found: ObjectList) -> None:
+        """Apply changed and deleted objects."""
         self._revision = max(self.revision, found.revision)
         objects = dict(self._objects)
         for item in found.objects:
             known = objects.get(item.path)
             if known is not None and known.version > item.version:
-                # A call of before is answered after another instance has told more.
+                # This call was sent before another instance forwarded a later version.
                 continue
             if item.deleted:
                 objects.pop(item.path, None)
@@ -320,23 +322,25 @@
                 objects[item.path] = item
         if found.objects:
             self._objects = objects
-            self._tell()
+            self._publish()
 
-    def _tell(self) -> None:
-        """Tell of a change; a defect of the callback must not end the feed."""
+    def _publish(self) -> None:
+        """Pass the objects on; an exception of the callback must not end the feed."""
         try:
             self._callback(self._objects)
         except Exception:
-            log.exception("objects: A change of %s met a defect.", self._kind)
-        self._tell_observers()
+            log.exception(
+                "objects: The callback for a change of %s failed.", self._kind
+            )
+        self._notify_observers()
 
-    def _tell_observers(self) -> None:
-        """Tell those that pass the copy on."""
+    def _notify_observers(self) -> None:
+        """Call the observers, which forward the copy to other instances."""
         for observer in self._observers:
             observer(self)
 
-    def _note_answer(self) -> None:
-        """Note that the store answers."""
+    def _record_answer(self) -> None:
+        """Record that the store answers."""
         if self._failures:
             log.info(
                 "objects: The store answers again for %s, after %.1f s.",
@@ -346,22 +350,22 @@
         was_lost, self._failures = self._failures > 0, 0
         self._answered_at = self._seconds()
         if was_lost:
-            self._tell_observers()
-
-    def _note_failure(self, error: PlatformError) -> None:
-        """Note that the store gives no answer, or forgot its changes."""
-        # A watch that begins just before the store drops its changes hears
-        # nothing of them, so that after any failure all objects are listed, and
-        # once more when that is over.
-        self._must_list = self._looks_twice = True
+            self._notify_observers()
+
+    def _record_failure(self, error: PlatformError) -> None:
+        """Record that a call failed, and have all objects listed again."""
+        # A watch that begins just before the store compacts its changes misses
+        # them. So all objects are listed after each failure, and once more after the
+        # first watch that succeeds.
+        self._must_list = self._must_relist = True
         self._failures += 1
         self._last_error = error.kind
         if self._failures == 1:
             log.warning(
-                "objects: No answer for %s for %.1f s (%s): %s.",
+                "objects: No answer for %s for %.1f s (%s): %s; retrying.",
                 self._kind,
                 self.silence,
                 error.kind.value,
                 error.text,
             )
-            self._tell_observers()
+            self._notify_observers()
--- a/beryltrack/objects/fields.py
+++ b/beryltrack/objects/fields.py
@@ -1,8 +1,8 @@
-"""Reads objects of the store field by field, by the type that each field has.
+"""Validates objects of the store field by field, against a type for each field.
 
-Other programs write to the store too, and not all of them write what is agreed. So
-each field of an object is checked, and an object that fails a check is a finding that
-costs nothing but that object. All checks of one object are reported together.
+Other programs write to the store too, and not all of them keep to the format. A field
+that fails its check becomes a finding, which invalidates its own object only. All
+findings of one object are reported together.
 """
 
 import ipaddress
@@ -14,10 +14,11 @@
 from beryltrack.settings.messages import Endpoint
 
 MAX_PORT = 65535
+"""Highest TCP port."""
 
-MAX_NAME = 255
-"""Most characters of a name: more than any platform gives, and few enough for a line
-of the log and of the protocols that carry it."""
+MAX_NAME_LENGTH = 255
+"""Characters of a name: more than any platform assigns, and few enough for a line of
+the log and of the protocols that carry it."""
 
 
 class Field(NamedTuple):
@@ -28,8 +29,7 @@
     name : str
         Its name in the object.
     parse : callable
-        Returns its value in the product's form, or raises `ValueError` with what is
-        wrong.
+        Returns the parsed value, or raises `ValueError` that says what is wrong.
     is_required : bool
         False if the field may be missing.
     """
@@ -42,26 +42,26 @@
 def read_fields(
     source: str, place: str, value: object, fields: tuple[Field, ...]
 ) -> tuple[dict[str, object], list[Finding]]:
-    """Return the fields of an object, and all that is wrong with them.
+    """Return the valid fields of an object, and all findings about the others.
 
     Parameters
     ----------
     source : str
         Path of the object in the store.
     place : str
-        Where in the object the fields stand; empty for the object itself.
+        JSON pointer to the fields inside the object; empty for the object itself.
     value : object
-        What stands there.
+        The JSON value at that place.
     fields : tuple of Field
-        The fields to read; others are left alone.
+        The fields to read; others are ignored.
 
     Returns
     -------
     tuple
-        The values of the fields that are there and right, and the findings.
+        The values of the fields that are present and valid, and the findings.
     """
     if not isinstance(value, dict):
-        return {}, [Finding(source, place, "is no object")]
+        return {}, [Finding(source, place, "is not an object")]
     found: dict[str, object] = {}
     findings: list[Finding] = []
     for field in fields:
@@ -81,7 +81,7 @@
 def read_nested(
     source: str, value: object, name: str, fields: tuple[Field, ...]
 ) -> tuple[dict[str, object], list[Finding]]:
-    """Return the fields of an object that is itself a field; see `read_fields`."""
+    """Return the fields of the object that is field `name`; see `read_fields`."""
     outer, findings = read_fields(source, "", value, (Field(name, parse_map),))
     if findings:
         return {}, findings
@@ -91,12 +91,12 @@
 def read_rows(
     source: str, name: str, value: dict[str, object], fields: tuple[Field, ...]
 ) -> tuple[list[dict[str, object]], list[Finding]]:
-    """Return the rows of a list, one of an object's fields, that can be read.
+    """Return the valid rows of the list that is an object's field `name`.
 
     Returns
     -------
     tuple
-        The rows that are right, and what is wrong with the others.
+        The valid rows, and the findings about the others.
     """
     pairs = [
         read_fields(source, f"/{name}/{index}", row, fields)
@@ -107,7 +107,7 @@
 
 
 def parse_name(value: object) -> str:
-    """Return a name: printable ASCII without blanks, as protocols carry it.
+    """Return a name: printable ASCII without spaces, as protocols carry it.
 
     Raises
     ------
@@ -116,18 +116,18 @@
     """
     is_name = (
         isinstance(value, str)
-        and 0 < len(value) <= MAX_NAME
+        and 0 < len(value) <= MAX_NAME_LENGTH
         and value.isascii()
         and value.isprintable()
         and " " not in value
     )
     if not is_name:
-        raise ValueError("is no name")
+        raise ValueError("is not a valid name")
     return value
 
 
 def parse_whole_number(value: object) -> int:
-    """Return a whole number from 0 on; 3.0, true and "3" are none.
+    """Return a whole number of at least 0; 3.0, true and "3" are invalid.
 
     Raises
     ------
@@ -135,12 +135,12 @@
         If it is none.
     """
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise ValueError("is no whole number from 0 on")
+        raise ValueError("is not a whole number of at least 0")
     return value
 
 
 def parse_positive(value: object) -> int:
-    """Return a whole number from 1 on.
+    """Return a whole number of at least 1.
 
     Raises
     ------
@@ -153,12 +153,12 @@
 
 
 def parse_number(value: object) -> float:
-    """Return a number that is not negative.
+    """Return a finite number of at least 0.
 
     Raises
     ------
     ValueError
-        If it is none; not a number and infinity are none.
+        If it is none; NaN and infinity are invalid.
     """
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     try:
@@ -166,7 +166,7 @@
     except OverflowError:
         number = math.nan
     if not math.isfinite(number) or number < 0:
-        raise ValueError("is no number from 0 on")
+        raise ValueError("is not a number of at least 0")
     return number
 
 
@@ -179,12 +179,12 @@
         If it is none.
     """
     if parse_positive(value) > MAX_PORT:
-        raise ValueError(f"is over {MAX_PORT}")
+        raise ValueError(f"exceeds {MAX_PORT}")
     return value
 
 
 def parse_ip(value: object) -> str:
-    """Return an IP number.
+    """Return an IP address.
 
     Raises
     ------
@@ -192,13 +192,13 @@
         If it is none.
     """
     if not isinstance(value, str):
-        raise ValueError("is no IP number")
+        raise ValueError("is not an IP address")
     ipaddress.ip_address(value)
     return value
 
 
 def parse_address(value: object) -> Endpoint:
-    """Return the endpoint that a text ``IP:PORT`` stands for.
+    """Return the endpoint of an address of the form ``IP:PORT``.
 
     Raises
     ------
@@ -206,26 +206,26 @@
         If it is none.
     """
     if not isinstance(value, str):
-        raise ValueError("is no address")
+        raise ValueError("is not an address IP:PORT")
     host, _, port = value.rpartition(":")
     if not (port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))):
-        raise ValueError("is an address without a port")
+        raise ValueError("is an address without a valid port")
     return Endpoint(parse_ip(host), parse_port(int(port)))
 
 
 def make_choice_parser(choices: tuple[str, ...]) -> Callable[[object], str]:
-    """Return what parses one of some texts."""
+    """Return a parser that accepts one of the given strings."""
 
     def parse(value: object) -> str:
         if not isinstance(value, str) or value not in choices:
-            raise ValueError(f"is none of {', '.join(choices)}")
+            raise ValueError(f"is not one of {', '.join(choices)}")
         return value
 
     return parse
 
 
 def parse_text(value: object) -> str:
-    """Return a text that is not empty.
+    """Return a non-empty string.
 
     Raises
     ------
@@ -233,12 +233,12 @@
         If it is none.
     """
     if not isinstance(value, str) or not value:
-        raise ValueError("is no text")
+        raise ValueError("is not a non-empty string")
     return value
 
 
 def parse_flag(value: object) -> bool:
-    """Return true or false.
+    """Return a boolean.
 
     Raises
     ------
@@ -262,7 +262,7 @@
 
 
 def parse_map(value: object) -> dict:
-    """Return an object of JSON.
+    """Return a JSON object.
 
     Raises
     ------
@@ -270,12 +270,12 @@
         If it is none.
     """
     if not isinstance(value, dict):
-        raise ValueError("is no object")
+        raise ValueError("is not an object")
     return value
 
 
 def parse_list(value: object) -> list:
-    """Return a list.
+    """Return a JSON list.
 
     Raises
     ------
@@ -283,5 +283,5 @@
         If it is none.
     """
     if not isinstance(value, list):
-        raise ValueError("is no list")
+        raise ValueError("is not a list")
     return value
--- a/beryltrack/objects/http.py
+++ b/beryltrack/objects/http.py
@@ -1,8 +1,8 @@
-"""HTTP calls with a time limit, whose failures say whether they took effect.
+"""HTTP client with timeouts, whose failures say whether a call took effect.
 
 The service counts calls and has outages, so this client bounds the calls in
-flight and those that wait, gives each call a timeout, and repeats with jittered
-back-off only what its user says is safe to repeat.
+flight and those that wait, gives each attempt a timeout, and retries with jittered
+back-off only the failures that its user declares safe to retry.
 """
 
 import json
@@ -38,17 +38,20 @@
 from beryltrack.objects.messages import ErrorKind, PlatformError
 from beryltrack.wire.sockets import SocketLimits, tune_socket
 
+# Seconds of one attempt, and of opening a connection.
 CALL_TIMEOUT = 5.0
 CONNECT_TIMEOUT = 2.0
 MAX_ATTEMPTS = 3
+# Calls in flight, and calls that wait for one of these to end.
 MAX_CALLS = 8
 MAX_WAITING = 64
+# Bytes.
 MAX_BODY = 64 * 1024 * 1024
 JSON_HEADERS = {"Content-Type": "application/json"}
-# A watch waits without a word for longer than an outage may stay unnoticed.
+# A watch is silent for longer than an outage may stay undetected.
 SERVICE_LIMITS = SocketLimits(idle=1, interval=1, count=2, user_timeout=3_000)
-# Both are sent by the service instead of running the call.
-REFUSALS = frozenset({429, 503})
+# The service sends these status codes instead of executing the call.
+REFUSED_STATUSES = frozenset({429, 503})
 _REFUSED = frozenset({ErrorKind.REFUSED})
 
 
@@ -62,7 +65,7 @@
     body : bytes
         The body as received.
     era : int
-        The era of the service's store that it is of; 0 if there are none.
+        The era of the store that it belongs to; 0 if the store has none.
     """
 
     code: int
@@ -81,23 +84,23 @@
         self._size = 0
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a part of the body."""
+        """Append a part of the body; abort one that is too large."""
         self._size += len(data)
         self._chunks.append(data)
         if self._size > MAX_BODY and not self.done.called:
-            text = f"the answer has more than {MAX_BODY} bytes"
+            text = f"the answer exceeds {MAX_BODY} bytes"
             self.done.errback(ValueError(text))
             self.transport.abortConnection()
 
     def _give_up(self, done: Deferred) -> None:
-        """End an answer that nobody waits for any more."""
+        """Abort an answer that was cancelled."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: DefectFailure = connectionDone) -> None:  # noqa: N802
-        """Give the whole body, or say that it was cut off."""
+        """Return the whole body, or fail if it was cut off."""
         if self.done.called:
             return
-        # A body without a stated length ends with its connection.
+        # A body without a Content-Length ends with its connection.
         if reason.check(ResponseDone, PotentialDataLoss):
             self.done.callback(b"".join(self._chunks))
         else:
@@ -105,7 +108,7 @@
 
 
 class TunedEndpoint(NamedTuple):
-    """Where a service listens, whose silent loss is noticed within seconds.
+    """Client endpoint whose connections detect a silent loss within seconds.
 
     Parameters
     ----------
@@ -113,55 +116,55 @@
         The address.
     seconds : callable
         The clock.
-    limit : float
-        Seconds after which a connection is of no use.
+    timeout : float
+        Seconds after which a new connection is aborted instead of used.
     """
 
     endpoint: TCP4ClientEndpoint
     seconds: Callable[[], float]
-    limit: float
+    timeout: float
 
     def connect(self, factory) -> Deferred:
-        """Connect, and give the connection its socket options."""
+        """Connect, and set the socket options of the connection."""
         began_at = self.seconds()
         return self.endpoint.connect(factory).addCallback(self._tune, began_at)
 
     def _tune(self, protocol, began_at: float):
-        """Let the kernel notice within seconds that the service is gone.
+        """Set keepalive options, so that the kernel detects a lost service in seconds.
 
-        A process that was paused reads that it is connected before it sees that
-        the time for it is over. What it was to send may not be true any more.
+        A process that was paused handles the established connection before its own
+        expired timeout. The request that it was about to send may be outdated by then.
         """
-        if self.seconds() - began_at > self.limit:
+        if self.seconds() - began_at > self.timeout:
             protocol.transport.abortConnection()
-            raise ConnectError(string="the connection took too long")
+            raise ConnectError(string="connecting exceeded its timeout")
         tune_socket(protocol.transport, SERVICE_LIMITS)
         return protocol
 
 
 @implementer(IAgentEndpointFactory)
 class TunedEndpoints:
-    """Makes the endpoints of an agent; services are named by IP number.
+    """Creates the endpoints of an agent; services are named by IP address.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
         Opens the connections.
-    limit : float
-        Seconds until a connection counts as failed.
+    timeout : float
+        Seconds until opening a connection counts as failed.
     """
 
-    def __init__(self, reactor, limit: float):
+    def __init__(self, reactor, timeout: float):
         self._reactor = reactor
-        self._limit = limit
+        self._timeout = timeout
 
     def endpointForURI(self, uri) -> TunedEndpoint:  # noqa: N802
-        """Return the endpoint of an address."""
+        """Return the endpoint of a URL."""
         host = uri.host.decode("ascii")
         endpoint = TCP4ClientEndpoint(
-            self._reactor, host, uri.port, timeout=self._limit
+            self._reactor, host, uri.port, timeout=self._timeout
         )
-        return TunedEndpoint(endpoint, self._reactor.seconds, self._limit)
+        return TunedEndpoint(endpoint, self._reactor.seconds, self._timeout)
 
 
 class HttpClient:
@@ -178,11 +181,11 @@
     timeout : float, optional
         Time limit of one attempt, seconds.
     agent : IAgent, optional
-        Carries the requests in place of connections of this client's own.
+        Sends the requests, instead of this client's own connections.
     connect_timeout : float, optional
-        Seconds until a new connection counts as failed.
+        Seconds until opening a connection counts as failed.
     eras : EraTracker, optional
-        Takes the era that answers tell; shared by all clients of one store.
+        Records the era that answers report; shared by all clients of one store.
     """
 
     def __init__(
@@ -201,7 +204,7 @@
         self._rng = rng or random.Random()
         self._timeout = timeout
         self._pool = HTTPConnectionPool(reactor, persistent=True)
-        # Twisted would repeat a DELETE whose answer was lost.
+        # Twisted would retry a DELETE whose answer was lost.
         self._pool.retryAutomatically = False
         self._pool.maxPersistentPerHost = MAX_CALLS
         if agent is None:
@@ -223,10 +226,10 @@
     async def watch(
         self, url: str, after: int, limit: float
     ) -> Result[HttpAnswer, PlatformError]:
-        """Ask for changes after a version; one attempt, outside the call limit.
+        """Watch for changes after a version; one attempt, outside the call limit.
 
-        A revision of an earlier era stands for something else now, so that an answer
-        of a later era would miss changes.
+        A revision of an earlier era has another meaning in the present one, so that an
+        answer of a later era would miss changes: such a watch ends as EXPIRED.
         """
         expired = make_failure(
             ErrorKind.EXPIRED, "the platform was restored from a backup"
@@ -240,10 +243,10 @@
     async def send_change(
         self, method: str, url: str, body: object, if_version: int
     ) -> Result[HttpAnswer, PlatformError]:
-        """Send a change, again only as long as it was refused before its effect.
+        """Send a change, retried only while it is refused before it takes effect.
 
-        One that is conditional on a version is sent in the version's era only. What
-        another one answers does not tell whether the condition held.
+        A change that is conditional on a version is sent in the version's era only: an
+        answer of another era does not show whether the condition held.
         """
         era = get_era(if_version) if if_version else None
         return await self.send_with_retries(method, url, body, _REFUSED, era)
@@ -263,18 +266,20 @@
         method, url : str
             The request.
         body : object
-            Its JSON value, None for none.
+            The JSON value of its body, None for an empty body.
         repeatable : frozenset of ErrorKind
-            Failures after which it may be sent again.
+            Failures that are retried.
         era : int, optional
             The only era in which it may be sent; None for any.
         """
         for attempt in range(1, MAX_ATTEMPTS + 1):
             if era is not None and self.eras.is_past(era):
-                return make_failure(ErrorKind.CONFLICT, "its version is of a past era")
-            result = await self._limit(method, url, body)
+                return make_failure(
+                    ErrorKind.CONFLICT, "its version is of an earlier era"
+                )
+            result = await self._send_bounded(method, url, body)
             if isinstance(result, Success) and era not in (None, result.unwrap().era):
-                return make_failure(ErrorKind.UNKNOWN, "the store changed its era")
+                return make_failure(ErrorKind.UNKNOWN, "the answer is of another era")
             match result:
                 case Failure(PlatformError(kind)) if kind in repeatable:
                     pass
@@ -285,8 +290,8 @@
                 await deferLater(self._reactor, delay)
         return result
 
-    async def _limit(self, method: str, url: str, body: object) -> Result:
-        """Make one attempt within the bounds on calls in flight and waiting."""
+    async def _send_bounded(self, method: str, url: str, body: object) -> Result:
+        """Make one attempt within the bounds on calls in flight and calls that wait."""
         waiting = len(self._semaphore.waiting)
         if not self._semaphore.tokens and waiting >= MAX_WAITING:
             return make_failure(
@@ -306,7 +311,7 @@
         timeout: float | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> Result[HttpAnswer, PlatformError]:
-        """Send one request and say what its failure means."""
+        """Send one request and classify its failure."""
         limit = self._timeout if timeout is None else timeout
         sending = self._send(method, url, body, headers or {})
         call = Deferred.fromCoroutine(sending)
@@ -322,14 +327,14 @@
                 return make_failure(ErrorKind.UNKNOWN, f"no answer within {limit:g} s")
             if _is_cancelled(error):
                 raise CancelledError from error
-            # Twisted wraps what broke a request in many types of its own. The
-            # request may have been received, so none of them says more.
+            # Twisted wraps the cause in many exception types. The service may have
+            # received the request, so each of them leaves its effect unknown.
             text = f"the answer was lost: {describe_loss(error)}"
             return make_failure(ErrorKind.UNKNOWN, text)
         finally:
             if timer.active():
                 timer.cancel()
-        if answer.code in REFUSALS:
+        if answer.code in REFUSED_STATUSES:
             return make_failure(
                 ErrorKind.REFUSED, f"the platform answered {answer.code}"
             )
@@ -338,8 +343,8 @@
                 ErrorKind.UNKNOWN, f"the platform answered {answer.code}"
             )
         if self.eras.is_past(answer.era):
-            # What it read or wrote may be lost since.
-            text = f"the answer is of era {answer.era}, now is era {self.eras.era}"
+            # The restore may have undone what the call read or wrote.
+            text = f"the answer is of era {answer.era}, not of era {self.eras.era}"
             return make_failure(ErrorKind.UNKNOWN, text)
         return Success(answer)
 
@@ -354,18 +359,18 @@
         )
         collector = BodyCollector()
         response.deliverBody(collector)
-        told = response.headers.getRawHeaders(ERA_HEADER, [None])[0]
+        era_header = response.headers.getRawHeaders(ERA_HEADER, [None])[0]
         body = await collector.done
-        return HttpAnswer(response.code, body, self.eras.observe(parse_era(told)))
+        return HttpAnswer(response.code, body, self.eras.observe(parse_era(era_header)))
 
     def _build_producer(self, body: object) -> FileBodyProducer:
-        """Return a producer of JSON text that runs on this client's reactor."""
+        """Return a producer of the JSON body that runs on this client's reactor."""
         cooperator = Cooperator(scheduler=lambda step: self._reactor.callLater(0, step))
         return FileBodyProducer(BytesIO(json.dumps(body).encode()), cooperator)
 
 
 def _is_cancelled(error: Exception) -> bool:
-    """Return whether a request ended because its caller gave it up."""
+    """Return whether a request ended because it was cancelled."""
     reasons = getattr(error, "reasons", ())
     return isinstance(error, CancelledError) or any(
         reason.check(CancelledError) for reason in reasons
@@ -373,7 +378,7 @@
 
 
 def describe_loss(error: Exception) -> str:
-    """Return why a request has no answer, without Twisted's wrapping."""
+    """Return why a request has no answer, without Twisted's wrapper exceptions."""
     reasons = getattr(error, "reasons", ())
     return reasons[0].getErrorMessage() if reasons else str(error) or repr(error)
 
--- a/beryltrack/objects/lagging.py
+++ b/beryltrack/objects/lagging.py
@@ -1,7 +1,7 @@
-"""Reads that may lag, at a tenth of the price, but for the time after a restore.
+"""Stale reads of the store, at a tenth of the price, except after a restore.
 
-What a lagging read tells is seconds old. If the store has been restored from a backup
-within these seconds it may be of the era before, under the name of the present one.
+The answer of a stale read is seconds old. If the store was restored from a backup
+within these seconds, it may hold data of the previous era labelled with the new one.
 """
 
 from returns.result import Result
@@ -10,19 +10,19 @@
 from beryltrack.objects.feed import ObjectFeed
 from beryltrack.objects.messages import ObjectList, PlatformError
 
-MOST_LAG = 6.0
-"""Seconds by which a lagging read is behind at the most, twice the usual three."""
+MAX_LAG = 6.0
+"""Bound on the staleness of a lagging read, seconds: twice the usual three."""
 
 
 class LaggingFeed:
-    """An `ObjectFeed` that lags, but not across a change of the store's era.
+    """An `ObjectFeed` of stale reads that never mixes eras of the store.
 
     Parameters
     ----------
     exact : ObjectFeed
-        Tells what the store holds.
+        Reads the present state of the store.
     lagging : ObjectFeed
-        Tells what it held seconds ago.
+        Reads a state that is up to `MAX_LAG` old.
     eras : EraTracker
         The era of the store.
     """
@@ -43,6 +43,6 @@
         return await self._choose().watch(kind, after, timeout)
 
     def _choose(self) -> ObjectFeed:
-        """Return what may be asked now."""
-        was_restored = self._eras.time_since_restore < MOST_LAG
+        """Return the feed to read from: the exact one shortly after a restore."""
+        was_restored = self._eras.time_since_restore < MAX_LAG
         return self._exact if was_restored else self._lagging
--- a/beryltrack/objects/messages.py
+++ b/beryltrack/objects/messages.py
@@ -1,6 +1,6 @@
-"""What the platform's service answers, in typed form.
+"""Typed answers of the platform's service.
 
-Each call ends in a ``returns`` result: a success with one of these tuples, or a
+Each call returns a ``returns`` result: a success with one of these tuples, or a
 failure with a `PlatformError` whose kind says whether the call took effect.
 """
 
@@ -17,13 +17,13 @@
     Parameters
     ----------
     path : str
-        Where it is kept, for example ``settings/shop/groups/orders``.
+        Its path, for example ``settings/shop/groups/orders``.
     version : int
-        Its version, a number of one growing sequence over all objects; see `eras`.
+        Its version, from one increasing sequence over all objects; see `eras`.
     value : object
         The JSON value; None if it is deleted.
     deleted : bool
-        True if this version says that the object is no more.
+        True if this version is a deletion.
     """
 
     path: str
@@ -38,7 +38,7 @@
     Parameters
     ----------
     revision : int
-        The platform's version at the moment of the answer.
+        The store's version at the moment of the answer.
     objects : tuple of PlatformObject
         All objects (of a list), or the changed ones (of a watch).
     """
@@ -48,20 +48,20 @@
 
 
 class InstanceEntry(NamedTuple):
-    """One line of the platform's instance list.
+    """One entry of the platform's instance list.
 
     Parameters
     ----------
     name : str
         Name of the instance.
     host : str
-        IP number of its peer link.
+        IP address of its peer link.
     port : int
         TCP port of its peer link.
     zone : str
         Its availability zone.
     state : str
-        `LIVE` or `LEAVING`. The list lags behind the truth.
+        `LIVE` or `LEAVING`. The list lags behind the actual state.
     """
 
     name: str
@@ -72,13 +72,13 @@
 
 
 class ErrorKind(enum.Enum):
-    """What a failed call means for whoever sent it.
+    """What a failed call means for its sender.
 
-    REFUSED says that the call had no effect, CONFLICT that the object has
-    another version than the condition asked for, UNKNOWN that the call may or
-    may not have had its effect, INVALID that the platform did not understand
-    the call or its answer made no sense, EXPIRED that a watch asked for changes
-    which the platform has forgotten, or that it was restored from a backup meanwhile.
+    REFUSED: the call had no effect. CONFLICT: the object has another version than
+    the condition requires. UNKNOWN: the call may or may not have taken effect.
+    INVALID: the platform rejected the call as malformed, or its answer was malformed.
+    EXPIRED: a watch asked for changes that the platform has compacted, or the
+    platform was restored from a backup meanwhile.
     """
 
     REFUSED = "refused"
--- a/beryltrack/objects/parsing.py
+++ b/beryltrack/objects/parsing.py
@@ -1,4 +1,4 @@
-"""Reads the platform's JSON answers into typed messages.
+"""Parses the platform's JSON answers into typed messages.
 
 The platform is trusted but its answers cross a network: a field that is
 missing or of another type raises `ValueError`, which the client reports.
@@ -15,10 +15,10 @@
 def _get_field(answer: object, name: str, kind: type) -> object:
     """Return one field of a JSON object, or raise `ValueError`."""
     if not isinstance(answer, dict):
-        raise ValueError("the answer is no JSON object")
+        raise ValueError("the answer is not a JSON object")
     value = answer.get(name)
     if not isinstance(value, kind) or isinstance(value, bool) is not (kind is bool):
-        raise ValueError(f"the answer's field {name} is no {kind.__name__}")
+        raise ValueError(f"the answer's field {name} is not of type {kind.__name__}")
     return value
 
 
@@ -30,18 +30,18 @@
     answer : object
         The JSON value.
     era : int
-        The era that the answer is of.
+        The era that the answer belongs to.
 
     Raises
     ------
     ValueError
-        If there is none.
+        If it has none.
     """
     return make_version(era, _get_field(answer, "version", int))
 
 
 def parse_object(answer: object, era: int = 0) -> PlatformObject:
-    """Return one object from its JSON form, in an answer of an era.
+    """Return one object from its JSON form, for an answer of an era.
 
     Raises
     ------
@@ -56,7 +56,7 @@
 
 
 def parse_list(answer: object, era: int = 0) -> ObjectList:
-    """Return the objects of a list or a watch, in an answer of an era.
+    """Return the objects of a list or a watch, for an answer of an era.
 
     Raises
     ------
@@ -65,22 +65,22 @@
     """
     revision = _get_field(answer, "revision", int)
     objects = _get_field(answer, "objects", list)
-    parsed = (_parse_or_leave_out(item, era) for item in objects)
+    parsed = (_parse_or_skip(item, era) for item in objects)
     known = tuple(item for item in parsed if item is not None)
     return ObjectList(make_version(era, revision), known)
 
 
-def _parse_or_leave_out(item: object, era: int) -> PlatformObject | None:
-    """Return one object of a list; one that cannot be read costs itself alone."""
+def _parse_or_skip(item: object, era: int) -> PlatformObject | None:
+    """Return one object of a list, None for a malformed one, which is logged."""
     try:
         return parse_object(item, era)
     except ValueError as error:
-        log.warning("objects: An object of a list is left out: %s.", error)
+        log.warning("objects: Skipped a malformed object of a list: %s.", error)
         return None
 
 
 def _parse_instance(answer: object) -> InstanceEntry:
-    """Return one line of the instance list."""
+    """Return one entry of the instance list."""
     return InstanceEntry(
         _get_field(answer, "name", str),
         _get_field(answer, "host", str),
--- a/beryltrack/objects/registration.py
+++ b/beryltrack/objects/registration.py
@@ -1,11 +1,11 @@
-"""Where an instance's status can be read, kept in the platform's store.
-
-The platform's instance list gives the address of the peer link only. So each
-instance writes the address of its HTTP endpoint once, when it starts, and takes
-it away when it leaves. One that crashes leaves its address behind; whoever starts
-later takes away what is old and no longer in the list. So the platform sees a few
-calls at the start of an instance, two at its end, and none in between but when it has
-been restored from a backup, which may lack the address.
+"""Registers the address of an instance's status endpoint in the platform's store.
+
+The platform's instance list contains the address of the peer link only. So each
+instance writes the address of its HTTP endpoint when it starts, and deletes it when it
+leaves. An instance that crashes leaves its address behind; an instance that starts
+later deletes addresses that are old and no longer listed. The platform sees a few
+calls at the start of an instance, two at its end, and none in between unless it is
+restored from a backup, which may lack the address.
 """
 
 import logging
@@ -29,10 +29,10 @@
 log = logging.getLogger(__name__)
 
 PREFIX = "status/instances/"
-# Seconds. The list lags, so an address must be much older than any lag.
+# Seconds. The list lags, so a stale address must be much older than any lag.
 STALE_AFTER = 86400.0
-# Seconds that a leaving instance spends on taking its address away.
-REMOVAL_LIMIT = 2.0
+# Seconds that a leaving instance spends on deleting its address.
+REMOVAL_TIMEOUT = 2.0
 
 
 class InstanceAddress(NamedTuple):
@@ -41,7 +41,7 @@
     Parameters
     ----------
     status_endpoint : Endpoint
-        Where ``GET /status`` is answered.
+        HTTP endpoint of ``GET /status``.
     since : float
         When it was written, seconds since 1970.
     """
@@ -84,40 +84,43 @@
         self._value = to_json(InstanceAddress(endpoint, get_time()))
         self._get_time = get_time
         self._rng = rng or random.Random()
-        self._call: Deferred | None = None
+        self._registering: Deferred | None = None
         self._is_stopped = False
-        client.eras.subscribe(lambda era: self._start_again())
+        client.eras.subscribe(lambda era: self._schedule_rewrite())
 
     def start(self) -> Deferred:
-        """Write the address, again until it is there; fires when it is."""
-        self._call = Deferred.fromCoroutine(self._register())
-        self._call.addErrback(_ignore_cancellation)
-        return self._call
+        """Write the address with retries; fires once the store holds it."""
+        self._registering = Deferred.fromCoroutine(self._register())
+        self._registering.addErrback(_ignore_cancellation)
+        return self._registering
 
     async def stop(self) -> None:
-        """Take the address away if the store answers soon."""
+        """Delete the address if the store answers within `REMOVAL_TIMEOUT`."""
         self._is_stopped = True
-        if self._call is not None:
-            self._call.cancel()
+        if self._registering is not None:
+            self._registering.cancel()
         removal = Deferred.fromCoroutine(self._remove())
         try:
-            await removal.addTimeout(REMOVAL_LIMIT, self._reactor)
+            await removal.addTimeout(REMOVAL_TIMEOUT, self._reactor)
         except TimeoutError:
-            log.warning("platform: the status address could not be taken away")
+            log.warning(
+                "platform: could not delete the status address in time; an instance "
+                "that starts later deletes it"
+            )
 
-    def _start_again(self) -> None:
-        """Write the address again, some time from now, as the store may lack it."""
+    def _schedule_rewrite(self) -> None:
+        """Write the address again after a delay, as a restored store may lack it."""
         delay = self._rng.uniform(0.0, RESTORE_SPREAD)
-        self._reactor.callLater(delay, self._restart)
+        self._reactor.callLater(delay, self._rewrite)
 
-    def _restart(self) -> None:
-        """Write the address anew unless the instance leaves."""
-        if self._call is not None and not self._is_stopped:
-            self._call.cancel()
+    def _rewrite(self) -> None:
+        """Write the address again unless the instance is leaving."""
+        if self._registering is not None and not self._is_stopped:
+            self._registering.cancel()
             self.start()
 
     async def _remove(self) -> None:
-        """Take the address away if it is still the one that was written."""
+        """Delete the address if it is still the one that was written."""
         match await self._client.get(self._path):
             case Success(None):
                 return
@@ -125,27 +128,29 @@
                 await self._client.delete(self._path, present.version)
 
     async def _register(self) -> None:
-        """Try until the store holds the address."""
+        """Retry until the store holds the address, then delete stale ones."""
         attempt = 0
         while isinstance(await self._write(), Failure):
             attempt += 1
             if attempt == 1:
-                log.warning("platform: the status address could not be written yet")
+                log.warning("platform: could not write the status address; retrying")
             await deferLater(self._reactor, compute_delay(attempt, self._rng))
         await self._remove_stale()
 
     async def _remove_stale(self) -> None:
-        """Take away what crashed instances left; one attempt, others will come."""
+        """Delete addresses of crashed instances; one attempt per start."""
         listed = await self._client.list_instances()
         stored = await self._client.list(PREFIX)
         if isinstance(listed, Failure) or isinstance(stored, Failure):
             return
         names = {entry.name for entry in listed.unwrap()}
-        for item in get_stale(stored.unwrap().objects, names, self._get_time()):
+        for item in find_stale_addresses(
+            stored.unwrap().objects, names, self._get_time()
+        ):
             await self._client.delete(item.path, item.version)
 
     async def _write(self) -> Result[int, PlatformError]:
-        """Write the address once, unless it is there already."""
+        """Write the address once, unless the store holds it already."""
         match await self._client.get(self._path):
             case Success(present) if present and present.value == self._value:
                 return Success(present.version)
@@ -162,17 +167,17 @@
 
 
 def parse_address(value: object) -> InstanceAddress | None:
-    """Return a stored address, None if the value is none."""
+    """Return a stored address, None if the value is malformed."""
     try:
         return from_json(value, InstanceAddress)
     except ValueError:
         return None
 
 
-def get_stale(
+def find_stale_addresses(
     objects: Iterable[PlatformObject], listed: set[str], now: float
 ) -> tuple[PlatformObject, ...]:
-    """Return the addresses of instances that are gone.
+    """Return the addresses of instances that no longer run.
 
     Parameters
     ----------
@@ -186,7 +191,7 @@
     Returns
     -------
     tuple of PlatformObject
-        What is neither listed nor new.
+        Addresses that are not listed, and older than `STALE_AFTER` or malformed.
     """
     addresses = ((item, parse_address(item.value)) for item in objects)
     return tuple(
--- a/beryltrack/objects/rejects.py
+++ b/beryltrack/objects/rejects.py
@@ -1,4 +1,4 @@
-"""Objects that could not be read: each is logged once, and all are counted."""
+"""Log of invalid objects of the store: logs each finding once and counts them."""
 
 import logging
 from collections import OrderedDict
@@ -8,19 +8,19 @@
 
 log = logging.getLogger(__name__)
 
-MOST_KEPT = 512
-"""Findings that are remembered, so that one that comes again is not logged again. A
-store that holds more unreadable objects than that makes some lines more."""
+MAX_REMEMBERED = 512
+"""Findings that are remembered, so that a repeated one is not logged again. A store
+with more findings than that has some logged repeatedly."""
 
-MOST_TEXT = 300
-"""Most characters of a logged finding, as its text may quote what it found."""
+MAX_TEXT_LENGTH = 300
+"""Characters of a logged finding, bounded as its text may quote the invalid value."""
 
 
 class RejectLog:
-    """What is wrong with the objects of the store.
+    """Logs findings about the store's objects, each distinct one once.
 
-    One that lies there is found again with each list and each change: it says
-    nothing new, and a line for each would fill the log.
+    An invalid object that stays in the store is found again with each list and each
+    change; a line for each time would fill the log.
     """
 
     def __init__(self):
@@ -29,18 +29,20 @@
 
     @property
     def count(self) -> int:
-        """How many different findings there were."""
+        """Number of distinct findings."""
         return self._count
 
     def report(self, findings: Iterable[Finding]) -> None:
-        """Log what was not logged lately."""
+        """Log and count the findings that are not remembered."""
         for finding in findings:
             if finding in self._seen:
                 self._seen.move_to_end(finding)
                 continue
             self._seen[finding] = None
             self._count += 1
-            text = format_finding(finding)[:MOST_TEXT]
-            log.error("objects: Left out: %s", ascii(text)[1:-1])
-        while len(self._seen) > MOST_KEPT:
+            text = format_finding(finding)[:MAX_TEXT_LENGTH]
+            log.error(
+                "objects: Ignored invalid data of the store: %s", ascii(text)[1:-1]
+            )
+        while len(self._seen) > MAX_REMEMBERED:
             self._seen.popitem(last=False)
--- a/beryltrack/objects/rows.py
+++ b/beryltrack/objects/rows.py
@@ -1,8 +1,8 @@
-"""Rows of an object's lists that are read once, however often the object changes.
+"""Cache of the parsed rows of an object's long lists.
 
-Operators change a few rows of an object that has thousands. A row that was read before
-and has not changed is not read again. The rows of a large change are read in slices,
-between which other work goes on.
+Operators change a few rows of an object that has thousands. A row that has not changed
+since it was parsed is not parsed again. The rows of a large change are parsed in
+slices, between which the reactor does other work.
 """
 
 import marshal
@@ -12,10 +12,10 @@
 from beryltrack.objects.fields import Field, read_fields
 
 SLICE_ROWS = 200
-"""Rows that are read at once: 0.9 ms, and below 5 ms on half a core that is busy."""
+"""Rows parsed in one slice: 0.9 ms, and below 5 ms on half of a busy core."""
 
-KEY_FORM = 2
-"""Form of the keys, one that does not depend on how often a text is used."""
+KEY_FORMAT = 2
+"""Version of `marshal` for the keys; from 3 on it depends on reference counts."""
 
 Row = dict[str, object]
 Rows = tuple[list[Row], list[Finding]]
@@ -24,45 +24,45 @@
 
 
 class RowCache:
-    """The rows of an object as they were last read, by list."""
+    """The parsed rows of an object, by the name of their list."""
 
     def __init__(self):
-        self._known: dict[str, dict[bytes, Row]] = {}
+        self._cached: dict[str, dict[bytes, Row]] = {}
 
     def read_rows(
         self, source: str, name: str, value: Row, fields: tuple[Field, ...]
     ) -> Rows:
-        """Return the rows of a list that are right, and the findings of the others.
+        """Return the valid rows of a list, and the findings of the others.
 
-        It is as `fields.read_rows`, but reads only rows that have changed. Those that
-        are in the list no more are forgotten.
+        Works as `fields.read_rows`, but parses only rows that have changed. Rows that
+        are no longer in the list are evicted.
         """
-        before = self._known.get(name, {})
-        known: dict[bytes, Row] = {}
+        cached = self._cached.get(name, {})
+        current: dict[bytes, Row] = {}
         rows: list[Row] = []
         findings: list[Finding] = []
         for index, raw in enumerate(value[name]):
             key = _make_key(raw)
-            row = before.get(key)
+            row = cached.get(key)
             if row is None:
-                row, wrong = read_fields(source, f"/{name}/{index}", raw, fields)
-                if wrong:
-                    findings += wrong
+                row, row_findings = read_fields(source, f"/{name}/{index}", raw, fields)
+                if row_findings:
+                    findings += row_findings
                     continue
-            known[key] = row
+            current[key] = row
             rows.append(row)
-        known.pop(b"", None)
-        self._known[name] = known
+        current.pop(b"", None)
+        self._cached[name] = current
         return rows, findings
 
-    def prepare(self, value: object, tables: RowSchemas) -> Iterator[None]:
-        """Read the rows that have changed, ahead of `read_rows`, slice by slice.
+    def prepare(self, value: object, schemas: RowSchemas) -> Iterator[None]:
+        """Parse the changed rows slice by slice, ahead of a call of `read_rows`.
 
         Parameters
         ----------
         value : object
-            The object.
-        tables : mapping of str to tuple of Field
+            The object; one that is malformed has no rows.
+        schemas : mapping of str to tuple of Field
             The fields of the rows, by the name of their list.
 
         Yields
@@ -72,28 +72,28 @@
         """
         lists = value if isinstance(value, dict) else {}
         read = 0
-        for name, fields in tables.items():
+        for name, fields in schemas.items():
             raws = lists.get(name)
-            known = self._known.setdefault(name, {})
+            current = self._cached.setdefault(name, {})
             for raw in raws if isinstance(raws, list) else ():
                 key = _make_key(raw)
-                if not key or key in known:
+                if not key or key in current:
                     continue
-                row, wrong = read_fields("", "", raw, fields)
-                if not wrong:
-                    known[key] = row
+                row, row_findings = read_fields("", "", raw, fields)
+                if not row_findings:
+                    current[key] = row
                 read += 1
                 if read % SLICE_ROWS == 0:
                     yield
 
 
 def _make_key(row: object) -> bytes:
-    """Return what stands for a row, empty if nothing can.
+    """Return the cache key of a row, empty if it cannot have one.
 
-    Rows of one key are the same to the type of each value: 1, 1.0 and true are equal
-    as values, and not all of them are right.
+    Rows of one key agree in the type of each value too: 1, 1.0 and true compare equal,
+    but not all of them may be valid.
     """
     try:
-        return marshal.dumps(row, KEY_FORM)
+        return marshal.dumps(row, KEY_FORMAT)
     except ValueError:
         return b""
--- a/beryltrack/objects/snapshot.py
+++ b/beryltrack/objects/snapshot.py
@@ -1,8 +1,9 @@
-"""What an instance knows of the store, for one that starts while the store is away.
+"""Snapshots of an instance's cached copies, for one that starts without the store.
 
-Nothing is kept on an instance, so that one that starts knows nothing. The others hold
-copies of the objects that it needs, which are as good as what it could be serving by
-had it not stopped. An instance gives its copies to whoever connects, and closes.
+Instances store nothing on disk, so that a new one has no objects while the store is
+unavailable. The others have cached copies of the objects that it needs, as current as
+its own would be had it kept running. An instance sends its copies as CBOR to each TCP
+connection, and closes it.
 """
 
 import logging
@@ -20,19 +21,19 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BYTES = 8 << 20
-"""Largest snapshot that is taken; that of 400 routes and 40 databases has 0.1 MB."""
+MAX_BYTES = 8 << 20
+"""Largest accepted snapshot, bytes; 400 routes and 40 databases have 0.1 MB."""
 
 FIRST_DELAY = 0.3
-"""Seconds after the start in which the store alone is asked; it answers in 4 ms."""
+"""Seconds after the start in which only the store is called; it answers in 4 ms."""
 
-PERIOD = 1.0
-"""Seconds between two rounds."""
+ROUND_PERIOD = 1.0
+"""Seconds between two rounds over the sources."""
 
-FETCH_LIMIT = 0.5
-"""Seconds within which another instance must have given its copy."""
+FETCH_TIMEOUT = 0.5
+"""Seconds within which another instance must send its snapshot."""
 
-MALFORMED = (
+DECODE_ERRORS = (
     cbor2.CBORError,
     AttributeError,
     OverflowError,
@@ -40,13 +41,13 @@
     TypeError,
     ValueError,
 )
-"""What reading a form raises if it was not written as agreed."""
+"""Errors that decoding raises for data of another format."""
 
 Snapshot = Mapping[str, Mapping[str, PlatformObject]]
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the form of objects by kind and path; kinds without any are left out."""
+    """Return the encoded objects by kind and path; empty kinds are omitted."""
     return cbor2.dumps(
         {
             kind: list(map(tuple, each.values()))
@@ -57,54 +58,54 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot | None:
-    """Return the objects that a form stands for, None if it cannot be read."""
+    """Return the objects of an encoded snapshot, None if it is malformed."""
     try:
         kinds = cbor2.loads(data)
         return {
             kind: {item.path: item for item in map(decode_object, items) if item}
             for kind, items in kinds.items()
         }
-    except MALFORMED as error:
-        log.warning("objects: A snapshot cannot be read: %r.", error)
+    except DECODE_ERRORS as error:
+        log.warning("objects: Ignored a malformed snapshot: %r.", error)
         return None
 
 
 def decode_object(fields: object) -> PlatformObject | None:
-    """Return one object of a snapshot, None if it is malformed."""
+    """Return one object of a snapshot or frame, None if it is malformed."""
     match fields:
         case [str() as path, int() as version, value, bool() as deleted]:
             return PlatformObject(path, version, value, deleted)
-    log.warning("objects: An object of a snapshot is left out: it is malformed.")
+    log.warning("objects: Skipped a malformed object of another instance's copy.")
     return None
 
 
-class _Giver(Protocol):
-    """Sends the copy and closes."""
+class _SnapshotSender(Protocol):
+    """Sends the snapshot and closes."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send what is known now."""
+        """Send the present snapshot."""
         self.transport.write(encode_snapshot(self.factory.get_snapshot()))
         self.transport.loseConnection()
 
 
 class SnapshotServer(Factory):
-    """Gives an instance's copies to whoever connects.
+    """Sends this instance's snapshot to each client that connects.
 
     Parameters
     ----------
     get_snapshot : callable
-        Returns the copies.
+        Returns the cached copies by kind and path.
     """
 
     noisy = False
-    protocol = _Giver
+    protocol = _SnapshotSender
 
     def __init__(self, get_snapshot: Callable[[], Snapshot]):
         self.get_snapshot = get_snapshot
 
 
-class _Taker(Protocol):
-    """Collects a copy."""
+class _SnapshotReceiver(Protocol):
+    """Collects a snapshot."""
 
     def __init__(self):
         self.done: Deferred[bytes] = Deferred(
@@ -113,96 +114,96 @@
         self._data = b""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a part."""
+        """Append a part of the snapshot; abort one that is too large."""
         self._data += data
-        if len(self._data) > MOST_BYTES:
+        if len(self._data) > MAX_BYTES:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Give all that came; a part of a copy cannot be decoded."""
+        """Return all data; a truncated snapshot fails to decode."""
         if not self.done.called:
             self.done.callback(self._data)
 
 
 class SnapshotTask:
-    """Asks other instances for their copies until it is told to stop.
+    """Fetches snapshots from other instances, in rounds, until it is stopped.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
         Opens the connections.
     sources : tuple of Endpoint
-        Where other instances may give their copies.
-    take : callable
-        Takes each copy.
+        Where other instances may serve their snapshots.
+    callback : callable
+        Called with each snapshot.
     rng : random.Random
-        Decides whom to ask first.
+        Shuffles the sources.
     """
 
     def __init__(
         self,
         reactor,
         sources: tuple[Endpoint, ...],
-        take: Callable[[Snapshot], None],
+        callback: Callable[[Snapshot], None],
         rng: random.Random,
     ):
         self._reactor = reactor
         self._sources = list(sources)
-        self._take = take
+        self._callback = callback
         self._rng = rng
         self._is_stopped = False
         self._call = None
 
     def start(self) -> None:
-        """Begin to ask, some time from now."""
-        self._call = self._reactor.callLater(FIRST_DELAY, self._begin)
+        """Start the first round after `FIRST_DELAY`."""
+        self._call = self._reactor.callLater(FIRST_DELAY, self._start_round)
 
     def fetch_now(self) -> None:
-        """Ask now, if nobody is asked yet."""
+        """Start the next round now, unless one is running."""
         if self._call is not None and self._call.active():
             self._call.reset(0)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop fetching."""
         self._is_stopped = True
         if self._call is not None and self._call.active():
             self._call.cancel()
 
-    def _begin(self) -> None:
-        """Ask all sources once, one after the other."""
-        asking = Deferred.fromCoroutine(self._ask_all())
-        asking.addErrback(_log_defect)
+    def _start_round(self) -> None:
+        """Start one round over the sources."""
+        fetching = Deferred.fromCoroutine(self._run_round())
+        fetching.addErrback(_log_defect)
 
-    async def _ask_all(self) -> None:
-        """Take the first copy that can be had; ask again later without one."""
+    async def _run_round(self) -> None:
+        """Use the first snapshot of a round; schedule the next round."""
         self._rng.shuffle(self._sources)
         for source in self._sources:
             snapshot = None if self._is_stopped else await self._fetch(source)
             if snapshot and not self._is_stopped:
-                log.info("objects: %s gives what it knows.", source.host)
-                self._take(snapshot)
+                log.info("objects: Received a snapshot from %s.", source.host)
+                self._callback(snapshot)
                 break
         if not self._is_stopped:
-            self._call = self._reactor.callLater(PERIOD, self._begin)
+            self._call = self._reactor.callLater(ROUND_PERIOD, self._start_round)
 
     async def _fetch(self, source: Endpoint) -> Snapshot | None:
-        """Return another instance's copy, None without one."""
+        """Return another instance's snapshot, None if it sends none."""
         endpoint = TCP4ClientEndpoint(
-            self._reactor, source.host, source.port, FETCH_LIMIT
+            self._reactor, source.host, source.port, FETCH_TIMEOUT
         )
         try:
-            taker = await connectProtocol(endpoint, _Taker())
-            data = await taker.done.addTimeout(FETCH_LIMIT, self._reactor)
+            receiver = await connectProtocol(endpoint, _SnapshotReceiver())
+            data = await receiver.done.addTimeout(FETCH_TIMEOUT, self._reactor)
         except (TimeoutError, OSError) as error:
-            log.info("objects: %s gives nothing: %s", source.host, error)
+            log.info("objects: No snapshot from %s: %s", source.host, error)
             return None
         except Exception as error:
-            # Twisted's errors of connections have no common type.
-            log.info("objects: %s cannot be reached: %r", source.host, error)
+            # Twisted's connection errors have no common type.
+            log.info("objects: No snapshot from %s: %r", source.host, error)
             return None
         return decode_snapshot(data) if data else None
 
 
 def _log_defect(failure: Failure) -> None:
-    """Log what ended the asking: the store is asked all the same."""
-    log.error("objects: Asking for a snapshot met a defect: %s", failure.getTraceback())
+    """Log the exception that ended the rounds; the store is still called."""
+    log.error("objects: Fetching snapshots failed: %s", failure.getTraceback())
--- a/beryltrack/objects/watchers.py
+++ b/beryltrack/objects/watchers.py
@@ -1,10 +1,11 @@
-"""Which instances follow the store themselves, and which are told by those that do.
-
-Each call to the store is counted, a waiting one too. 195 instances that each followed
-three kinds of objects made 9,411 calls in 50 s, and 4,657 so. A few instances of each
-availability zone, the watchers, ask the store; each of the others follows one of
-them. Every instance works the watchers out by itself from the members that it knows:
-views that differ cost a call more, or a link to one that has nothing to tell.
+"""Chooses watchers: the instances that watch the store on behalf of the others.
+
+The store counts each call, also a watch that waits. 195 instances that each watched
+three kinds of objects made 9,411 calls in 50 s, with watchers 4,657. A watcher, one of
+a few instances in each availability zone, calls the store; the others are its
+followers. Every instance computes the watchers by rendezvous hashing over the members
+that it knows: views that differ cost an additional call, or a link to an instance that
+has no updates.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,11 +15,11 @@
 from beryltrack.settings.messages import Endpoint
 
 WATCHERS_PER_ZONE = 3
-"""Watchers of each availability zone: two may be lost at once, and its instances are
-still told without bytes between zones, which are paid for."""
+"""Watchers of each availability zone: if two are lost at once, its instances are still
+updated without traffic between zones, which is charged for."""
 
 ROLE = "store watcher"
-"""Sets the ranks of watchers apart from those of owners of groups."""
+"""Hash salt that makes the ranks of watchers independent of those of owners."""
 
 
 def choose_watchers(peers: Sequence[Peer], zone: str) -> tuple[Peer, ...]:
@@ -28,31 +29,31 @@
 
 
 def is_watcher(peers: Sequence[Peer], own: Peer) -> bool:
-    """Return whether an instance is to ask the store itself."""
+    """Return whether an instance is a watcher of its zone."""
     return own.name in {peer.name for peer in choose_watchers(peers, own.zone)}
 
 
 def order_sources(
     peers: Sequence[Peer], own: Peer, avoided: Mapping[str, float], now: float
 ) -> tuple[Peer, ...]:
-    """Return whom an instance may follow, the best first.
+    """Return the watchers that an instance may follow, the best first.
 
     Parameters
     ----------
     peers : sequence of Peer
         All instances that are known.
     own : Peer
-        The instance that asks.
+        The instance that looks for a watcher.
     avoided : mapping of str to float
-        Until when others are passed over, by name.
+        Until when each avoided instance is skipped, by name.
     now : float
         The current time, seconds.
 
     Returns
     -------
     tuple of Peer
-        Watchers of its own zone before those of others: the store may have turned all
-        of one zone away. Among equals each instance has an order of its own.
+        Watchers of its own zone before those of others, as the store may refuse all
+        watchers of one zone. Within a zone each instance has its own hashed order.
     """
     zones = sorted({peer.zone for peer in peers})
     watchers = [
@@ -74,31 +75,32 @@
 
 
 def list_seeds(
-    places: Sequence[Endpoint],
+    endpoints: Sequence[Endpoint],
     peers: Sequence[Peer],
     avoided: Mapping[str, float],
     now: float,
 ) -> tuple[Peer, ...]:
-    """Return whom an instance may follow that is not known as a member.
+    """Return the seeds that an instance may follow: those not known as members.
 
-    An instance that the store turns away at its start has heard of no members, or of
-    too few, and would be told by nobody.
+    An instance that the store refuses at its start knows no members, or too few, and
+    could follow no watcher.
 
     Parameters
     ----------
-    places : sequence of Endpoint
-        Where instances may tell what the store holds, by the settings file.
+    endpoints : sequence of Endpoint
+        Where instances may publish their copies, from the settings file.
     peers : sequence of Peer
-        All instances that are known; their places are left out.
+        All instances that are known; their endpoints are left out.
     avoided : mapping of str to float
-        Until when others are passed over, by name; a seed's is its address.
+        Until when each avoided instance is skipped, by name; a seed's name is its
+        address.
     now : float
         The current time, seconds.
     """
     known = {peer.copies for peer in peers}
     seeds = (
-        Peer(f"{place.host}:{place.port}", "", place, place)
-        for place in places
-        if place not in known
+        Peer(f"{endpoint.host}:{endpoint.port}", "", endpoint, endpoint)
+        for endpoint in endpoints
+        if endpoint not in known
     )
     return tuple(seed for seed in seeds if now >= avoided.get(seed.name, now))
--- a/tests/daemon/test_restored_store.py
+++ b/tests/daemon/test_restored_store.py
@@ -317,7 +317,10 @@
     site.advance(4.0)
     text = caplog.text
     assert text.count("The store was restored from a backup: era 2 after 1") == 1
-    assert "The store has config at 2.6 after 1.8; 1 of 1 objects" in text
-    assert "1 of 3 objects are not as they were known: servers/i-1." in text
+    assert (
+        "The restored store has config at revision 2.6, after 1.8; 1 of 1 objects"
+        in text
+    )
+    assert "1 of 3 objects differ from the cached ones: servers/i-1." in text
     gauges = dict(each[::2] for each in site.node._get_gauges() if not each[1])
     assert gauges["beryltrack_store_era"] == 2
--- a/tests/objects/test_client.py
+++ b/tests/objects/test_client.py
@@ -1,4 +1,4 @@
-"""What each failure of a call to the platform is taken to mean."""
+"""Classification of failed calls to the platform, and which of them are retried."""
 
 import json
 import random
@@ -46,7 +46,7 @@
 
 
 class RefusingAgent:
-    """Finds nobody who listens."""
+    """Refuses each connection."""
 
     def request(self, method, uri, headers=None, bodyProducer=None):
         raise ConnectionRefusedError
@@ -82,20 +82,20 @@
     return result.failure().kind
 
 
-def test_put_sends_the_condition_and_gives_the_version():
+def test_put_sends_the_condition_and_returns_the_version():
     result, requests = run_call(put, (200, {"version": 5}))
     assert result == Success(5)
     body = {"value": {"x": 1}, "if_version": 4}
     assert requests == [("PUT", "/objects/settings/a/rules/b", body)]
 
 
-def test_conflict_tells_the_present_version():
+def test_conflict_contains_the_present_version():
     result, _ = run_call(put, (409, {"version": 9}))
     assert get_kind(result) is ErrorKind.CONFLICT
     assert result.failure().version == 9
 
 
-def test_refused_change_is_sent_again():
+def test_refused_change_is_retried():
     result, requests = run_call(put, (503, {}), (429, {}), (200, {"version": 5}))
     assert result == Success(5)
     assert len(requests) == 3
@@ -106,30 +106,30 @@
     assert get_kind(result) is ErrorKind.REFUSED
 
 
-def test_change_without_an_answer_is_unknown_and_not_sent_again():
+def test_change_without_an_answer_is_unknown_and_not_retried():
     for script in (NO_ANSWER, (500, {}), (200, b"no json"), (200, {"version": "x"})):
         result, requests = run_call(put, script)
         assert get_kind(result) is ErrorKind.UNKNOWN
         assert len(requests) == 1
 
 
-def test_read_without_an_answer_is_repeated():
+def test_read_without_an_answer_is_retried():
     answer = {"path": "settings/a/rules/b", "version": 3, "value": {"x": 1}}
     result, requests = run_call(get, NO_ANSWER, (500, {}), (200, answer))
     assert result == Success(PlatformObject("settings/a/rules/b", 3, {"x": 1}, False))
     assert len(requests) == 3
 
 
-def test_object_that_is_not_there_is_none():
+def test_missing_object_is_none():
     assert run_call(get, (404, {}))[0] == Success(None)
 
 
-def test_faulty_answer_to_a_read_is_invalid():
+def test_malformed_answer_to_a_read_is_invalid():
     for answer in (b"{", [], {"path": 3, "version": 1}, {"path": "a", "version": True}):
         assert get_kind(run_call(get, (200, answer))[0]) is ErrorKind.INVALID
 
 
-def test_nobody_listening_is_a_refusal():
+def test_refused_connection_is_a_refusal():
     clock = Clock()
     client = PlatformClient(clock, "http://127.0.0.1", agent=RefusingAgent())
     assert get_kind(run_client(put, client, clock)) is ErrorKind.REFUSED
@@ -155,7 +155,7 @@
     assert result == Success((InstanceEntry("n", "127.0.0.1", 1, "a", "live"),))
 
 
-def test_call_that_is_given_up_ends_there_and_then():
+def test_cancelled_call_ends_at_once():
     clock = Clock()
     site = ScriptedSite(NO_ANSWER, (200, {}))
     agent = RequestTraversalAgent(site)
@@ -171,7 +171,7 @@
     assert len(site.requests) == 1
 
 
-def test_calls_that_would_wait_without_bound_are_refused(monkeypatch):
+def test_calls_beyond_the_bound_on_waiting_are_refused(monkeypatch):
     monkeypatch.setattr("beryltrack.objects.http.MAX_WAITING", 0)
     monkeypatch.setattr("beryltrack.objects.http.MAX_CALLS", 1)
     clock = Clock()
--- a/tests/objects/test_copies.py
+++ b/tests/objects/test_copies.py
@@ -1,4 +1,4 @@
-"""What a watcher tells is encoded once for all followers that know the same."""
+"""Frames of a watcher: encoded once for all followers in the same state."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -12,7 +12,7 @@
 
 
 class Feed:
-    """A kind that is followed."""
+    """A feed of one kind that a test writes to."""
 
     kind, is_live = "config", True
 
@@ -32,14 +32,14 @@
 
 
 class Follower:
-    """What one follower was told."""
+    """Collects the values that one follower receives."""
 
     def __init__(self, port):
         self.link, self.transport = port.buildProtocol(None), Transport()
         self.link.makeConnection(self.transport)
 
     def take(self):
-        """Return the values that it was told since the last call."""
+        """Return the values received since the last call."""
         data, found = self.transport.value(), []
         self.transport.clear()
         while data:
@@ -51,7 +51,7 @@
 
 
 class Transport(StringTransport):
-    """What was written to a connection."""
+    """Transport that ignores socket options."""
 
     def setTcpNoDelay(self, enabled):  # noqa: N802
         pass
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 def encoded(monkeypatch):
-    """Return the frames with objects that were encoded."""
+    """Return the frames with objects, in the order in which they were encoded."""
     found, encode = [], copies.encode_frame
 
     def count(frame):
@@ -81,7 +81,7 @@
     assert len(encoded) == 3
 
 
-def test_one_that_did_not_read_is_told_what_it_has_missed(encoded):
+def test_a_follower_that_did_not_read_gets_the_changes_it_missed(encoded):
     feed = Feed()
     port = CopyPublisher(Clock(), (feed,))
     late, other = Follower(port), Follower(port)
@@ -90,18 +90,18 @@
     feed.write(2)
     late.link.resumeProducing()
     assert late.take() == [0, 2] and other.take() == [0, 1, 2]
-    assert late.link._told == other.link._told
+    assert late.link._sent == other.link._sent
 
 
-def test_a_new_follower_is_told_all_and_others_nothing():
+def test_a_new_follower_gets_all_objects_and_an_up_to_date_one_none():
     feed = Feed()
     first = make_frame(feed, None)
     again = make_frame(feed, feed.objects)
-    assert first.is_whole and len(first.objects) == 1
-    assert not again.is_whole and again.objects == ()
+    assert first.is_complete and len(first.objects) == 1
+    assert not again.is_complete and again.objects == ()
 
 
-def test_what_is_gone_is_told():
+def test_a_frame_contains_deletions():
     feed = Feed()
     before, feed.objects = feed.objects, {}
     (gone,) = make_frame(feed, before).objects
--- a/tests/objects/test_eras.py
+++ b/tests/objects/test_eras.py
@@ -1,4 +1,4 @@
-"""Versions of a later era are higher, and a condition holds in its own era only."""
+"""Order of versions across eras, and calls that cross a restore of the store."""
 
 import json
 import math
@@ -26,7 +26,7 @@
 from beryltrack.platform.store import PlatformStore
 
 
-def test_a_version_stands_for_an_era_and_a_revision():
+def test_a_version_combines_an_era_and_a_revision():
     version = make_version(3, 12)
     assert (get_era(version), get_revision(version)) == (3, 12)
     assert make_version(0, 12) == 12
@@ -35,18 +35,18 @@
     assert get_latest_era(()) == 0
 
 
-def test_a_version_is_written_with_its_era_if_there_are_eras():
+def test_a_version_is_formatted_with_its_era_unless_that_is_0():
     assert [format_version(make_version(era, 7)) for era in (0, 2)] == ["7", "2.7"]
 
 
 @pytest.mark.parametrize(
     ("text", "era"), [("3", 3), ("0", 0), (None, None), ("-1", None), ("x", None)]
 )
-def test_an_era_is_read_from_a_header(text, era):
+def test_an_era_is_parsed_from_a_header(text, era):
     assert parse_era(text) == era
 
 
-def test_an_era_never_goes_back_and_its_change_is_told(caplog):
+def test_an_era_never_decreases_and_observers_learn_of_a_new_one(caplog):
     clock, seen = Clock(), []
     eras = EraTracker(clock.seconds)
     eras.subscribe(seen.append)
@@ -54,14 +54,14 @@
     eras.observe(4)
     clock.advance(2.0)
     assert (eras.age, seen) == (2.0, [])
-    assert [eras.observe(told) for told in (5, 4, None)] == [5, 4, 5]
+    assert [eras.observe(era) for era in (5, 4, None)] == [5, 4, 5]
     assert (eras.era, eras.age, seen) == (5, 0.0, [5])
     assert eras.is_past(4) and not eras.is_past(5)
     assert "was restored from a backup: era 5 after 4" in caplog.text
 
 
 class EraSite(Resource):
-    """Gives one (era, code, body) after the other and keeps the calls."""
+    """Answers with one (era, code, body) after the other and records the calls."""
 
     isLeaf = True
 
@@ -79,7 +79,7 @@
 
 
 def run(site, *calls):
-    """Make calls to a store of the platform's, return their results."""
+    """Make calls to a `PlatformStore`, return their results."""
     clock, agent, results = Clock(), RequestTraversalAgent(site), []
     store = PlatformStore(HttpClient(clock, "http://x", random.Random(1), agent=agent))
     for name, *arguments in calls:
@@ -100,13 +100,13 @@
     return result.failure().kind
 
 
-def test_a_list_has_the_versions_of_its_era():
+def test_the_versions_of_a_list_are_of_its_era():
     (found,) = run(EraSite((2, 200, make_page(9, "a"))), ("list", "servers"))
     assert found.unwrap().revision == make_version(2, 9)
     assert found.unwrap().objects[0].version == make_version(2, 9)
 
 
-def test_pages_of_two_eras_are_no_list():
+def test_a_list_with_pages_of_two_eras_has_expired():
     site = EraSite(
         (1, 200, make_page(9, "a", has_more=True)), (2, 200, make_page(7, "b"))
     )
@@ -114,13 +114,13 @@
     assert get_failure(found) is ErrorKind.EXPIRED
 
 
-def test_an_answer_of_an_era_that_is_over_says_nothing():
+def test_an_answer_of_a_past_era_is_unknown():
     site = EraSite((2, 200, make_page(9)), *((1, 200, make_page(30, "a")),) * 3)
     _, late = run(site, ("list", "servers"), ("list", "servers"))
     assert get_failure(late) is ErrorKind.UNKNOWN
 
 
-def test_a_wait_after_a_version_of_another_era_has_expired():
+def test_a_watch_after_a_version_of_another_era_has_expired():
     events = {"events": [], "current_rev": 31}
     site = EraSite((1, 200, make_page(30)), (2, 200, events))
     after = make_version(1, 30)
@@ -137,7 +137,7 @@
     version = make_version(1, 8)
     write = ("put", "permits/a", {}, version)
     _, late, past = run(site, ("list", "permits"), write, write)
-    # It may have been done, on a version that is another one by now.
+    # The write may have happened, on a version of the new era.
     assert get_failure(late) is ErrorKind.UNKNOWN
     assert get_failure(past) is ErrorKind.CONFLICT
     assert len(site.calls) == 2
@@ -158,7 +158,7 @@
     assert found.unwrap().revision == 8 and written.unwrap() == 9
 
 
-def test_the_other_dialect_has_eras_too():
+def test_the_object_api_has_eras_too():
     item = {"path": "settings/a", "version": 5, "value": 1}
     site = EraSite(
         (1, 200, {"revision": 6, "objects": [item]}),
--- a/tests/objects/test_feed.py
+++ b/tests/objects/test_feed.py
@@ -1,4 +1,4 @@
-"""A feed's copy stays true when a watch misses changes."""
+"""List and watch of a feed, also when a watch fails or misses changes."""
 
 import random
 
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from beryltrack.objects.feed import SECOND_LOOK, FeedTask, compute_watch_timeout
+from beryltrack.objects.feed import RELIST_DELAY, FeedTask, compute_watch_timeout
 from beryltrack.objects.messages import (
     ErrorKind,
     ObjectList,
@@ -26,7 +26,7 @@
 
 
 class ScriptedStore:
-    """Lists what it has; watches wait until the test answers them."""
+    """Lists `listed`; watches wait until the test answers them."""
 
     def __init__(self):
         self.listed = make_list(1, 1)
@@ -52,35 +52,35 @@
         "kind",
         lambda found: seen.append(dict(found)),
         random.Random(1),
-        wait=4.0,
+        watch_timeout=4.0,
     )
     feed.start()
     store.feed = feed
     return clock, store, seen
 
 
-def test_changes_of_a_watch_are_told():
+def test_the_callback_gets_the_changes_of_a_watch():
     _, store, seen = start_feed()
     store.watches[0][2].callback(make_list(2, 2))
     assert [found["kind/a"].version for found in seen] == [1, 2]
     assert store.lists == 1
 
 
-def test_after_a_cut_watch_all_objects_are_listed_twice():
+def test_after_a_failed_watch_all_objects_are_listed_twice():
     clock, store, seen = start_feed()
     store.listed = make_list(5, 5)
     store.watches[0][2].callback(CUT)
     clock.advance(1.0)
     assert store.lists == 2 and seen[-1]["kind/a"].version == 5
-    # The next watch missed a change; a second list finds it.
+    # The next watch misses a change; the second list finds it.
     store.listed = make_list(6, 6)
     after, timeout, answer = store.watches[1]
-    assert (after, timeout) == (5, SECOND_LOOK)
+    assert (after, timeout) == (5, RELIST_DELAY)
     answer.callback(make_list(5))
     assert store.lists == 3 and seen[-1]["kind/a"].version == 6
 
 
-def test_an_object_that_is_not_listed_any_more_is_gone():
+def test_an_object_that_is_no_longer_listed_is_removed():
     clock, store, seen = start_feed()
     store.listed = make_list(5)
     store.watches[0][2].callback(CUT)
@@ -88,7 +88,7 @@
     assert seen[-1] == {}
 
 
-def test_it_says_since_when_the_store_is_silent_and_what_is_known(caplog):
+def test_a_feed_reports_the_silence_of_the_store_and_its_revision(caplog):
     clock, store, _ = start_feed()
     feed = store.feed
     clock.advance(2.0)
@@ -101,10 +101,10 @@
 
 
 @pytest.mark.parametrize(("limit", "wait"), [(3.0, 2.0), (6.0, 4.0), (0.2, 0.5)])
-def test_a_watch_waits_for_two_thirds_of_the_time_that_a_change_has(limit, wait):
+def test_the_watch_timeout_is_two_thirds_of_the_limit_of_a_change(limit, wait):
     assert compute_watch_timeout(limit) == wait
 
 
-def test_a_watch_waits_for_no_longer_than_it_may():
+def test_a_watch_waits_for_the_watch_timeout():
     _, store, _ = start_feed()
     assert store.watches[0][:2] == (1, 4.0)
--- a/tests/objects/test_http.py
+++ b/tests/objects/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls: what becomes of connections that took too long."""
+"""Connections of the HTTP client that open after their timeout."""
 
 import pytest
 from twisted.internet.defer import Deferred
@@ -11,7 +11,7 @@
 
 
 class Transport(StringTransport):
-    """A transport that takes the socket options of a real one."""
+    """A transport that accepts the socket options of a real one."""
 
     aborted = False
 
@@ -27,12 +27,12 @@
     def getHandle(self):  # noqa: N802
         return self
 
-    def setsockopt(self, *words):
+    def setsockopt(self, *arguments):
         pass
 
 
 class Endpoint:
-    """Connects when a test says so."""
+    """Connects when the test fires `connected`."""
 
     def __init__(self):
         self.connected = Deferred()
@@ -51,12 +51,12 @@
     return connecting, protocol.transport
 
 
-def test_a_connection_in_time_is_used():
+def test_a_connection_within_the_timeout_is_used():
     connecting, transport = connect(0.2)
     assert connecting.result.transport is transport and not transport.aborted
 
 
-def test_one_that_a_pause_of_the_process_made_too_late_is_not_used():
+def test_a_connection_that_opens_late_after_a_pause_is_aborted():
     connecting, transport = connect(4.0)
     assert transport.aborted
     with pytest.raises(ConnectError):
--- a/tests/objects/test_lagging.py
+++ b/tests/objects/test_lagging.py
@@ -1,14 +1,14 @@
-"""A lagging read is not asked while it may tell what an earlier era held."""
+"""Stale reads are avoided while they may return data of an earlier era."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
 from beryltrack.objects.eras import EraTracker
-from beryltrack.objects.lagging import MOST_LAG, LaggingFeed
+from beryltrack.objects.lagging import MAX_LAG, LaggingFeed
 
 
 class Feed:
-    """Says by which name it was asked."""
+    """Answers with its name and the call."""
 
     def __init__(self, name):
         self.name = name
@@ -20,7 +20,7 @@
         return f"{self.name} watch"
 
 
-def test_exact_reads_are_asked_for_a_while_after_a_restore():
+def test_reads_are_exact_for_a_while_after_a_restore():
     clock = Clock()
     eras = EraTracker(clock.seconds)
     feed = LaggingFeed(Feed("exact"), Feed("lagging"), eras)
@@ -34,5 +34,5 @@
     assert ask() == ["lagging"] * 2
     eras.observe(2)
     assert ask() == ["exact"] * 2
-    clock.advance(MOST_LAG)
+    clock.advance(MAX_LAG)
     assert ask() == ["lagging"] * 2
--- a/tests/objects/test_parsing.py
+++ b/tests/objects/test_parsing.py
@@ -1,4 +1,4 @@
-"""Answers of the object API, in which one object may be malformed."""
+"""Parsing of answers in which one object may be malformed."""
 
 import pytest
 
@@ -19,13 +19,13 @@
         GOOD | {"version": True},
     ],
 )
-def test_an_object_that_cannot_be_read_costs_itself_alone(bad):
+def test_only_the_malformed_object_is_skipped(bad):
     found = parse_list({"revision": 9, "objects": [bad, GOOD]})
     assert [item.path for item in found.objects] == [GOOD["path"]]
     assert found.revision == 9
 
 
 @pytest.mark.parametrize("answer", [None, {"revision": 9}, {"objects": [GOOD]}])
-def test_what_is_no_list_is_told(answer):
+def test_a_malformed_list_raises(answer):
     with pytest.raises(ValueError):
         parse_list(answer)
--- a/tests/objects/test_registration.py
+++ b/tests/objects/test_registration.py
@@ -1,7 +1,7 @@
-"""Addresses that crashed instances leave behind."""
+"""Cleanup of addresses that crashed instances leave behind."""
 
 from beryltrack.objects.messages import PlatformObject
-from beryltrack.objects.registration import STALE_AFTER, get_stale
+from beryltrack.objects.registration import STALE_AFTER, find_stale_addresses
 
 NOW = 1e9
 
@@ -12,7 +12,7 @@
     return PlatformObject(f"status/instances/{name}", 1, value, False)
 
 
-def test_only_what_is_old_and_not_listed_is_stale():
+def test_only_old_and_unlisted_addresses_are_stale():
     old, new = NOW - STALE_AFTER - 1, NOW - STALE_AFTER + 1
     objects = (
         make_address("listed", old),
@@ -20,5 +20,5 @@
         make_address("crashed", old),
         make_address("strange", 0)._replace(value="x"),
     )
-    stale = get_stale(objects, {"listed"}, NOW)
+    stale = find_stale_addresses(objects, {"listed"}, NOW)
     assert [item.path.rpartition("/")[2] for item in stale] == ["crashed", "strange"]
--- a/tests/objects/test_rejects.py
+++ b/tests/objects/test_rejects.py
@@ -1,9 +1,9 @@
-"""What is wrong with objects is logged once."""
+"""The log of invalid objects: each finding once, bounded, and escaped."""
 
 import logging
 
 from beryltrack.findings import Finding
-from beryltrack.objects.rejects import MOST_KEPT, MOST_TEXT, RejectLog
+from beryltrack.objects.rejects import MAX_REMEMBERED, MAX_TEXT_LENGTH, RejectLog
 
 
 def make_findings(count):
@@ -12,7 +12,7 @@
     ]
 
 
-def test_a_finding_that_stays_is_logged_and_counted_once(caplog):
+def test_a_repeated_finding_is_logged_and_counted_once(caplog):
     rejects = RejectLog()
     with caplog.at_level(logging.ERROR):
         for _ in range(3):
@@ -20,15 +20,17 @@
     assert rejects.count == 2 and len(caplog.records) == 2
 
 
-def test_what_is_remembered_is_bounded(caplog):
+def test_the_remembered_findings_are_bounded(caplog):
     rejects = RejectLog()
-    rejects.report(make_findings(MOST_KEPT + 1))
+    rejects.report(make_findings(MAX_REMEMBERED + 1))
     rejects.report(make_findings(1))
-    assert rejects.count == MOST_KEPT + 2
+    assert rejects.count == MAX_REMEMBERED + 2
 
 
-def test_a_line_holds_no_text_of_others_unescaped(caplog):
+def test_a_line_escapes_and_bounds_quoted_text(caplog):
     with caplog.at_level(logging.ERROR):
         RejectLog().report([Finding("servers/x\r\ny\ud800", "", "z" * 10_000)])
     message = caplog.records[0].getMessage()
-    assert message.isascii() and "\n" not in message and len(message) < 2 * MOST_TEXT
+    assert (
+        message.isascii() and "\n" not in message and len(message) < 2 * MAX_TEXT_LENGTH
+    )
--- a/tests/objects/test_restored_copies.py
+++ b/tests/objects/test_restored_copies.py
@@ -1,8 +1,8 @@
-"""The newer era wins among instances that tell each other what the store holds.
+"""After a restore of the store the newer era wins among watchers and followers.
 
-The store is restored from a backup while some instances are turned away, cut off or
-start; those that still have copies of before must not bring these back, and those
-that hear of the new era from others go by it though its revisions are lower.
+The store is restored from a backup while some instances are refused, cut off or
+starting. Instances with copies of the old era must not spread these again, and
+instances that learn of the new era from others adopt it though its revisions are lower.
 """
 
 import random
@@ -18,15 +18,15 @@
     Fleet,
     Instance,
     Store,
-    StoreOf,
+    StoreClient,
     fail,
 )
 
 LOST_REVISIONS = (1, 7)
 
 
-class EraStoreOf(StoreOf):
-    """The store as one instance reaches it, whose answers tell the era."""
+class EraStoreClient(StoreClient):
+    """The store as one instance reaches it, with eras."""
 
     async def watch(self, kind, after, timeout):
         expired = fail(ErrorKind.EXPIRED, "of another era")
@@ -42,14 +42,16 @@
     """A fleet whose store can be restored from a backup."""
 
     def __init__(self, count, monkeypatch):
-        monkeypatch.setattr("tests.objects.test_shared_copies.StoreOf", EraStoreOf)
+        monkeypatch.setattr(
+            "tests.objects.test_shared_copies.StoreClient", EraStoreClient
+        )
         monkeypatch.setattr(Store, "era", 0, raising=False)
         super().__init__(count)
         self.enter_era(1)
         self.change()
 
     def enter_era(self, era):
-        """Let all versions be of an era from now on."""
+        """Move the store and all its versions to an era."""
         self.store.era = era
         self.store.revision = make_version(era, get_revision(self.store.revision))
         self.store.objects = {
@@ -58,7 +60,7 @@
         }
 
     def lose_writes(self, count):
-        """Restore the store to before its last writes; they are written again."""
+        """Restore the store to before its last writes, and write the values again."""
         values = [self.store.objects[f"{kind}/main"].value for kind in KINDS]
         self.store.revision -= count + len(KINDS)
         self.store.objects = {
@@ -70,11 +72,11 @@
             self.store.put(kind, value)
 
     def write(self, count):
-        """Let others write what is lost later."""
+        """Advance the revision by writes that the restore loses."""
         self.store.revision += count
 
     def choose_value(self):
-        """Return a value that is higher than all before; revisions go back here."""
+        """Return a value above all earlier ones; here revisions may decrease."""
         return max(each.value for each in self.store.objects.values()) + 1
 
 
@@ -85,7 +87,7 @@
 
 @pytest.mark.parametrize("lost", LOST_REVISIONS)
 @pytest.mark.parametrize("count", [6, 60])
-def test_a_change_after_the_restore_is_known_to_all(make_fleet, count, lost):
+def test_a_change_after_the_restore_reaches_all(make_fleet, count, lost):
     fleet = make_fleet(count)
     fleet.write(lost)
     fleet.change()
@@ -97,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_those_that_the_store_turns_away_go_by_the_new_era(make_fleet, seed):
+def test_instances_that_the_store_refuses_adopt_the_new_era(make_fleet, seed):
     fleet = make_fleet(60)
     names = sorted(fleet.instances)
     fleet.store.refused.update(random.Random(seed).sample(names, 20))
@@ -109,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_those_that_were_cut_off_bring_nothing_back(make_fleet, seed):
+def test_instances_that_were_cut_off_do_not_spread_old_copies(make_fleet, seed):
     fleet = make_fleet(60)
     cut = random.Random(seed).sample(sorted(fleet.watchers), 6)
     fleet.write(9)
@@ -132,7 +134,7 @@
     assert eras == {2}
 
 
-def test_one_that_starts_meanwhile_goes_by_the_new_era(make_fleet):
+def test_an_instance_that_starts_meanwhile_adopts_the_new_era(make_fleet):
     fleet = make_fleet(60)
     fleet.write(4)
     fleet.change()
@@ -144,7 +146,7 @@
     fleet.change()
 
 
-def test_returns_in_a_row_are_followed(make_fleet):
+def test_restores_in_a_row_are_followed(make_fleet):
     fleet = make_fleet(60)
     for _ in range(4):
         fleet.write(3)
--- a/tests/objects/test_restored_registration.py
+++ b/tests/objects/test_restored_registration.py
@@ -1,4 +1,4 @@
-"""Addresses and records of who leads are written again after a restore of the store."""
+"""Addresses and records of primaries are written again after a restore."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 STEP = 0.1
 LIMIT = RESTORE_SPREAD + 2.0
-"""Seconds after hearing of the restore within which all is there again."""
+"""Seconds within which lost objects are written again once the era is observed."""
 
 
 class Site:
@@ -35,17 +35,17 @@
             self.clock.advance(STEP)
             self.agent.flush()
 
-    def hear(self):
-        """Make a call, as those that follow the settings do."""
+    def observe_era(self):
+        """Record the present era, as the answer to a call would."""
         self.client.eras.observe(self.platform.store.era)
 
     def has(self, path):
         return self.platform.store.get(path) is not None
 
 
-def test_an_address_that_was_lost_is_written_again():
+def test_a_lost_address_is_written_again():
     site = Site()
-    copy = site.platform.store.make_backup()
+    backup = site.platform.store.make_backup()
     endpoint = Endpoint("127.0.0.1", 1)
     task = RegistrationTask(
         site.clock, site.client, "a", endpoint, site.rng, lambda: 1.0
@@ -53,20 +53,20 @@
     task.start()
     site.advance(2.0)
     assert site.has(f"{PREFIX}a")
-    site.platform.restore(copy)
-    site.hear()
+    site.platform.restore(backup)
+    site.observe_era()
     site.advance(LIMIT)
     assert site.has(f"{PREFIX}a")
 
 
-def test_a_record_of_who_leads_that_was_lost_is_written_again():
+def test_a_lost_record_of_the_primary_is_written_again():
     site = Site()
-    copy = site.platform.store.make_backup()
+    backup = site.platform.store.make_backup()
     writer = HintWriter(site.clock, site.client, site.rng)
     writer.write(FailoverReport("g", ElectionKind.LOST, 4, "b", 0.25, 0.3))
     site.advance(2.0)
-    site.platform.restore(copy)
+    site.platform.restore(backup)
     site.client.eras.subscribe(lambda era: writer.write_again())
-    site.hear()
+    site.observe_era()
     site.advance(LIMIT)
     assert site.platform.store.get(f"{PATH_PREFIX}g").value["primary"] == "b"
--- a/tests/objects/test_rows.py
+++ b/tests/objects/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows are read once, and in slices; what they say does not depend on that."""
+"""The row cache parses each row once and in slices, with unchanged results."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class Reads:
-    """Fields that count how many rows were read."""
+    """Fields that count how many rows were parsed."""
 
     def __init__(self):
         self.count = 0
@@ -33,7 +33,7 @@
     return Reads()
 
 
-def test_rows_that_have_not_changed_are_not_read_again(reads):
+def test_unchanged_rows_are_not_parsed_again(reads):
     cache, rows = RowCache(), make_rows(COUNT)
     cache.read_rows("config/main", ROUTES, {ROUTES: rows}, reads.fields)
     assert reads.count == COUNT
@@ -44,7 +44,7 @@
     assert found == changed and findings == []
 
 
-def test_the_rows_of_a_large_change_are_read_in_slices(reads):
+def test_the_rows_of_a_large_change_are_parsed_in_slices(reads):
     cache, rows = RowCache(), make_rows(COUNT)
     most = before = 0
     for _ in cache.prepare({ROUTES: rows}, {ROUTES: reads.fields}):
@@ -54,7 +54,7 @@
     assert found == rows and reads.count == COUNT
 
 
-def test_rows_that_are_gone_are_forgotten(reads):
+def test_removed_rows_are_evicted(reads):
     cache = RowCache()
     for rows in (make_rows(3), [], make_rows(3)):
         cache.read_rows("config/main", ROUTES, {ROUTES: rows}, reads.fields)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("size", [True, 1.0, "1", None, [1]])
-def test_a_row_that_is_only_equal_to_a_right_one_is_none(size):
+def test_a_row_that_compares_equal_to_a_valid_one_is_still_checked(size):
     cache, counted = RowCache(), Reads()
     cache.read_rows("", ROUTES, {ROUTES: make_rows(1)}, counted.fields)
     rows, findings = cache.read_rows(
@@ -74,12 +74,12 @@
 @pytest.mark.parametrize(
     "value", [None, 3, [], {}, {ROUTES: None}, {ROUTES: {"a": 1}}, {ROUTES: [None, 3]}]
 )
-def test_an_object_that_cannot_be_read_costs_nothing_ahead(reads, value):
+def test_a_malformed_object_does_not_break_reading_ahead(reads, value):
     list(RowCache().prepare(value, {ROUTES: reads.fields}))
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_it_finds_what_reading_all_rows_finds(seed):
+def test_the_cache_returns_what_parsing_all_rows_returns(seed):
     rng, cache, table = random.Random(seed), RowCache(), Reads().fields
     pool = [*make_rows(6), {"name": "r1"}, 7, None, {"name": "", "size": 2}, []]
     pool += [{"name": "r1", "size": object()}, {"name": "r2", "size": True}]
--- a/tests/objects/test_shared_copies.py
+++ b/tests/objects/test_shared_copies.py
@@ -1,8 +1,8 @@
-"""A fleet of instances of which few ask the store, in simulated time.
+"""A fleet of watchers and followers, in simulated time.
 
-Each instance follows two kinds. The store counts the calls of each; it may be silent,
-refuse, or turn single instances away. Links between instances may be cut without a
-word, and instances may be lost.
+Each instance has feeds of two kinds. The store counts the calls of each instance; it
+can be silent, refuse all calls, or refuse single instances. Links between instances can
+be cut silently, and instances can be lost.
 """
 
 import random
@@ -38,7 +38,7 @@
 KINDS = ("config", "servers")
 ZONES = 5
 LIMIT = 3.0
-"""Seconds within which a change must be known, the shortest of today's sites."""
+"""Seconds within which a change must be known, the shortest limit in use."""
 
 STEP = 0.05
 ANSWER_TIME = 0.004
@@ -49,7 +49,7 @@
 
 
 class Store:
-    """Objects of two kinds, one of each."""
+    """A store with one object of each kind."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -80,7 +80,7 @@
         return Success(ObjectList(self.revision, tuple(found)))
 
 
-class StoreOf:
+class StoreClient:
     """The store as one instance reaches it."""
 
     def __init__(self, store, name):
@@ -158,12 +158,12 @@
 
 
 class Instance:
-    """One instance: its feeds, what it tells and whom it follows."""
+    """One instance: its feeds, its publisher and its link to a watcher."""
 
     def __init__(self, fleet, peer, seeds=()):
         self.peer = peer
         self.known = dict.fromkeys(KINDS, -1)
-        source = StoreOf(fleet.store, peer.name)
+        source = StoreClient(fleet.store, peer.name)
         self.feeds = tuple(
             FeedTask(
                 fleet.clock,
@@ -199,8 +199,8 @@
             task.stop()
 
 
-def get_places(name):
-    """Return where an instance takes others; its name stands for its address."""
+def get_endpoints(name):
+    """Return the relay and copies endpoints of an instance, by its name as host."""
     return Endpoint(name, 1), Endpoint(name, 2)
 
 
@@ -212,7 +212,7 @@
         self.store = Store(self.clock)
         self.cut = set()
         peers = tuple(
-            Peer(f"n{each}", f"z{each % ZONES}", *get_places(f"n{each}"))
+            Peer(f"n{each}", f"z{each % ZONES}", *get_endpoints(f"n{each}"))
             for each in range(count)
         )
         self.instances = {peer.name: Instance(self, peer) for peer in peers}
@@ -248,7 +248,7 @@
         }
 
     def choose_value(self):
-        """Return a value that is higher than all before."""
+        """Return a value above all earlier ones."""
         return self.store.revision
 
     def change(self, limit=LIMIT, exempt=()):
@@ -271,7 +271,7 @@
 
 @pytest.fixture(scope="module")
 def calls_of_sizes():
-    """Return the calls of 20 s without changes, by the size of the fleet."""
+    """Return the number of calls in 20 s without changes, by the size of the fleet."""
     found = {}
     for count in (6, 15, 60, 195):
         fleet = Fleet(count)
@@ -287,19 +287,19 @@
     assert calls_of_sizes[195] <= calls_of_sizes[15] * 1.1
 
 
-def test_a_change_is_known_to_all_at_once():
+def test_a_change_reaches_all_at_once():
     fleet = Fleet(60)
     fleet.change(0.2)
 
 
-def test_it_is_known_in_time_though_watchers_are_lost():
+def test_a_change_arrives_in_time_though_watchers_are_lost():
     fleet = Fleet(60)
     fleet.lose(sorted(fleet.watchers)[::2])
     fleet.change()
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_it_is_known_in_time_though_watchers_are_cut_off_without_a_word(seed):
+def test_a_change_arrives_in_time_though_watchers_are_cut_off_silently(seed):
     fleet = Fleet(60)
     cut = random.Random(seed).sample(sorted(fleet.watchers), 8)
     fleet.cut.update(cut)
@@ -309,7 +309,7 @@
     fleet.change(0.2)
 
 
-def test_who_is_turned_away_by_the_store_is_told_by_others():
+def test_instances_that_the_store_refuses_follow_others():
     fleet = Fleet(60)
     fleet.run(5.0)
     refused = sorted(fleet.instances)[::2]
@@ -318,7 +318,7 @@
     before = fleet.calls
     fleet.change(1.0)
     fleet.run(8.0)
-    # Of 30 that are turned away only watchers ask on, for one kind, each 0.5 s.
+    # Of 30 refused instances only watchers go on calling, for one kind, each 0.5 s.
     refused_watchers = len(fleet.watchers & set(refused))
     others = len(fleet.watchers) - refused_watchers
     assert fleet.calls - before <= refused_watchers * 9 * 3 + others * 9 * 2 + 30
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize("seconds", [0.7, 2.5, 5.0])
 @pytest.mark.parametrize("how", ["is_silent", "is_refusing"])
-def test_a_change_after_an_outage_of_the_store_is_known_in_time(how, seconds):
+def test_a_change_after_an_outage_of_the_store_arrives_in_time(how, seconds):
     fleet = Fleet(60)
     setattr(fleet.store, how, True)
     fleet.run(seconds)
@@ -334,7 +334,7 @@
     fleet.change()
 
 
-def test_a_kind_that_cannot_be_read_holds_up_no_other():
+def test_a_kind_that_cannot_be_read_delays_no_other():
     fleet = Fleet(6)
     fleet.store.faulty.add("config")
     fleet.run(8.0)
@@ -346,22 +346,22 @@
 
 @pytest.mark.parametrize("refused", [(), ("n0",), ("n0", "n1")])
 @pytest.mark.parametrize("known", [(), ("n0",)])
-def test_one_that_is_turned_away_before_it_knows_the_others_is_told(refused, known):
-    """Its settings file names some, of which others may be turned away, too."""
+def test_a_refused_instance_without_members_follows_a_seed(refused, known):
+    """Its settings file names seeds, some of which the store may refuse too."""
     fleet = Fleet(5)
-    own = Peer("n9", "z9", *get_places("n9"))
+    own = Peer("n9", "z9", *get_endpoints("n9"))
     fleet.store.refused.update((*refused, "n9"))
-    seeds = tuple(get_places(f"n{each}")[1] for each in range(3))
+    seeds = tuple(get_endpoints(f"n{each}")[1] for each in range(3))
     one = fleet.instances["n9"] = Instance(fleet, own, seeds)
     one.start((own, *(fleet.instances[name].peer for name in known)))
     fleet.run(6.0)
     fleet.change()
 
 
-def test_one_that_knows_nobody_asks_the_store_alone_while_that_answers():
+def test_an_instance_without_members_uses_no_seed_while_the_store_answers():
     fleet = Fleet(5)
-    own = Peer("n9", "z9", *get_places("n9"))
-    one = fleet.instances["n9"] = Instance(fleet, own, (get_places("n0")[1],))
+    own = Peer("n9", "z9", *get_endpoints("n9"))
+    one = fleet.instances["n9"] = Instance(fleet, own, (get_endpoints("n0")[1],))
     one.start((own,))
     links = fleet.instances["n0"].port.links
     found = set()
@@ -371,26 +371,26 @@
     assert not found
 
 
-def test_a_small_fleet_asks_by_itself():
+def test_all_instances_of_a_small_fleet_are_watchers():
     fleet = Fleet(ZONES * WATCHERS_PER_ZONE)
     assert all(not each.follow.source for each in fleet.instances.values())
 
 
-def test_frames_are_read_as_they_were_sent():
+def test_frames_decode_to_what_was_encoded():
     item = PlatformObject("config/main", 3, {"a": [1]}, False)
     at = make_version(2, 4)
     frames = (CopyFrame("config", at, True, False, (item,)),)
     assert decode_frames(encode_frames(frames)) == frames
 
 
-def test_a_frame_of_a_release_without_eras_is_no_frame():
-    """Its revision would be taken for a version, or the other way round."""
+def test_a_frame_of_a_release_without_eras_is_rejected():
+    """Its revision would be mistaken for a version, or the other way round."""
     with pytest.raises(ValueError):
         decode_frames(cbor2.dumps([["config", 4, True, True, []]]))
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", encode_frames(())[:0], b"\x81\x01"])
-def test_what_is_no_frame_is_told(data):
+def test_malformed_frames_raise(data):
     with pytest.raises(ValueError):
         decode_frames(data)
 
@@ -399,8 +399,8 @@
     return {name: each.follow.source for name, each in fleet.instances.items()}
 
 
-def test_a_pause_makes_no_instance_leave_the_one_that_it_follows():
-    """Guards against followers that all ask the store as they wake."""
+def test_a_pause_makes_no_follower_leave_its_watcher():
+    """Guards against followers that all call the store after a pause."""
     fleet = Fleet(20)
     awake = get_awake_clock(fleet.clock)
     awake.begin()
@@ -409,8 +409,8 @@
     assert any(before.values()) and get_sources(fleet) == before
 
 
-def test_an_instance_that_falls_silent_during_a_pause_is_left_after_it():
-    """Guards against a pause that hides the loss of the one that is followed."""
+def test_a_watcher_that_falls_silent_during_a_pause_is_left_after_it():
+    """Guards against a pause that hides the loss of the watcher."""
     fleet = Fleet(20)
     awake = get_awake_clock(fleet.clock)
     awake.begin()
--- a/tests/objects/test_snapshot.py
+++ b/tests/objects/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Copies of the store's objects that one instance gives another, on real sockets."""
+"""Snapshots that one instance fetches from another, on real sockets."""
 
 import random
 
@@ -22,18 +22,18 @@
 }
 
 
-def test_a_snapshot_is_read_as_it_was_written():
+def test_a_snapshot_decodes_to_what_was_encoded():
     data = encode_snapshot(SNAPSHOT | {"servers": {}})
     assert decode_snapshot(data) == SNAPSHOT
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\xa1\x61a\x01", b"\xff", b"text"])
-def test_what_is_no_snapshot_is_none(data):
+def test_a_malformed_snapshot_decodes_to_none(data):
     assert decode_snapshot(data) is None
 
 
 def fetch(*sources):
-    """Return the first copy that a task takes from some sources."""
+    """Return the first snapshot that a task fetches from the sources."""
 
     async def go():
         taken = Deferred()
@@ -52,13 +52,13 @@
     return port, Endpoint(HOST, port.getHost().port)
 
 
-def test_an_instance_takes_what_another_knows():
+def test_an_instance_fetches_the_snapshot_of_another():
     port, source = run(listen, lambda: SNAPSHOT)
     assert fetch(source) == SNAPSHOT
     run(port.stopListening)
 
 
-def test_an_instance_that_knows_nothing_is_passed_over():
+def test_an_instance_without_objects_is_skipped():
     young, first = run(listen, dict)
     port, second = run(listen, lambda: SNAPSHOT)
     assert fetch(first, second) == SNAPSHOT
@@ -66,7 +66,7 @@
     run(port.stopListening)
 
 
-def test_an_instance_that_is_gone_is_passed_over():
+def test_an_unreachable_instance_is_skipped():
     gone, nowhere = run(listen, dict)
     run(gone.stopListening)
     port, source = run(listen, lambda: SNAPSHOT)
