--- a/beryltrack/callers/authentication.py
+++ b/beryltrack/callers/authentication.py
@@ -14,7 +14,7 @@
 
 from scramp import ScramException, ScramMechanism
 
-from beryltrack.errors import INVALID_PASSWORD, SqlError, make_fatal
+from beryltrack.errors import INVALID_PASSWORD, SqlError, make_fatal_error
 from beryltrack.settings.messages import UserSettings
 
 SCRAM_MECHANISM = "SCRAM-SHA-256"
@@ -132,6 +132,6 @@
 
     def _refuse(self) -> SqlError:
         """Return the one error that says nothing of why."""
-        return make_fatal(
+        return make_fatal_error(
             INVALID_PASSWORD, f'password authentication failed for user "{self._user}"'
         )
--- a/beryltrack/callers/factory.py
+++ b/beryltrack/callers/factory.py
@@ -21,7 +21,7 @@
     INVALID_CATALOG_NAME,
     TOO_MANY_CONNECTIONS,
     SqlError,
-    make_fatal,
+    make_fatal_error,
 )
 from beryltrack.settings.messages import SiteSettings, UserSettings
 
@@ -124,9 +124,11 @@
     def get_refusal(self) -> SqlError | None:
         """Return why no further caller is let in."""
         if self.leaving:
-            return make_fatal(CANNOT_CONNECT_NOW, "the proxy is shutting down")
+            return make_fatal_error(CANNOT_CONNECT_NOW, "the proxy is shutting down")
         if len(self._connections) > self.options.max_callers:
-            return make_fatal(TOO_MANY_CONNECTIONS, "too many callers on this proxy")
+            return make_fatal_error(
+                TOO_MANY_CONNECTIONS, "too many callers on this proxy"
+            )
         return None
 
     def add(self, connection: CallerProtocol) -> None:
@@ -148,7 +150,9 @@
         groups = self._get_settings().groups
         if any(group.name == name and group.team == user.team for group in groups):
             return None
-        return make_fatal(INVALID_CATALOG_NAME, f'database "{name}" does not exist')
+        return make_fatal_error(
+            INVALID_CATALOG_NAME, f'database "{name}" does not exist'
+        )
 
     def make_logon(self) -> CallerLogon:
         """Return the log-on of a new connection."""
--- a/beryltrack/callers/protocol.py
+++ b/beryltrack/callers/protocol.py
@@ -42,12 +42,12 @@
     ADMIN_SHUTDOWN,
     CANNOT_CONNECT_NOW,
     FATAL,
-    IDLE_IN_TRANSACTION,
+    IDLE_IN_TRANSACTION_SESSION_TIMEOUT,
     INTERNAL_ERROR,
     PROTOCOL_VIOLATION,
     SqlError,
-    make_fatal,
-    make_unsupported,
+    make_fatal_error,
+    make_unsupported_error,
 )
 from beryltrack.settings.messages import UserSettings
 from beryltrack.wire.sockets import tune_socket
@@ -105,7 +105,7 @@
             else:
                 self._receive_requests(data)
         except ProtocolError as error:
-            self._refuse(make_fatal(PROTOCOL_VIOLATION, str(error)))
+            self._refuse(make_fatal_error(PROTOCOL_VIOLATION, str(error)))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Give up the caller; a unit that runs ends first."""
@@ -122,14 +122,14 @@
         """End the connection as soon as no transaction is open on it."""
         if self.phase is Phase.LOGON:
             text = "the proxy is shutting down"
-            self._refuse(make_fatal(CANNOT_CONNECT_NOW, text))
+            self._refuse(make_fatal_error(CANNOT_CONNECT_NOW, text))
         else:
             self._continue()
 
     def _end_idle(self) -> None:
         """End the connection of an idle caller."""
         text = "terminating connection due to administrator command"
-        self._refuse(make_fatal(ADMIN_SHUTDOWN, text))
+        self._refuse(make_fatal_error(ADMIN_SHUTDOWN, text))
 
     def _receive_logon(self, data: bytes) -> None:
         """Take bytes of the log-on."""
@@ -236,7 +236,7 @@
         """End the connection of a caller that leaves its transaction alone."""
         self._timer = None
         text = "terminating connection due to idle-in-transaction timeout"
-        self._refuse(make_fatal(IDLE_IN_TRANSACTION, text))
+        self._refuse(make_fatal_error(IDLE_IN_TRANSACTION_SESSION_TIMEOUT, text))
 
     def _run_unit(self, unit: Unit) -> None:
         """Give out one unit."""
@@ -245,7 +245,7 @@
             case TerminateRequest():
                 self._close()
             case RefusedRequest(message=message):
-                caller.send_error(make_unsupported(message))
+                caller.send_error(make_unsupported_error(message))
                 caller.send_ready(caller.status)
             case ExtendedRequest(messages=(_,)):
                 # A Sync alone asks for nothing but the ReadyForQuery.
@@ -276,7 +276,7 @@
         """Refuse a batch whose caller waits for answers that need its portals."""
         self._timer = None
         if self.phase is Phase.READY and self._reader.is_flush_pending:
-            self.caller.send_error(make_unsupported(FLUSH_TEXT))
+            self.caller.send_error(make_unsupported_error(FLUSH_TEXT))
             self._reader.drop_batch()
 
     def _handle(self, unit: Request) -> "Deferred[None]":
@@ -319,7 +319,7 @@
         try:
             self._run_units()
         except ProtocolError as error:
-            self._refuse(make_fatal(PROTOCOL_VIOLATION, str(error)))
+            self._refuse(make_fatal_error(PROTOCOL_VIOLATION, str(error)))
 
     def _fail_unit(self, failure: Failure) -> None:
         """End the connection after a fault of the handler."""
@@ -330,7 +330,7 @@
         else:
             self.phase = Phase.READY
             self._refuse(
-                make_fatal(
+                make_fatal_error(
                     INTERNAL_ERROR,
                     "internal error of the proxy",
                     "The request may have been run.",
@@ -384,7 +384,7 @@
     def _time_out(self) -> None:
         """End a connection that does not log on."""
         self._timer = None
-        self._refuse(make_fatal(PROTOCOL_VIOLATION, "timeout during log-on"))
+        self._refuse(make_fatal_error(PROTOCOL_VIOLATION, "timeout during log-on"))
 
     def _stop_timer(self) -> None:
         """Stop the timer that runs."""
--- a/beryltrack/callers/startup.py
+++ b/beryltrack/callers/startup.py
@@ -12,7 +12,7 @@
     INVALID_PARAMETER_VALUE,
     PROTOCOL_VIOLATION,
     SqlError,
-    make_fatal,
+    make_fatal_error,
 )
 
 # What drivers read at start-up. The targets' values may differ in the version
@@ -78,15 +78,17 @@
 def _check(request: StartupRequest, params: dict[str, str]) -> SqlError | None:
     """Return what is wrong with the values of a start-up packet."""
     if not request.user:
-        return make_fatal(INVALID_AUTHORIZATION, "no user name in the start-up packet")
+        return make_fatal_error(
+            INVALID_AUTHORIZATION, "no user name in the start-up packet"
+        )
     if params.get("replication", "false") not in ("false", "off", "no", "0"):
-        return make_fatal(
+        return make_fatal_error(
             FEATURE_NOT_SUPPORTED, "replication connections are not supported"
         )
     encoding = request.settings.get("client_encoding", "UTF8")
     if encoding.strip("'\"").replace("-", "").lower() not in _ENCODINGS:
         text = f"client_encoding {encoding!r} is not supported; use UTF8"
-        return make_fatal(INVALID_PARAMETER_VALUE, text)
+        return make_fatal_error(INVALID_PARAMETER_VALUE, text)
     return None
 
 
@@ -112,7 +114,7 @@
     try:
         words = list(lexer)
     except ValueError as fault:
-        return {}, make_fatal(PROTOCOL_VIOLATION, f"malformed options: {fault}")
+        return {}, make_fatal_error(PROTOCOL_VIOLATION, f"malformed options: {fault}")
     settings: dict[str, str] = {}
     while words:
         word = words.pop(0)
@@ -134,4 +136,4 @@
 def _make_option_error(word: str) -> SqlError:
     """Return the error of a word that sets nothing."""
     text = f"invalid command-line argument for server process: {word[:80]}"
-    return make_fatal(PROTOCOL_VIOLATION, text)
+    return make_fatal_error(PROTOCOL_VIOLATION, text)
--- a/beryltrack/clock.py
+++ b/beryltrack/clock.py
@@ -10,7 +10,7 @@
 from twisted.internet.interfaces import IReactorCore
 
 
-def get_seconds(reactor: object) -> Callable[[], float]:
+def get_monotonic_clock(reactor: object) -> Callable[[], float]:
     """Return the function that tells the time of a node.
 
     Parameters
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_kit.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 
 from beryltrack.accounts.quota import QuotaDecider
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.connections.task import PoolTask
 from beryltrack.daemon import node_options as options
 from beryltrack.daemon.node_policies import NodePolicies
@@ -79,7 +79,7 @@
         self._traffic = traffic
         self._quota = quota
         self._directory = directory
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self.share_limit = 1
         self._is_fenced = is_fenced
         self._policies = policies
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -16,8 +16,7 @@
 from twisted.internet.task import deferLater
 from twisted.web.http import OK
 
-from beryltrack.awake_clock import Pause, get_awake_clock
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.daemon import node_options as options
 from beryltrack.daemon.caller_bounds import CallerBounds, RelayBounds
 from beryltrack.daemon.configuration import ConfigurationRead, ConfigurationTask
@@ -43,6 +42,7 @@
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.rejects import RejectLog
 from beryltrack.objects.snapshot import Snapshot, SnapshotServer, SnapshotTask
+from beryltrack.pause_aware_clock import Pause, get_pause_aware_clock
 from beryltrack.platform.boot import READY_PATH
 from beryltrack.platform.caller import LineCallerFactory
 from beryltrack.platform.protocol import LineProtocol
@@ -135,9 +135,9 @@
         self.metrics = PlainMetrics()
         self._reactor = reactor
         self._rng = rng
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         # The look at overdue requests takes its turns.
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._rejects = RejectLog()
         clients = make_store_clients(reactor, settings, rng, self._rejects)
         self._eras: EraTracker = clients.eras
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -12,7 +12,7 @@
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import QuotaDecider
 from beryltrack.accounts.task import RightsTask
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.findings import Finding
 from beryltrack.metrics.messages import Gauge, format_label
 from beryltrack.relay.directory import RelayDirectory
@@ -61,7 +61,7 @@
     ):
         self._book: AccountBook | None = None
         self._directory = directory
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self.quota = QuotaDecider(self._get_account, settings.tolerance)
         lending = LendingDecider(
             self._choose_owner, self._seconds(), settings.is_first_start
--- a/beryltrack/daemon/proxy.py
+++ b/beryltrack/daemon/proxy.py
@@ -8,10 +8,9 @@
 from twisted.internet.defer import TimeoutError, maybeDeferred
 from twisted.internet.task import LoopingCall
 
-from beryltrack.awake_clock import TURN_PERIOD, Pause, get_awake_clock
 from beryltrack.callers.factory import CallerFactory
 from beryltrack.callers.tls import make_tls_context
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.daemon.fleet import FleetTask
 from beryltrack.daemon.groups import GroupTable
 from beryltrack.daemon.health import build_health_site
@@ -24,6 +23,7 @@
 from beryltrack.metrics.messages import PoolUse
 from beryltrack.objects.client import PlatformClient
 from beryltrack.objects.registration import RegistrationTask
+from beryltrack.pause_aware_clock import TICK_PERIOD, Pause, get_pause_aware_clock
 from beryltrack.peers.counters import register_counters
 from beryltrack.requests.forward_course import ForwardToOwners
 from beryltrack.requests.forward_handler import ForwardHandler
@@ -76,7 +76,9 @@
             self.metrics,
             rng,
             PostgresProtocol(),
-            events=EventLog(settings.name, sys.stderr.write, get_seconds(reactor)),
+            events=EventLog(
+                settings.name, sys.stderr.write, get_monotonic_clock(reactor)
+            ),
         )
         handler = RequestTask(self.services, self._get_site, self.groups.get)
         self.fleet = FleetTask(
@@ -102,8 +104,8 @@
         self._registration: RegistrationTask | None = None
         self.metrics.set_pool_source(self._get_pool_use)
         self.groups.subscribe_started(self._count_failovers)
-        self._awake = get_awake_clock(reactor)
-        self._turning = LoopingCall(self._awake.note_turn)
+        self._awake = get_pause_aware_clock(reactor)
+        self._turning = LoopingCall(self._awake.record_tick)
         self._turning.clock = reactor
 
     @property
@@ -118,9 +120,9 @@
 
     def start(self) -> None:
         """Listen, and learn the settings."""
-        self._awake.begin()
+        self._awake.start_detection()
         self._awake.subscribe(self._report_pause)
-        self._turning.start(TURN_PERIOD)
+        self._turning.start(TICK_PERIOD)
         self.settings_task.subscribe(self._apply)
         self.settings_task.start()
         self.services.admission.start()
@@ -161,7 +163,7 @@
         if self._turning.running:
             self._turning.stop()
             self._awake.unsubscribe(self._report_pause)
-            self._awake.end()
+            self._awake.stop_detection()
         self.callers.abort()
         self.settings_task.stop()
         self.services.admission.stop()
--- a/beryltrack/daemon/store_clients.py
+++ b/beryltrack/daemon/store_clients.py
@@ -3,7 +3,7 @@
 import random
 from typing import NamedTuple
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.daemon import node_options as options
 from beryltrack.failover.authority import PromotionAuthority, StoreAuthority
 from beryltrack.failover.unfenced_authority import (
@@ -74,7 +74,7 @@
             reactor, url, rng, timeout, connect_timeout=connect_timeout, eras=eras
         )
 
-    eras = EraTracker(get_seconds(reactor))
+    eras = EraTracker(get_monotonic_clock(reactor))
     http = make_client(settings.store, eras=eras)
     store = PlatformStore(http, rejects)
     if settings.is_fenced:
@@ -88,7 +88,7 @@
         )
         process = f"{rng.getrandbits(64):016x}"
         authority = UnfencedAuthority(
-            permits, settings.name, process, get_seconds(reactor), eras
+            permits, settings.name, process, get_monotonic_clock(reactor), eras
         )
     return StoreClients(
         store,
--- a/beryltrack/errors.py
+++ b/beryltrack/errors.py
@@ -17,7 +17,7 @@
 PROTOCOL_VIOLATION = "08P01"
 FEATURE_NOT_SUPPORTED = "0A000"
 INVALID_PARAMETER_VALUE = "22023"
-IDLE_IN_TRANSACTION = "25P03"
+IDLE_IN_TRANSACTION_SESSION_TIMEOUT = "25P03"
 INVALID_SQL_STATEMENT_NAME = "26000"
 INVALID_AUTHORIZATION = "28000"
 INVALID_PASSWORD = "28P01"
@@ -26,14 +26,14 @@
 TOO_MANY_CONNECTIONS = "53300"
 CONFIGURATION_LIMIT_EXCEEDED = "53400"
 PROGRAM_LIMIT_EXCEEDED = "54000"
-POSITION_NOT_SHOWN = "55000"
+OBJECT_NOT_IN_PREREQUISITE_STATE = "55000"
 QUERY_CANCELED = "57014"
 ADMIN_SHUTDOWN = "57P01"
 CANNOT_CONNECT_NOW = "57P03"
 SYSTEM_ERROR = "58000"
 INTERNAL_ERROR = "XX000"
 
-NOT_RUN_STATES = frozenset(
+NOT_RUN_SQLSTATES = frozenset(
     {CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS, CONFIGURATION_LIMIT_EXCEEDED}
 )
 
@@ -82,7 +82,7 @@
         self.error = error
 
 
-def make_not_run(message: str, sqlstate: str = CANNOT_CONNECT_NOW) -> SqlError:
+def make_not_run_error(message: str, sqlstate: str = CANNOT_CONNECT_NOW) -> SqlError:
     """Return the error of a request that was not run and never will be."""
     return SqlError(sqlstate, message, detail="The request was not run.")
 
@@ -108,7 +108,7 @@
     """
     hint = f"Try again in {retry_after:.2f} seconds."
     told = round(retry_after, 2)
-    return make_not_run(message, sqlstate)._replace(hint=hint, retry_after=told)
+    return make_not_run_error(message, sqlstate)._replace(hint=hint, retry_after=told)
 
 
 def split_refusal(text: str) -> tuple[str, str, float]:
@@ -127,14 +127,14 @@
     return message, hint, float(seconds)
 
 
-def make_rolled_back(message: str) -> SqlError:
+def make_rolled_back_error(message: str) -> SqlError:
     """Return the error of a transaction that was rolled back as a whole."""
     return SqlError(
         SERIALIZATION_FAILURE, message, detail="The transaction was rolled back."
     )
 
 
-def make_outcome_unknown(message: str) -> SqlError:
+def make_outcome_unknown_error(message: str) -> SqlError:
     """Return the error of a request that may or may not have taken effect."""
     return SqlError(
         TRANSACTION_RESOLUTION_UNKNOWN,
@@ -144,18 +144,18 @@
     )
 
 
-def make_unsupported(message: str, hint: str = "") -> SqlError:
+def make_unsupported_error(message: str, hint: str = "") -> SqlError:
     """Return the error of a feature that the proxy does not offer."""
     return SqlError(FEATURE_NOT_SUPPORTED, message, hint=hint)
 
 
-def make_malformed_setting(name: str, text: str) -> SqlError:
+def make_malformed_setting_error(name: str, text: str) -> SqlError:
     """Return the error of a session setting whose value cannot be used."""
     return SqlError(
         INVALID_PARAMETER_VALUE, f'invalid value for parameter "{name}"', detail=text
     )
 
 
-def make_fatal(sqlstate: str, message: str, detail: str = "") -> SqlError:
+def make_fatal_error(sqlstate: str, message: str, detail: str = "") -> SqlError:
     """Return an error after which the connection is closed."""
     return SqlError(sqlstate, message, detail, severity=FATAL)
--- a/beryltrack/failover/task.py
+++ b/beryltrack/failover/task.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure as DefectFailure
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.failover.authority import PromotionAuthority
 from beryltrack.failover.decider import (
     DEFAULT_POLICY,
@@ -125,7 +125,7 @@
         self._unanswered = False
         self._has_stopped = False
         self._was_due = False
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._group = group_settings.name
         self._databases = tuple(item.name for item in group_settings.databases)
         self._adapter = adapter
--- a/beryltrack/groups/confirmations.py
+++ b/beryltrack/groups/confirmations.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.groups.messages import PRIMARY
 from beryltrack.groups.poll_schedule import WITNESS_TIMEOUT, get_witnesses
 from beryltrack.groups.view import GroupView
@@ -51,7 +51,7 @@
 
     def __init__(self, reactor, owner: ConfirmationOwner):
         self._reactor = reactor
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._owner = owner
         self._waiting = ProofWaiters()
         self._look_call: IDelayedCall | None = None
--- a/beryltrack/groups/control_calls.py
+++ b/beryltrack/groups/control_calls.py
@@ -12,9 +12,9 @@
 from twisted.internet.defer import Deferred, DeferredLock, TimeoutError
 from twisted.internet.interfaces import IDelayedCall
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.connections.messages import TargetLost
 from beryltrack.groups.adapter import ControlLimits
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.relay.ways import RelayedConnection
 from beryltrack.settings.messages import DatabaseSettings
 from beryltrack.wire.messages import ResponseEnd
@@ -84,7 +84,7 @@
         self._idle_time = idle_time
         self._closing: dict[str, IDelayedCall] = {}
         self._reactor = reactor
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._open = connect
         self._limits = limits
         self._observe_silence = observe_silence
--- a/beryltrack/groups/control_connection.py
+++ b/beryltrack/groups/control_connection.py
@@ -35,9 +35,9 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from beryltrack.awake_clock import get_awake_clock
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.groups.messages import ControlFailure
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.settings.messages import Endpoint
 
 log = logging.getLogger(__name__)
@@ -201,8 +201,8 @@
         rng: Random,
     ):
         self._reactor = reactor
-        self._seconds = get_seconds(reactor)
-        self._awake = get_awake_clock(reactor)
+        self._seconds = get_monotonic_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._name = name
         self._endpoint = endpoint
         self._credentials = credentials
--- a/beryltrack/groups/task.py
+++ b/beryltrack/groups/task.py
@@ -13,8 +13,7 @@
 from returns.result import Failure, Success
 from twisted.internet.defer import Deferred
 
-from beryltrack.awake_clock import Pause, get_awake_clock
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.failover.authority import PromotionAuthority
 from beryltrack.failover.decider import DEFAULT_POLICY, FailoverPolicy
 from beryltrack.failover.detector import FixedDetector, LossDetector
@@ -48,6 +47,7 @@
 from beryltrack.groups.waiters import ViewWaiters
 from beryltrack.groups.watch import StatusResult, WatchWait
 from beryltrack.groups.watches import GroupWatches
+from beryltrack.pause_aware_clock import Pause, get_pause_aware_clock
 from beryltrack.settings.messages import GroupSettings
 from beryltrack.transactions.waits import CommitWaits
 
@@ -107,7 +107,7 @@
         draining = get_draining(group_settings)
         self._reactor = reactor
         self._adapter = adapter
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._policy = policy or make_probe_policy(group_settings.lost_after)
         self._detector = detector or FixedDetector(group_settings.lost_after)
         self._decider = GroupDecider(group_settings.name, names, draining, proof)
@@ -132,7 +132,7 @@
         self._failover_subscribers: list[Callable[[FailoverReport], None]] = []
         self._running = False
         self._pace = PollSchedule(self._policy)
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._reported = self._decider.view
 
     @property
@@ -494,7 +494,7 @@
 
     def take_result(self, database: str, result: StatusResult, sent_at: float) -> None:
         """Take in the result of a request to a database."""
-        self._awake.note_turn()
+        self._awake.record_tick()
         if isinstance(result, Success):
             self.take_status(result.unwrap(), sent_at)
             if self._pace.turns_to_all(self._seconds()):
@@ -571,8 +571,8 @@
         the other the first alone forgives what was before, or they would hide the
         loss of a primary for good.
         """
-        if pause.ran_before >= FORGIVING_TIME:
-            self._decider.observe_primary_heard(pause.woke_at)
+        if pause.ran_for >= FORGIVING_TIME:
+            self._decider.observe_primary_heard(pause.resumed_at)
         else:
             self._decider.observe_pause(pause.length)
 
--- a/beryltrack/objects/feed.py
+++ b/beryltrack/objects/feed.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.internet.task import deferLater
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.objects.backoff import compute_delay
 from beryltrack.objects.eras import format_version, get_era
 from beryltrack.objects.messages import (
@@ -115,7 +115,7 @@
         gap: float = 0.0,
     ):
         self._reactor = reactor
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._source = source
         self._kind = kind
         self._callback = callback
--- a/beryltrack/objects/follow.py
+++ b/beryltrack/objects/follow.py
@@ -15,10 +15,10 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
 from twisted.internet.task import LoopingCall
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.objects.copies import CopyFrame, CopyReceiver
 from beryltrack.objects.feed import MOST_DELAY, FeedTask
 from beryltrack.objects.watchers import is_watcher, list_seeds, order_sources
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.messages import Endpoint
 
@@ -88,7 +88,7 @@
     ):
         self._reactor = reactor
         # What is heard of others is all that is timed here.
-        self._seconds = get_awake_clock(reactor).seconds
+        self._seconds = get_pause_aware_clock(reactor).seconds
         self._first = feeds[0]
         self._feeds = {feed.kind: feed for feed in feeds}
         self._own = own
--- a/beryltrack/awake_clock.py
+++ b/beryltrack/pause_aware_clock.py
@@ -17,9 +17,9 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 
-TURN_PERIOD = 0.1
+TICK_PERIOD = 0.1
 """Most seconds between two turns of a process that runs; of a pause, as much counts as
 time in which it ran, so that pauses one after the other hide no silence for good."""
 
@@ -28,11 +28,11 @@
 of garbage or a quota of the processor stops it, and no longer than the shortest silence
 that counts as a loss."""
 
-WAKE_TIME = 0.1
+RESUME_GRACE = 0.1
 """Seconds after a pause for which nothing counts as silent: what has come meanwhile is
 read first."""
 
-MOST_PAUSES = 64
+MAX_PAUSES = 64
 """Pauses that are remembered; what is measured began after the oldest of them."""
 
 
@@ -41,23 +41,23 @@
 
     Parameters
     ----------
-    woke_at : float
+    resumed_at : float
         When it was noticed, by the node's time in seconds.
     length : float
         Seconds that do not count as time in which the process ran.
-    ran_before : float
+    ran_for : float
         Seconds for which it ran since the pause before.
     """
 
-    woke_at: float
+    resumed_at: float
     length: float
-    ran_before: float
+    ran_for: float
 
 
 PauseCallback = Callable[[Pause], None]
 
 
-class AwakeCall:
+class PauseAwareCall:
     """A call that is due once the process has run for some time.
 
     It can be cancelled like an `IDelayedCall`, but not moved.
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        clock: "AwakeClock",
+        clock: "PauseAwareClock",
         reactor: IReactorTime,
         delay: float,
         function: Callable[[], object],
@@ -102,7 +102,7 @@
         if left <= 0.0 and self._clock.pause_count > self._pauses:
             # Only once, so that pauses one after the other do not put it off for good.
             self._pauses = math.inf
-            left = WAKE_TIME if self._clock.is_waking else 0.0
+            left = RESUME_GRACE if self._clock.is_resuming else 0.0
         if left > 0.0:
             self._call = self._reactor.callLater(left, self._fire)
         else:
@@ -110,11 +110,11 @@
             self._function()
 
 
-class AwakeClock:
+class PauseAwareClock:
     """Measures for how long this process ran.
 
-    It counts each second until `begin` is called. Whoever calls that has to call
-    `note_turn` at least once each `TURN_PERIOD`.
+    It counts each second until `start_detection` is called. Its caller has to call
+    `record_tick` at least once each `TICK_PERIOD`.
 
     Parameters
     ----------
@@ -129,28 +129,28 @@
 
     def __init__(self, reactor: IReactorTime):
         self._reactor = reactor
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self.pause_count = 0
         self._users = 0
         self._turn_at: float | None = None
         self._slept = 0.0
-        self._pauses: deque[Pause] = deque(maxlen=MOST_PAUSES)
+        self._pauses: deque[Pause] = deque(maxlen=MAX_PAUSES)
         self._callbacks: list[PauseCallback] = []
 
     @property
-    def is_waking(self) -> bool:
-        """True if a pause was over less than `WAKE_TIME` ago."""
-        self.note_turn()
+    def is_resuming(self) -> bool:
+        """True if a pause was over less than `RESUME_GRACE` ago."""
+        self.record_tick()
         is_known = bool(self._pauses)
-        return is_known and self._seconds() - self._pauses[-1].woke_at < WAKE_TIME
+        return is_known and self._seconds() - self._pauses[-1].resumed_at < RESUME_GRACE
 
-    def begin(self) -> None:
-        """Notice pauses until `end` has been called as often."""
+    def start_detection(self) -> None:
+        """Notice pauses until `stop_detection` has been called as often."""
         self._users += 1
         if self._turn_at is None:
             self._turn_at = self._seconds()
 
-    def end(self) -> None:
+    def stop_detection(self) -> None:
         """Notice no pauses for the sake of one who began."""
         self._users -= 1
         if not self._users:
@@ -164,15 +164,15 @@
         """Call back no more."""
         self._callbacks.remove(callback)
 
-    def note_turn(self) -> None:
+    def record_tick(self) -> None:
         """Take in that the process runs."""
         if self._turn_at is None:
             return
         now = self._seconds()
         gap, self._turn_at = now - self._turn_at, now
         if gap > PAUSE_LIMIT:
-            before = self._pauses[-1].woke_at if self._pauses else -math.inf
-            pause = Pause(now, gap - TURN_PERIOD, now - gap - before)
+            before = self._pauses[-1].resumed_at if self._pauses else -math.inf
+            pause = Pause(now, gap - TICK_PERIOD, now - gap - before)
             self.pause_count += 1
             self._slept += pause.length
             self._pauses.append(pause)
@@ -181,32 +181,32 @@
 
     def seconds(self) -> float:
         """Return the time, without all pauses."""
-        self.note_turn()
+        self.record_tick()
         return self._seconds() - self._slept
 
-    def get_slept(self, since: float) -> float:
+    def get_paused_time(self, since: float) -> float:
         """Return for how long the process was paused after a time of the node."""
-        self.note_turn()
-        return sum(each.length for each in self._pauses if each.woke_at > since)
+        self.record_tick()
+        return sum(each.length for each in self._pauses if each.resumed_at > since)
 
     def callLater(  # noqa: N802
         self, delay: float, function: Callable, *arguments, **options
-    ) -> AwakeCall:
+    ) -> PauseAwareCall:
         """Call a function once the process has run for `delay` seconds."""
 
         def call() -> None:
             function(*arguments, **options)
 
-        return AwakeCall(self, self._reactor, delay, call)
+        return PauseAwareCall(self, self._reactor, delay, call)
 
 
 # By the reactor's identity, which a clock that is in use keeps from being given again.
-_clocks: WeakValueDictionary[int, AwakeClock] = WeakValueDictionary()
+_clocks: WeakValueDictionary[int, PauseAwareClock] = WeakValueDictionary()
 
 
-def get_awake_clock(reactor: IReactorTime) -> AwakeClock:
+def get_pause_aware_clock(reactor: IReactorTime) -> PauseAwareClock:
     """Return the one clock of a reactor that leaves out the pauses of its process."""
     clock = _clocks.get(id(reactor))
     if clock is None:
-        clock = _clocks[id(reactor)] = AwakeClock(reactor)
+        clock = _clocks[id(reactor)] = PauseAwareClock(reactor)
     return clock
--- a/beryltrack/peers/forwarder.py
+++ b/beryltrack/peers/forwarder.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import CancelledError, Deferred, succeed
 from twisted.internet.task import LoopingCall
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.peers.forward_entry import ForwardDecider
 from beryltrack.peers.forward_messages import (
     BreakForwardLink,
@@ -152,7 +152,7 @@
         handler: ForwardHandler,
         get_owners: Callable[[str], tuple[str, ...]],
     ):
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._peers = peers
         self._handler = handler
         self._get_owners = get_owners
--- a/beryltrack/peers/task.py
+++ b/beryltrack/peers/task.py
@@ -13,7 +13,7 @@
 from twisted.internet.interfaces import IReactorTCP, IReactorTime
 from twisted.internet.task import LoopingCall
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.findings import format_finding
 from beryltrack.peers.actions import (
     Action,
@@ -71,7 +71,7 @@
     ):
         self.counters = LinkCounters()
         self._reactor = reactor
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._settings = instance_settings
         self._rng = rng
         endpoint = instance_settings.peer_listen
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.connections.exclusive import ExclusiveConnection
 from beryltrack.connections.messages import ConnectRefused
 from beryltrack.connections.opening import open_within
@@ -177,5 +177,5 @@
     """
     words = (service, account or PROXY_NAME, database)
     start = "START {} {} {}\r\n".format(*words).encode()
-    target = LineTarget(start, limits, get_seconds(reactor), account)
+    target = LineTarget(start, limits, get_monotonic_clock(reactor), account)
     return open_within(reactor, endpoint, target, timeout, reach_timeout)
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -17,7 +17,7 @@
 from beryltrack.connections.messages import PooledConnection, PoolRefused
 from beryltrack.errors import (
     CANNOT_CONNECT_NOW,
-    POSITION_NOT_SHOWN,
+    OBJECT_NOT_IN_PREREQUISITE_STATE,
     SqlError,
     make_refusal,
 )
@@ -33,7 +33,9 @@
 
 log = logging.getLogger(__name__)
 
-BEHIND = SqlError(POSITION_NOT_SHOWN, "the replica has just refused the position")
+BEHIND = SqlError(
+    OBJECT_NOT_IN_PREREQUISITE_STATE, "the replica has just refused the position"
+)
 """Of a statement that asks for a position which its replica lacked a moment ago."""
 ANSWER_TIME = 0.05
 """Seconds of an operation's time that are left for a refusal to arrive: two ways of
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -12,7 +12,7 @@
 
 from beryltrack.accounts.lending import Offer
 from beryltrack.accounts.link import RightsLender
-from beryltrack.awake_clock import get_awake_clock
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.settings.messages import Endpoint
 
@@ -50,7 +50,7 @@
     ):
         self._probes = probes
         self._reactor = reactor
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._name = name
         self._directory = directory
         self._running: set[str] = set()
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.internet.task import LoopingCall
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.errors import SqlError, make_refusal
 from beryltrack.requests.admission import (
     AdmissionDecider,
@@ -113,7 +113,7 @@
     """
 
     def __init__(self, reactor, policy: AdmissionPolicy | None = None):
-        self._seconds = get_seconds(reactor)
+        self._seconds = get_monotonic_clock(reactor)
         self._decider = AdmissionDecider(policy or AdmissionPolicy())
         self._numbers = count(1)
         self._tickets: dict[int, Ticket] = {}
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -5,12 +5,12 @@
 
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.errors import (
-    NOT_RUN_STATES,
+    NOT_RUN_SQLSTATES,
     SERIALIZATION_FAILURE,
     TRANSACTION_RESOLUTION_UNKNOWN,
     SqlError,
-    make_outcome_unknown,
-    make_rolled_back,
+    make_outcome_unknown_error,
+    make_rolled_back_error,
 )
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
 from beryltrack.groups.messages import LogPosition
@@ -53,7 +53,7 @@
 _OUTCOMES = {
     SERIALIZATION_FAILURE: RequestOutcome.ROLLED_BACK,
     TRANSACTION_RESOLUTION_UNKNOWN: RequestOutcome.UNKNOWN,
-} | dict.fromkeys(NOT_RUN_STATES, RequestOutcome.NOT_RUN)
+} | dict.fromkeys(NOT_RUN_SQLSTATES, RequestOutcome.NOT_RUN)
 
 
 class RequestContext(NamedTuple):
@@ -309,5 +309,5 @@
 def make_step_error(step: NextStep, reason: str) -> SqlError:
     """Return the error that tells a caller what became of its request."""
     if step is NextStep.ROLLED_BACK:
-        return make_rolled_back(reason)
-    return make_outcome_unknown(reason)
+        return make_rolled_back_error(reason)
+    return make_outcome_unknown_error(reason)
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/course.py
@@ -10,7 +10,7 @@
     TOO_MANY_CONNECTIONS,
     SqlError,
     make_refusal,
-    make_rolled_back,
+    make_rolled_back_error,
 )
 from beryltrack.events.messages import RequestStep
 from beryltrack.metrics.messages import TargetKind
@@ -351,7 +351,9 @@
         Only a run without effect is followed by another, so a unit that has run
         before was rolled back, and "not run" would be untrue.
         """
-        return make_rolled_back(refusal.message) if self._may_have_run else refusal
+        return (
+            make_rolled_back_error(refusal.message) if self._may_have_run else refusal
+        )
 
     def _fail(self, error: SqlError) -> None:
         """Answer with an error; no transaction is open."""
--- a/beryltrack/requests/forward_course.py
+++ b/beryltrack/requests/forward_course.py
@@ -6,7 +6,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from beryltrack.errors import QUERY_CANCELED, SqlError, make_refusal, make_rolled_back
+from beryltrack.errors import (
+    QUERY_CANCELED,
+    SqlError,
+    make_refusal,
+    make_rolled_back_error,
+)
 from beryltrack.findings import format_finding
 from beryltrack.peers.forward_messages import ForwardOutcome, ForwardResult
 from beryltrack.requests.answers import RequestContext, make_step_error, send_failure
@@ -216,6 +221,6 @@
         """Answer with an error."""
         self._sink.take_held()
         if self._is_cancelled and self._context.plan.is_read:
-            error = make_rolled_back("canceled on the client's request")
+            error = make_rolled_back_error("canceled on the client's request")
             error = error._replace(sqlstate=QUERY_CANCELED)
         send_failure(self._context, error, TransactionStatus.IDLE)
--- a/beryltrack/requests/losses.py
+++ b/beryltrack/requests/losses.py
@@ -14,12 +14,12 @@
 
 from twisted.internet.interfaces import IDelayedCall
 
-from beryltrack.awake_clock import get_awake_clock
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.connections.task import PoolTask
 from beryltrack.groups.messages import PRIMARY
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import NEVER, DatabaseView, GroupView
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
     view: GroupView,
     now: float,
     policy: LossPolicy = DEFAULT_POLICY,
-    get_slept: Callable[[float], float] = never_slept,
+    get_paused_time: Callable[[float], float] = never_slept,
 ) -> tuple[str, ...]:
     """Return the names of the databases whose connections are beyond hope.
 
@@ -65,7 +65,7 @@
         The node's time, seconds.
     policy : LossPolicy
         Silences after which requests are given up.
-    get_slept : callable
+    get_paused_time : callable
         Returns for how long this process was paused after a time, seconds.
 
     Returns
@@ -76,7 +76,7 @@
     return tuple(
         item.name
         for item in view.databases
-        if _is_lost(item, view, now, policy, get_slept)
+        if _is_lost(item, view, now, policy, get_paused_time)
     )
 
 
@@ -85,7 +85,7 @@
     view: GroupView,
     now: float,
     policy: LossPolicy,
-    get_slept: Callable[[float], float],
+    get_paused_time: Callable[[float], float],
 ) -> bool:
     if item.seen_at == NEVER:
         # It was not asked yet, so that its silence says nothing.
@@ -94,7 +94,9 @@
     if item.role == PRIMARY and view.primary not in ("", item.name):
         # Its successor is at work, whether this process slept or not.
         return not item.reachable or silence >= policy.replaced_grace
-    return not item.reachable and silence - get_slept(item.seen_at) >= policy.grace
+    return (
+        not item.reachable and silence - get_paused_time(item.seen_at) >= policy.grace
+    )
 
 
 class LossWatch:
@@ -121,8 +123,8 @@
     ):
         self._reactor = reactor
         self._policy = policy
-        self._seconds = get_seconds(reactor)
-        self._awake = get_awake_clock(reactor)
+        self._seconds = get_monotonic_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._task = task
         self._pools = pools
         self._timer: IDelayedCall | None = None
@@ -130,7 +132,9 @@
 
     def observe_view(self, view: GroupView) -> None:
         """Close what is beyond hope, and look again while a database is silent."""
-        lost = get_lost(view, self._seconds(), self._policy, self._awake.get_slept)
+        lost = get_lost(
+            view, self._seconds(), self._policy, self._awake.get_paused_time
+        )
         for name in self._pools.keys() & lost:
             if self._pools[name].load.open:
                 log.info("requests: Database %s is lost, its requests end.", name)
--- a/beryltrack/requests/marked.py
+++ b/beryltrack/requests/marked.py
@@ -16,9 +16,9 @@
 from beryltrack.errors import (
     INVALID_PARAMETER_VALUE,
     SqlError,
-    make_outcome_unknown,
+    make_outcome_unknown_error,
     make_refusal,
-    make_rolled_back,
+    make_rolled_back_error,
 )
 from beryltrack.metrics.messages import TargetKind
 from beryltrack.requests import ledger
@@ -93,7 +93,9 @@
         # The refusal is true of this sending; earlier ones of the same identifier
         # may have come through other proxies.
         refusal = refusal._replace(detail=NOT_RUN_NOW)
-        error = make_outcome_unknown(UNKNOWN_TEXT) if self._may_have_run else refusal
+        error = (
+            make_outcome_unknown_error(UNKNOWN_TEXT) if self._may_have_run else refusal
+        )
         send_failure(self._context, error, TransactionStatus.IDLE)
 
     async def _attempt(self, target: FoundTarget) -> bool:
@@ -202,7 +204,7 @@
     def _drop_answer(self, sink: AnswerSink) -> bool:
         """Forget an answer that did not last; return True if that is final."""
         if sink.is_answered:
-            self._give_up(make_rolled_back("the primary was replaced"))
+            self._give_up(make_rolled_back_error("the primary was replaced"))
             return True
         sink.take_held()
         return False
@@ -315,7 +317,9 @@
         if context.services.seconds() >= context.deadline:
             break
         await deferLater(context.services.reactor, PAUSE, lambda: None)
-    send_failure(context, make_outcome_unknown(UNKNOWN_TEXT), TransactionStatus.IDLE)
+    send_failure(
+        context, make_outcome_unknown_error(UNKNOWN_TEXT), TransactionStatus.IDLE
+    )
 
 
 def _answer_resolved(context: RequestContext, has_committed: bool) -> None:
@@ -326,7 +330,7 @@
         send_answer(context, sink, tail, TransactionStatus.IDLE, True)
         count_request(context, TargetKind.PRIMARY)
         return
-    error = make_rolled_back("the transaction did not commit")
+    error = make_rolled_back_error("the transaction did not commit")
     send_failure(context, error, TransactionStatus.IDLE)
 
 
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -10,12 +10,12 @@
 
 from twisted.internet.task import LoopingCall
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.connections.messages import PooledConnection
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.requests.runtime import GroupRuntime
 
 LOOK_PERIOD = 0.05
-"""Seconds between two looks; each is a turn of the process, see `AwakeClock`."""
+"""Seconds between two looks; each is a turn of the process, see `PauseAwareClock`."""
 
 LATE_AFTER = 0.12
 """Seconds after which a request is late: longer than nearly all statements run."""
@@ -53,7 +53,7 @@
         is_silent: Callable[[PooledConnection], bool] = lambda connection: False,
         late_after: float = LATE_AFTER,
     ):
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._seconds = seconds
         self._get_runtimes = get_runtimes
         self._give_up = give_up
@@ -64,14 +64,14 @@
 
     def start(self) -> None:
         """Begin to look."""
-        self._awake.begin()
+        self._awake.start_detection()
         self._looking.start(LOOK_PERIOD, now=False)
 
     def stop(self) -> None:
         """Look no more."""
         if self._looking.running:
             self._looking.stop()
-            self._awake.end()
+            self._awake.stop_detection()
 
     def look(self) -> None:
         """Look at all requests that run.
@@ -79,7 +79,7 @@
         Right after a pause of this process nothing is late: what was answered
         meanwhile has yet to be read.
         """
-        if self._awake.is_waking:
+        if self._awake.is_resuming:
             return
         for runtime in self._get_runtimes():
             for name, pool in runtime.pools.items():
@@ -91,7 +91,7 @@
     ) -> None:
         """Give up what is far too late; what is late makes its database suspect."""
         since = connection.run_since
-        ran = self._seconds() - since - self._awake.get_slept(since)
+        ran = self._seconds() - since - self._awake.get_paused_time(since)
         is_over = ran > connection.run_until - since
         if is_over or (ran > SILENT_AFTER and self._is_silent(connection)):
             self._give_up(connection)
--- a/beryltrack/requests/plan.py
+++ b/beryltrack/requests/plan.py
@@ -21,7 +21,7 @@
 from beryltrack.errors import (
     INVALID_PARAMETER_VALUE,
     SqlError,
-    make_unsupported,
+    make_unsupported_error,
 )
 from beryltrack.findings import Finding, format_finding
 from beryltrack.requests.ledger import compute_fingerprint
@@ -130,7 +130,7 @@
         kind = StatementKind.DISCARD
     if kind is StatementKind.UNSUPPORTED:
         hint = "Connections to targets are shared between callers."
-        return Failure(make_unsupported("this statement is not supported", hint))
+        return Failure(make_unsupported_error("this statement is not supported", hint))
     marks, findings = get_marks(caller.settings, text, group, rules, caller.user)
     if findings:
         return Failure(make_marks_error(findings))
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import NamedTuple, Protocol
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.events.messages import RequestEvents, SilentEvents
 from beryltrack.metrics.messages import RequestMetrics
 from beryltrack.requests.admission import AdmissionPolicy
@@ -144,7 +144,7 @@
     """
     return RequestServices(
         reactor,
-        get_seconds(reactor),
+        get_monotonic_clock(reactor),
         zone,
         metrics,
         AdmissionTask(reactor, admission),
--- a/beryltrack/requests/session_state.py
+++ b/beryltrack/requests/session_state.py
@@ -9,7 +9,7 @@
 from beryltrack.callers.caller import Caller
 from beryltrack.callers.local import LocalResult
 from beryltrack.callers.statements import is_session_reset, run_deallocate
-from beryltrack.errors import SqlError, make_malformed_setting
+from beryltrack.errors import SqlError, make_malformed_setting_error
 from beryltrack.findings import Finding, format_finding
 from beryltrack.requests.plan import RequestPlan
 from beryltrack.requests.session import CallerSession
@@ -51,7 +51,7 @@
     ]
     if findings:
         text = "; ".join(format_finding(finding) for finding in findings)
-        return make_malformed_setting(findings[0].source, text)
+        return make_malformed_setting_error(findings[0].source, text)
     if SESSION_SETTING in caller.settings:
         token, _ = parse_token(caller.settings[SESSION_SETTING])
         caller.session.set_token(token)
@@ -145,7 +145,7 @@
         value, findings = check(change.value)
         if findings:
             text = "; ".join(format_finding(finding) for finding in findings)
-            return Failure(make_malformed_setting(change.name, text))
+            return Failure(make_malformed_setting_error(change.name, text))
         if change.name == SESSION_SETTING:
             caller.session.set_token(value)
     caller.settings[change.name] = change.value
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -5,7 +5,7 @@
 from returns.result import Failure
 from twisted.internet.defer import Deferred
 
-from beryltrack.errors import SqlError, make_not_run
+from beryltrack.errors import SqlError, make_not_run_error
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
 from beryltrack.metrics.messages import RequestEnd
 from beryltrack.requests.admission_task import UNCOUNTED, Ticket
@@ -18,7 +18,7 @@
 from beryltrack.sessions.rules import RuleSelector
 from beryltrack.settings.messages import SiteSettings
 
-GONE = make_not_run("the caller is gone")
+GONE = make_not_run_error("the caller is gone")
 
 SESSION = "session"
 STATEMENT = "statement"
--- a/beryltrack/transactions/waits.py
+++ b/beryltrack/transactions/waits.py
@@ -5,9 +5,9 @@
 
 from twisted.internet.defer import Deferred
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.groups.messages import DatabaseStatus, LogPosition
 from beryltrack.groups.waiters import make_timed_deferred
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
 
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, reactor, size: int):
-        self._awake = get_awake_clock(reactor)
+        self._awake = get_pause_aware_clock(reactor)
         self._decider = ConfirmDecider(size)
         self._keys = itertools.count()
         self._waiting: dict[int, Deferred] = {}
--- a/tests/callers/glue.py
+++ b/tests/callers/glue.py
@@ -13,7 +13,7 @@
 from beryltrack.callers.statements import run_deallocate
 from beryltrack.connections.messages import TargetLost
 from beryltrack.connections.target import connect_target
-from beryltrack.errors import SqlError, make_outcome_unknown
+from beryltrack.errors import SqlError, make_outcome_unknown_error
 from beryltrack.settings.messages import (
     Endpoint,
     GroupSettings,
@@ -64,7 +64,7 @@
         try:
             end = await self.run_on(target, unit, caller)
         except TargetLost as lost:
-            caller.send_error(make_outcome_unknown(lost.reason))
+            caller.send_error(make_outcome_unknown_error(lost.reason))
             caller.send_ready(TransactionStatus.IDLE)
             return
         self.ends.append(end)
--- a/tests/groups/test_control_calls.py
+++ b/tests/groups/test_control_calls.py
@@ -3,9 +3,9 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.groups.adapter import ControlLimits
 from beryltrack.groups.control_calls import ControlCalls
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 from beryltrack.wire.messages import ResponseEnd, TransactionStatus
 
@@ -129,8 +129,8 @@
 def test_an_answer_that_came_during_a_pause_is_no_silence():
     """Guards against healthy connections that are closed as the process wakes."""
     site = Site(spare=True, is_silent=True)
-    awake = get_awake_clock(site.clock)
-    awake.begin()
+    awake = get_pause_aware_clock(site.clock)
+    awake.start_detection()
     connection = site.pool.free
     calling = site.call()
     site.clock.advance(3.0)
@@ -143,13 +143,13 @@
 def test_a_connection_that_is_silent_after_a_pause_is_given_up_in_its_time():
     """Guards against a pause that hides a silent connection."""
     site = Site(spare=True, is_silent=True)
-    awake = get_awake_clock(site.clock)
-    awake.begin()
+    awake = get_pause_aware_clock(site.clock)
+    awake.start_detection()
     calling = site.call()
     site.clock.advance(3.0)
     for _ in range(4):
         site.clock.advance(0.1)
-        awake.note_turn()
+        awake.record_tick()
     # A new connection has answered in place of the silent one.
     assert calling.result.end is END
     assert site.pool.returned == [False] and len(site.opened) == 1
--- a/tests/groups/test_plain.py
+++ b/tests/groups/test_plain.py
@@ -6,7 +6,6 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.groups.adapter import PromoteReply
 from beryltrack.groups.messages import (
     PRIMARY,
@@ -20,6 +19,7 @@
 from beryltrack.groups.poll_schedule import get_witness
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import get_database
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
 from beryltrack.transactions.decider import CommitOutcome
 
@@ -112,7 +112,7 @@
     clock = Clock()
     databases = PlainDatabases(clock)
     task = GroupTask(clock, make_group(), databases, "node", random.Random(1), POLICY)
-    get_awake_clock(clock).begin()
+    get_pause_aware_clock(clock).start_detection()
     task.start()
     run(clock, task, 1.0)
     return clock, databases, task
@@ -121,7 +121,7 @@
 def run(clock, task, seconds):
     """Let time pass, with the turns by which a pause of the process is noticed."""
     for _ in range(round(seconds / 0.01)):
-        get_awake_clock(clock).note_turn()
+        get_pause_aware_clock(clock).record_tick()
         clock.advance(0.01)
 
 
--- a/tests/objects/test_shared_copies.py
+++ b/tests/objects/test_shared_copies.py
@@ -15,7 +15,6 @@
 from twisted.internet.task import Clock, deferLater
 from twisted.python.failure import Failure as Reason
 
-from beryltrack.awake_clock import get_awake_clock
 from beryltrack.objects.copies import (
     CopyFrame,
     CopyPublisher,
@@ -32,6 +31,7 @@
     PlatformObject,
 )
 from beryltrack.objects.watchers import WATCHERS_PER_ZONE, choose_watchers
+from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.messages import Endpoint
 
@@ -402,8 +402,8 @@
 def test_a_pause_makes_no_instance_leave_the_one_that_it_follows():
     """Guards against followers that all ask the store as they wake."""
     fleet = Fleet(20)
-    awake = get_awake_clock(fleet.clock)
-    awake.begin()
+    awake = get_pause_aware_clock(fleet.clock)
+    awake.start_detection()
     before = get_sources(fleet)
     fleet.clock.advance(3.0)
     assert any(before.values()) and get_sources(fleet) == before
@@ -412,15 +412,15 @@
 def test_an_instance_that_falls_silent_during_a_pause_is_left_after_it():
     """Guards against a pause that hides the loss of the one that is followed."""
     fleet = Fleet(20)
-    awake = get_awake_clock(fleet.clock)
-    awake.begin()
+    awake = get_pause_aware_clock(fleet.clock)
+    awake.start_detection()
     before = get_sources(fleet)
     lost = next(filter(None, before.values()))
     fleet.cut.add(lost)
     fleet.clock.advance(3.0)
     for _ in range(round(2.0 / STEP)):
         fleet.run(STEP)
-        awake.note_turn()
+        awake.record_tick()
     sources = get_sources(fleet)
     followers = [name for name, source in before.items() if source == lost]
     assert followers and lost not in {sources[name] for name in followers}
--- a/tests/peers/test_forwarder.py
+++ b/tests/peers/test_forwarder.py
@@ -4,7 +4,7 @@
 from twisted.internet import reactor
 from twisted.internet.defer import Deferred, gatherResults
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.peers.forward_messages import ForwardOutcome, ForwardResult
 from beryltrack.peers.forwarder import Forwarder
 from tests.peers.fleet import start_fleet, wait_for
@@ -69,7 +69,7 @@
 
 def forward(forwarder, request, sink):
     def call():
-        deadline = get_seconds(reactor)() + 5.0
+        deadline = get_monotonic_clock(reactor)() + 5.0
         sink.stream = forwarder.forward("g", request, deadline, sink)
 
     run(call)
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -8,7 +8,11 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from beryltrack.errors import make_not_run, make_outcome_unknown, make_rolled_back
+from beryltrack.errors import (
+    make_not_run_error,
+    make_outcome_unknown_error,
+    make_rolled_back_error,
+)
 from beryltrack.load.messages import DEFAULT_DEMAND
 from beryltrack.platform.caller import LineCallerFactory
 from beryltrack.platform.protocol import LineProtocol, format_setups
@@ -171,9 +175,9 @@
 @pytest.mark.parametrize(
     ("error", "code"),
     [
-        (make_not_run("no"), b"BUSY"),
-        (make_rolled_back("no"), b"ABORTED"),
-        (make_outcome_unknown("no"), b"INDOUBT"),
+        (make_not_run_error("no"), b"BUSY"),
+        (make_rolled_back_error("no"), b"ABORTED"),
+        (make_outcome_unknown_error("no"), b"INDOUBT"),
     ],
 )
 def test_an_error_promises_no_more_than_it_says(session, error, code):
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred, TimeoutError, fail
 from twisted.internet.task import deferLater
 
-from beryltrack.clock import get_seconds
+from beryltrack.clock import get_monotonic_clock
 from beryltrack.connections.messages import (
     ConnectRefused,
     PoolRefusal,
@@ -98,7 +98,7 @@
             reactor.seconds,
             self.get_lender,
             0.3,
-            LoadTeller(get_seconds(reactor)),
+            LoadTeller(get_monotonic_clock(reactor)),
             7,
         )
         self.factory = LineRelayFactory(reactor, handler, BOUNDS)
@@ -197,11 +197,11 @@
 
 def test_a_proof_comes_with_the_answer_and_its_age(site):
     site.task.proof = Sample(LogPosition(3, 9), 49.0)
-    before = get_seconds(reactor)()
+    before = get_monotonic_clock(reactor)()
     ((_, end),) = site.ask("q1 AFTER 3.7 READ x")
     assert end.proof.position == LogPosition(3, 9)
     # The proof is a second old, counted from when the statement was sent.
-    assert before - 1.0 <= end.proof.sent_at <= get_seconds(reactor)() - 1.0
+    assert before - 1.0 <= end.proof.sent_at <= get_monotonic_clock(reactor)() - 1.0
 
 
 @pytest.mark.parametrize(
--- a/tests/requests/test_load_counts.py
+++ b/tests/requests/test_load_counts.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from beryltrack.connections.messages import RefusalReason
-from beryltrack.errors import make_not_run, make_refusal
+from beryltrack.errors import make_not_run_error, make_refusal
 from beryltrack.events.messages import RequestStep
 from beryltrack.metrics.messages import RequestEnd, TargetKind
 from beryltrack.requests.admission import AdmissionReason
@@ -74,7 +74,7 @@
 
 
 def make_full_task(metrics, events):
-    refused = make_not_run("too many requests", "53300")
+    refused = make_not_run_error("too many requests", "53300")
     planned = SimpleNamespace(request_id="r-1", policy=POLICY, kind=StatementKind.WRITE)
     services = SimpleNamespace(
         protocol=SimpleNamespace(
--- a/tests/requests/test_losses.py
+++ b/tests/requests/test_losses.py
@@ -5,9 +5,9 @@
 import pytest
 from twisted.internet.task import Clock
 
-from beryltrack.awake_clock import TURN_PERIOD, get_awake_clock
 from beryltrack.groups.messages import PRIMARY, REPLICA
 from beryltrack.groups.view import DatabaseView, GroupView
+from beryltrack.pause_aware_clock import TICK_PERIOD, get_pause_aware_clock
 from beryltrack.requests.losses import (
     DEFAULT_POLICY,
     LossWatch,
@@ -97,8 +97,8 @@
     """Return the pools of a process that is asleep, and what wakes it with a view."""
     pools = {"a": FakePool(), "b": FakePool()}
     task = SimpleNamespace(view=view, subscribe=lambda call: None)
-    watch, awake = LossWatch(clock, task, pools), get_awake_clock(clock)
-    awake.begin()
+    watch, awake = LossWatch(clock, task, pools), get_pause_aware_clock(clock)
+    awake.start_detection()
     clock.advance(3.0)
 
     def observe(*databases, primary="a"):
@@ -124,20 +124,20 @@
     elapsed = 0.0
     while not observe(A, silence(B)):
         clock.advance(0.05)
-        awake.note_turn()
+        awake.record_tick()
         elapsed += 0.05
     assert elapsed <= DEFAULT_POLICY.grace
 
 
 def test_repeated_pauses_hide_no_lost_database_for_good(clock):
-    """Guards against a loss that each pause puts off; each counts `TURN_PERIOD`."""
+    """Guards against a loss that each pause puts off; each counts `TICK_PERIOD`."""
     awake, observe = start_paused(clock, make_view(A, B))
     pauses = 1
     while not observe(A, silence(B)):
         clock.advance(3.0)
-        awake.note_turn()
+        awake.record_tick()
         pauses += 1
-    assert pauses <= DEFAULT_POLICY.grace / TURN_PERIOD + 1
+    assert pauses <= DEFAULT_POLICY.grace / TICK_PERIOD + 1
 
 
 def test_a_primary_that_was_replaced_during_a_pause_is_lost_at_once(clock):
--- a/tests/requests/test_marked.py
+++ b/tests/requests/test_marked.py
@@ -2,7 +2,7 @@
 
 from returns.result import Failure
 
-from beryltrack.errors import make_not_run
+from beryltrack.errors import make_not_run_error
 from beryltrack.requests import marked
 from beryltrack.transactions.decider import CommitOutcome
 from tests.requests.scripted import (
@@ -83,7 +83,7 @@
 
 def test_a_refusal_says_nothing_of_earlier_sendings(monkeypatch):
     async def find_nothing(context):
-        return Failure(make_not_run("no primary"))
+        return Failure(make_not_run_error("no primary"))
 
     context, transport = make_marked_context()
     monkeypatch.setattr(marked, "find_primary", find_nothing)
--- a/tests/test_awake_clock.py
+++ b/tests/test_awake_clock.py
@@ -4,12 +4,12 @@
 from twisted.internet.defer import Deferred, TimeoutError
 from twisted.internet.task import Clock
 
-from beryltrack.awake_clock import (
+from beryltrack.pause_aware_clock import (
     PAUSE_LIMIT,
-    TURN_PERIOD,
-    WAKE_TIME,
-    AwakeClock,
-    get_awake_clock,
+    RESUME_GRACE,
+    TICK_PERIOD,
+    PauseAwareClock,
+    get_pause_aware_clock,
 )
 
 LIMIT = 0.5
@@ -20,7 +20,7 @@
     """Let a process run, with its turns."""
     for _ in range(round(seconds / 0.05)):
         clock.advance(0.05)
-        awake.note_turn()
+        awake.record_tick()
 
 
 @pytest.fixture
@@ -30,8 +30,8 @@
 
 @pytest.fixture
 def awake(clock):
-    awake = AwakeClock(clock)
-    awake.begin()
+    awake = PauseAwareClock(clock)
+    awake.start_detection()
     return awake
 
 
@@ -40,11 +40,11 @@
     pauses = []
     awake.subscribe(pauses.append)
     clock.advance(PAUSE_LIMIT / 2)
-    awake.note_turn()
+    awake.record_tick()
     assert pauses == []
     clock.advance(PAUSE_LIMIT * 2)
-    awake.note_turn()
-    assert [pause.woke_at for pause in pauses] == [clock.seconds()]
+    awake.record_tick()
+    assert [pause.resumed_at for pause in pauses] == [clock.seconds()]
 
 
 def test_a_pause_does_not_count(clock, awake):
@@ -52,9 +52,9 @@
     run(clock, awake, 1.0)
     before = awake.seconds()
     clock.advance(LONG)
-    assert awake.seconds() == pytest.approx(before + TURN_PERIOD)
-    assert awake.get_slept(0.0) == pytest.approx(LONG - TURN_PERIOD)
-    assert awake.get_slept(clock.seconds()) == 0.0
+    assert awake.seconds() == pytest.approx(before + TICK_PERIOD)
+    assert awake.get_paused_time(0.0) == pytest.approx(LONG - TICK_PERIOD)
+    assert awake.get_paused_time(clock.seconds()) == 0.0
 
 
 def test_an_answer_that_came_during_a_pause_is_read_before_its_time_is_over(
@@ -76,7 +76,7 @@
     Deferred().addTimeout(LIMIT, awake).addErrback(failures.append)
     run(clock, awake, LIMIT / 2)
     clock.advance(LONG)
-    run(clock, awake, LIMIT + WAKE_TIME)
+    run(clock, awake, LIMIT + RESUME_GRACE)
     assert [failure.check(TimeoutError) for failure in failures] == [TimeoutError]
 
 
@@ -84,7 +84,7 @@
 def test_pauses_one_after_the_other_do_not_hide_a_silence_for_good(clock, awake, ran):
     """Guards against a time limit that each pause puts off.
 
-    Of each pause `TURN_PERIOD` counts, so that it takes no more pauses than fit into
+    Of each pause `TICK_PERIOD` counts, so that it takes no more pauses than fit into
     the limit, and one more for what is read after the last of them.
     """
     failures = []
@@ -94,7 +94,7 @@
         run(clock, awake, ran)
         clock.advance(LONG)
         pauses += 1
-        assert pauses <= LIMIT / TURN_PERIOD + 1
+        assert pauses <= LIMIT / TICK_PERIOD + 1
 
 
 def test_a_call_that_is_cancelled_is_not_made(clock, awake):
@@ -110,17 +110,17 @@
 
 def test_a_process_whose_turns_nobody_notes_is_never_paused(clock):
     """Guards against pauses that are seen where no turns are noted."""
-    awake = AwakeClock(clock)
+    awake = PauseAwareClock(clock)
     clock.advance(LONG)
     assert awake.seconds() == clock.seconds()
-    awake.begin()
-    awake.end()
+    awake.start_detection()
+    awake.stop_detection()
     clock.advance(LONG)
-    assert awake.get_slept(0.0) == 0.0
+    assert awake.get_paused_time(0.0) == 0.0
 
 
 def test_a_process_has_one_clock(clock):
     """Guards against parts of a process that know of different pauses."""
-    assert get_awake_clock(clock) is get_awake_clock(clock)
-    kept = get_awake_clock(clock)
-    assert get_awake_clock(Clock()) is not kept
+    assert get_pause_aware_clock(clock) is get_pause_aware_clock(clock)
+    kept = get_pause_aware_clock(clock)
+    assert get_pause_aware_clock(Clock()) is not kept
--- a/tests/transactions/test_waits.py
+++ b/tests/transactions/test_waits.py
@@ -3,8 +3,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from beryltrack.awake_clock import WAKE_TIME, get_awake_clock
 from beryltrack.groups.messages import PRIMARY, LogPosition
+from beryltrack.pause_aware_clock import RESUME_GRACE, get_pause_aware_clock
 from beryltrack.transactions.decider import CommitOutcome
 from beryltrack.transactions.waits import CommitWaits
 from tests.transactions.test_decider import make_status
@@ -17,7 +17,7 @@
     """A commit at offset 5 of which the primary alone has told, before a pause."""
     clock = Clock()
     waits = CommitWaits(clock, 3)
-    get_awake_clock(clock).begin()
+    get_pause_aware_clock(clock).start_detection()
     waits.observe_status(make_status("a", 1, LogPosition(1, 5), role=PRIMARY))
     answer = waits.wait(LogPosition(1, 5), TIMEOUT, "a")
     clock.advance(3.0)
@@ -34,9 +34,9 @@
 def test_a_commit_without_a_receipt_after_a_pause_is_in_doubt_in_its_usual_time(waits):
     """Guards against a pause that lets a caller wait for good."""
     _, answer, clock = waits
-    for _ in range(round((TIMEOUT + WAKE_TIME) / 0.1)):
+    for _ in range(round((TIMEOUT + RESUME_GRACE) / 0.1)):
         clock.advance(0.1)
-        get_awake_clock(clock).note_turn()
+        get_pause_aware_clock(clock).record_tick()
     assert answer.result is CommitOutcome.UNKNOWN
 
 
