--- a/beryltrack/accounts/book.py
+++ b/beryltrack/accounts/index.py
@@ -15,7 +15,7 @@
 from beryltrack.findings import Finding
 
 
-class AccountBook(NamedTuple):
+class AccountIndex(NamedTuple):
     """The accounts in force.
 
     Parameters
@@ -30,12 +30,12 @@
     by_key: Mapping[str, AccountSettings] = MappingProxyType({})
 
 
-NO_ACCOUNTS = AccountBook()
+NO_ACCOUNTS = AccountIndex()
 
 
-def make_book(
+def build_account_index(
     accounts: Iterable[AccountSettings], source: str
-) -> tuple[AccountBook, list[Finding]]:
+) -> tuple[AccountIndex, list[Finding]]:
     """Return the accounts that can be told apart, and what is wrong with the others.
 
     Parameters
@@ -69,4 +69,4 @@
             for key in shared
         ),
     ]
-    return AccountBook(by_name, by_key), findings
+    return AccountIndex(by_name, by_key), findings
--- a/beryltrack/accounts/lending.py
+++ b/beryltrack/accounts/lending.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from beryltrack.accounts.slots import SLOTS, has_slot, list_slots, make_set
+from beryltrack.accounts.slots import SLOT_COUNT, has_slot, list_slots, make_slot_set
 
 LOAN_TIME = 1.2
 """Seconds that a loan lasts: after an owner was lost without a sign its accounts have
@@ -22,7 +22,7 @@
 """Seconds between two messages to each owner. Two may be late before a loan ends; of 67
 instances an owner takes 190 messages a second."""
 
-MEMBERS_MEMORY = 60.0
+MEMBER_EXPIRY = 60.0
 """Seconds for which an instance that is no member any more still counts in the even
 parts: one that was only cut off may still spend its own."""
 
@@ -42,7 +42,7 @@
     until: float
 
 
-NOBODY = SlotLoan("", 0.0)
+NOT_LENT = SlotLoan("", 0.0)
 
 
 class Offer(NamedTuple):
@@ -52,12 +52,12 @@
     ----------
     slots : int
         The set of slots that are lent to it from now on; it gives back all others.
-    part : float
+    share : float
         The part of each limit.
     """
 
     slots: int
-    part: float
+    share: float
 
 
 class LendingDecider:
@@ -83,13 +83,13 @@
     ):
         self._choose_owner = choose_owner
         self._free_at = started_at if is_new else started_at + LOAN_TIME
-        self._loans: list[SlotLoan] = [NOBODY] * SLOTS
+        self._loans: list[SlotLoan] = [NOT_LENT] * SLOT_COUNT
         self._seen: dict[str, float] = {}
         self._first: dict[int, str] = {}
         self._ended: set[str] = set()
 
     @property
-    def part(self) -> float:
+    def share(self) -> float:
         """The part of each limit that this instance may lend."""
         return 1.0 / max(1, len(self._seen))
 
@@ -101,7 +101,7 @@
         """Take in which instances there are."""
         self._seen |= dict.fromkeys(names, now)
         self._seen = {
-            name: at for name, at in self._seen.items() if now - at <= MEMBERS_MEMORY
+            name: at for name, at in self._seen.items() if now - at <= MEMBER_EXPIRY
         }
 
     def plan(self, now: float) -> dict[str, Offer]:
@@ -114,7 +114,7 @@
             has to be sent now, as `observe_sent` counts from then.
         """
         holders: dict[str, list[int]] = {}
-        for slot in range(SLOTS):
+        for slot in range(SLOT_COUNT):
             wanted = self._choose_owner(slot)
             loan = self._loans[slot]
             if loan.holder and now < loan.until and loan.holder != wanted:
@@ -122,15 +122,17 @@
                 holders.setdefault(loan.holder, [])
             elif wanted is not None and self._may_lend(slot, wanted, now):
                 holders.setdefault(wanted, []).append(slot)
-        part = self.part
-        return {name: Offer(make_set(each), part) for name, each in holders.items()}
+        share = self.share
+        return {
+            name: Offer(make_slot_set(each), share) for name, each in holders.items()
+        }
 
     def observe_sent(self, name: str, offer: Offer, now: float) -> None:
         """Take in that an offer was sent at a time; it binds from then on."""
         for slot in list_slots(offer.slots):
             self._loans[slot] = SlotLoan(name, now + LOAN_TIME)
 
-    def observe_taken(self, name: str, offer: Offer) -> bool:
+    def observe_accepted(self, name: str, offer: Offer) -> bool:
         """Take in that an instance has an offer: what was not in it, it gave back.
 
         Returns
@@ -144,7 +146,7 @@
             if loan.holder == name and not has_slot(offer.slots, slot)
         ]
         for slot in returned:
-            self._loans[slot] = NOBODY
+            self._loans[slot] = NOT_LENT
         if returned:
             self._ended.add(name)
         return bool(returned)
@@ -152,7 +154,9 @@
     def observe_ended(self, name: str) -> None:
         """Take in that an instance has ended, or given back all that it had."""
         self._ended.add(name)
-        self._loans = [NOBODY if each.holder == name else each for each in self._loans]
+        self._loans = [
+            NOT_LENT if each.holder == name else each for each in self._loans
+        ]
 
     def _may_lend(self, slot: int, wanted: str, now: float) -> bool:
         """Return whether a slot may go to an instance now."""
--- a/beryltrack/accounts/link.py
+++ b/beryltrack/accounts/link.py
@@ -17,10 +17,10 @@
 from twisted.python.failure import Failure
 
 from beryltrack.accounts.lending import LOAN_TIME, Offer
-from beryltrack.accounts.rights import Loan, RightsLedger
+from beryltrack.accounts.shares import Loan, QuotaShareLedger
 from beryltrack.accounts.slots import ALL_SLOTS
 
-MOST_BYTES = 1024
+MAX_FRAME_BYTES = 1024
 """Largest frame: a name, a set of slots and three numbers."""
 
 TAKEN = cbor2.dumps(True)
@@ -38,13 +38,13 @@
         Its name.
     slots : int
         The set of slots that it lends.
-    part : float
+    share : float
         Its part of each limit.
     """
 
     lender: str
     slots: int
-    part: float
+    share: float
 
 
 def decode_offer(data: bytes) -> OfferFrame:
@@ -60,19 +60,19 @@
     except MALFORMED as error:
         raise ValueError(f"no offer: {error!r}") from error
     match fields:
-        case [str() as lender, int() as slots, float() as part]:
-            if lender and 0 <= slots <= ALL_SLOTS and 0.0 <= part <= 1.0:
-                return OfferFrame(lender, slots, part)
+        case [str() as lender, int() as slots, float() as share]:
+            if lender and 0 <= slots <= ALL_SLOTS and 0.0 <= share <= 1.0:
+                return OfferFrame(lender, slots, share)
     raise ValueError("an offer is malformed")
 
 
-class RightsBorrower(Int32StringReceiver):
+class LoanBorrower(Int32StringReceiver):
     """The borrower's side of a link.
 
     `answered_at` is when it last answered, by the node's clock; None before.
     """
 
-    MAX_LENGTH = MOST_BYTES
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self):
         self.answered_at: float | None = None
@@ -98,27 +98,27 @@
         self.factory.lose(self, self._lender)
 
 
-class RightsPort(Factory):
+class LoanBorrowerFactory(Factory):
     """Takes the links of lenders.
 
     Parameters
     ----------
-    rights : RightsLedger
+    shares : RightsLedger
         Keeps what they lend.
     seconds : callable
         The node's time.
     """
 
     noisy = False
-    protocol = RightsBorrower
+    protocol = LoanBorrower
 
-    def __init__(self, rights: RightsLedger, seconds: Callable[[], float]):
-        self._rights = rights
+    def __init__(self, shares: QuotaShareLedger, seconds: Callable[[], float]):
+        self._shares = shares
         self._seconds = seconds
-        self._links: dict[str, RightsBorrower] = {}
+        self._links: dict[str, LoanBorrower] = {}
         self._is_leaving = False
 
-    def buildProtocol(self, addr) -> RightsBorrower | None:  # noqa: N802
+    def buildProtocol(self, addr) -> LoanBorrower | None:  # noqa: N802
         """Return a link; none once this instance leaves, as it is to be passed over."""
         return None if self._is_leaving else super().buildProtocol(addr)
 
@@ -128,7 +128,7 @@
         for link in tuple(self._links.values()):
             link.transport.loseConnection()
 
-    def take(self, link: RightsBorrower, frame: OfferFrame) -> float:
+    def take(self, link: LoanBorrower, frame: OfferFrame) -> float:
         """Take an offer; return the time at which it is answered."""
         now = self._seconds()
         if self._is_leaving:
@@ -136,17 +136,19 @@
         elif link.answered_at is not None:
             self._links[frame.lender] = link
             until = link.answered_at + LOAN_TIME
-            self._rights.lend(frame.lender, Loan(frame.slots, frame.part, until), now)
+            self._shares.set_loan(
+                frame.lender, Loan(frame.slots, frame.share, until), now
+            )
         return now
 
-    def lose(self, link: RightsBorrower, lender: str) -> None:
+    def lose(self, link: LoanBorrower, lender: str) -> None:
         """Give back what an instance lent, unless it lends over another link now."""
         if self._links.get(lender) is link:
             del self._links[lender]
-            self._rights.drop(lender, self._seconds())
+            self._shares.drop_loan(lender, self._seconds())
 
 
-class RightsLender(Int32StringReceiver):
+class LoanLender(Int32StringReceiver):
     """The lender's side of a link.
 
     `is_new` is True until the first message is answered. `is_over` fires once the link
@@ -154,7 +156,7 @@
     False if this side gave it up.
     """
 
-    MAX_LENGTH = MOST_BYTES
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self):
         self.is_new = True
@@ -174,7 +176,7 @@
     def tell(self, lender: str, offer: Offer) -> Deferred[None]:
         """Send an offer; fires when the borrower has it."""
         self._answer = Deferred()
-        self.sendString(cbor2.dumps([lender, offer.slots, offer.part]))
+        self.sendString(cbor2.dumps([lender, offer.slots, offer.share]))
         return self._answer
 
     def give_up(self) -> None:
--- a/beryltrack/accounts/quota.py
+++ b/beryltrack/accounts/quota.py
@@ -3,7 +3,7 @@
 An account may run its rate times a window of some seconds, and its burst, in any such
 window. One token bucket for each account, at the instance that runs its operations,
 holds to that: it fills at the account's rate times the part of it that instances have
-lent to this one (`rights`), and holds the account's burst times that part. What is
+lent to this one (`shares`), and holds the account's burst times that part. What is
 refused is told when its token will be there; each one that is refused is told a later
 time, so that they do not all come back at once.
 
@@ -16,10 +16,10 @@
 from typing import NamedTuple
 
 from beryltrack.accounts.messages import AccountSettings
-from beryltrack.accounts.rights import RightsLedger
+from beryltrack.accounts.shares import QuotaShareLedger
 from beryltrack.accounts.slots import get_slot
 
-FIRST_TOKENS = 1.0
+INITIAL_TOKENS = 1.0
 """Operations that an instance runs for an account before it knows of any rights, so
 that a caller is served at once after a start. They are spent once for each start and
 instance that owns connections, of which there are few."""
@@ -45,7 +45,7 @@
 """Seconds after which to ask again for an account that the settings here do not have:
 another instance has them already, so that they are on their way."""
 
-LONGEST_WAIT = 5.0
+MAX_WAIT = 5.0
 """Longest time to come back, seconds: limits are stated over a few seconds."""
 
 
@@ -67,14 +67,14 @@
     window: float = 5.0
 
 
-class Counts(NamedTuple):
+class OperationCounts(NamedTuple):
     """How many operations of an account ran here, and how many were refused."""
 
     run: int = 0
     refused: int = 0
 
 
-class Refusals(NamedTuple):
+class RefusalSummary(NamedTuple):
     """What was refused of an account for some time, and what that rested on.
 
     Parameters
@@ -85,7 +85,7 @@
         Operations that were refused, and that ran.
     rate, burst : float
         Its limit in the whole fleet, by the settings.
-    part : float
+    share : float
         The part of it that this instance has.
     """
 
@@ -94,7 +94,7 @@
     run: int
     rate: float
     burst: float
-    part: float
+    share: float
 
 
 class _Bucket:
@@ -103,7 +103,7 @@
     __slots__ = ("free_at", "integral", "tokens")
 
     def __init__(self, integral: float):
-        self.tokens = FIRST_TOKENS
+        self.tokens = INITIAL_TOKENS
         self.integral = integral
         self.free_at = 0.0
 
@@ -129,9 +129,9 @@
         self._buckets: dict[str, _Bucket] = {}
         self._by_slot: dict[int, set[str]] = {}
         self._lost_at: dict[int, float] = {}
-        self.counts: dict[str, Counts] = {}
-        self._told: dict[str, Counts] = {}
-        self.rights = RightsLedger(self._observe_loss)
+        self.counts: dict[str, OperationCounts] = {}
+        self._told: dict[str, OperationCounts] = {}
+        self.shares = QuotaShareLedger(self._observe_loss)
 
     def spend(self, name: str, now: float) -> float:
         """Count one operation of an account.
@@ -145,8 +145,8 @@
         if account is None:
             return UNKNOWN_WAIT
         wait = 0.0 if math.isinf(account.rate) else self._take_token(account, now)
-        run, refused = self.counts.get(name, Counts())
-        self.counts[name] = Counts(run + (not wait), refused + (wait > 0.0))
+        run, refused = self.counts.get(name, OperationCounts())
+        self.counts[name] = OperationCounts(run + (not wait), refused + (wait > 0.0))
         return wait
 
     def _take_token(self, account: AccountSettings, now: float) -> float:
@@ -157,8 +157,8 @@
             bucket.tokens -= 1.0
             bucket.free_at = now
             return 0.0
-        part = self.rights.get_part(slot, now)
-        return self._promise(bucket, self._get_rate(account) * part, now)
+        share = self.shares.get_share(slot, now)
+        return self._promise(bucket, self._get_rate(account) * share, now)
 
     def refund(self, name: str) -> None:
         """Take in that a counted operation did not run."""
@@ -166,24 +166,24 @@
         if bucket is not None:
             bucket.tokens += 1.0
 
-    def take_refusals(self, now: float) -> list[Refusals]:
+    def take_refusals(self, now: float) -> list[RefusalSummary]:
         """Return of which accounts something was refused since the last call."""
         before, self._told = self._told, dict(self.counts)
         return [
-            Refusals(
+            RefusalSummary(
                 name,
-                counts.refused - before.get(name, Counts()).refused,
-                counts.run - before.get(name, Counts()).run,
+                counts.refused - before.get(name, OperationCounts()).refused,
+                counts.run - before.get(name, OperationCounts()).run,
                 account.rate,
                 account.burst,
-                self.rights.get_part(get_slot(name), now),
+                self.shares.get_share(get_slot(name), now),
             )
             for name, counts in self.counts.items()
-            if counts.refused > before.get(name, Counts()).refused
+            if counts.refused > before.get(name, OperationCounts()).refused
             and (account := self._get_account(name)) is not None
         ]
 
-    def forget(self) -> None:
+    def drop_removed_accounts(self) -> None:
         """Forget the accounts that the settings have no more."""
         for name in [each for each in self._buckets if not self._get_account(each)]:
             del self._buckets[name]
@@ -192,7 +192,7 @@
 
     def _fill(self, account: AccountSettings, slot: int, now: float) -> _Bucket:
         """Return an account's bucket with the tokens that it has now."""
-        integral = self.rights.get_integral(slot, now)
+        integral = self.shares.get_integral(slot, now)
         bucket = self._buckets.get(account.name)
         if bucket is None:
             # An account that asks for the first time has saved up what it may.
@@ -201,17 +201,17 @@
             self._by_slot.setdefault(slot, set()).add(account.name)
         earned = max(0.0, integral - bucket.integral) * self._get_rate(account)
         bucket.integral = integral
-        part = self.rights.get_part(slot, now)
-        bucket.tokens = min(bucket.tokens + earned, self._get_most(account, part))
+        share = self.shares.get_share(slot, now)
+        bucket.tokens = min(bucket.tokens + earned, self._get_most(account, share))
         return bucket
 
-    def _get_most(self, account: AccountSettings, part: float) -> float:
+    def _get_most(self, account: AccountSettings, share: float) -> float:
         """Return how many tokens a part of an account's limit may save up.
 
         First tokens are kept until rights come.
         """
         size = account.burst + self._tolerance.slack * BURST_SLACK
-        return max(size * part, FIRST_TOKENS)
+        return max(size * share, INITIAL_TOKENS)
 
     def _get_rate(self, account: AccountSettings) -> float:
         """Return how many tokens a second an account gets in the whole fleet."""
@@ -219,24 +219,24 @@
         extra = overage * OVERAGE_PART * (account.rate + account.burst / window)
         return account.rate + extra + slack * RATE_SLACK / window
 
-    def _observe_loss(self, slot: int, part: float, integral: float) -> None:
+    def _observe_loss(self, slot: int, share: float, integral: float) -> None:
         """Hold no more tokens than the part of a slot that is left.
 
         Whoever has that part now saves up tokens of its own: without this two
         instances could spend a burst each. Accounts that come later have saved up
         nothing from before.
         """
-        if part < KEPT_PART:
+        if share < KEPT_PART:
             self._lost_at[slot] = integral
         for name in self._by_slot.get(slot, ()):
             account, bucket = self._get_account(name), self._buckets[name]
             if account is not None:
-                bucket.tokens = min(bucket.tokens, self._get_most(account, part))
+                bucket.tokens = min(bucket.tokens, self._get_most(account, share))
 
     def _promise(self, bucket: _Bucket, rate: float, now: float) -> float:
         """Return when an operation that is refused may come back."""
         if rate <= 0.0:
-            return LONGEST_WAIT / 10
+            return MAX_WAIT / 10
         first = now + (1.0 - bucket.tokens) / rate
         bucket.free_at = max(first, bucket.free_at + 1.0 / rate)
-        return min(LONGEST_WAIT, bucket.free_at - now)
+        return min(MAX_WAIT, bucket.free_at - now)
--- a/beryltrack/accounts/rights.py
+++ b/beryltrack/accounts/shares.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from beryltrack.accounts.slots import SLOTS, has_slot, list_slots
+from beryltrack.accounts.slots import SLOT_COUNT, has_slot, list_slots
 
 OnLoss = Callable[[int, float, float], None]
 
@@ -25,35 +25,35 @@
     ----------
     slots : int
         The set of the accounts' slots.
-    part : float
+    share : float
         The part of each limit, from 0 to 1.
     until : float
         When it ends, by the clock of the instance that has it.
     """
 
     slots: int
-    part: float
+    share: float
     until: float
 
 
 class _Sum:
     """The parts that were lent of one slot, and their integral over time."""
 
-    __slots__ = ("at", "integral", "part")
+    __slots__ = ("at", "integral", "share")
 
     def __init__(self):
-        self.part = 0.0
+        self.share = 0.0
         self.integral = 0.0
         self.at = 0.0
 
     def advance(self, now: float) -> None:
         """Take in the time that has passed."""
         if now > self.at:
-            self.integral += min(1.0, self.part) * (now - self.at)
+            self.integral += min(1.0, self.share) * (now - self.at)
             self.at = now
 
 
-class RightsLedger:
+class QuotaShareLedger:
     """The loans that this instance has.
 
     Parameters
@@ -63,10 +63,10 @@
         after it shrank.
     """
 
-    def __init__(self, on_loss: OnLoss = lambda slot, part, integral: None):
+    def __init__(self, on_loss: OnLoss = lambda slot, share, integral: None):
         self._on_loss = on_loss
         self._loans: dict[str, Loan] = {}
-        self._sums = tuple(_Sum() for _ in range(SLOTS))
+        self._sums = tuple(_Sum() for _ in range(SLOT_COUNT))
         self._next_end = float("inf")
 
     @property
@@ -74,27 +74,27 @@
         """Names of the instances that lend to this one."""
         return tuple(self._loans)
 
-    def lend(self, lender: str, loan: Loan, now: float) -> None:
+    def set_loan(self, lender: str, loan: Loan, now: float) -> None:
         """Take a loan in place of what this lender has lent before."""
         self._expire(now)
         before = self._loans.get(lender, Loan(0, 0.0, now))
         self._loans[lender] = loan
         self._next_end = min(self._next_end, loan.until)
-        if (before.slots, before.part) != (loan.slots, loan.part):
+        if (before.slots, before.share) != (loan.slots, loan.share):
             for slot in list_slots(before.slots | loan.slots):
-                change = _get_part(loan, slot) - _get_part(before, slot)
+                change = _get_share(loan, slot) - _get_share(before, slot)
                 self._change(slot, change, now)
 
-    def drop(self, lender: str, now: float) -> None:
+    def drop_loan(self, lender: str, now: float) -> None:
         """Give back what an instance has lent."""
         loan = self._loans.pop(lender, None)
         if loan is not None:
             self._end(loan, now)
 
-    def get_part(self, slot: int, now: float) -> float:
+    def get_share(self, slot: int, now: float) -> float:
         """Return the part of a slot's limits that may be spent now."""
         self._expire(now)
-        return min(1.0, self._sums[slot].part)
+        return min(1.0, self._sums[slot].share)
 
     def get_integral(self, slot: int, now: float) -> float:
         """Return the integral of that part over the time until now, seconds."""
@@ -106,9 +106,9 @@
         """Add to the part of a slot, or take from it."""
         total = self._sums[slot]
         total.advance(now)
-        total.part = max(0.0, total.part + change)
+        total.share = max(0.0, total.share + change)
         if change < 0.0:
-            self._on_loss(slot, min(1.0, total.part), total.integral)
+            self._on_loss(slot, min(1.0, total.share), total.integral)
 
     def _expire(self, now: float) -> None:
         """End the loans whose time is over."""
@@ -125,10 +125,10 @@
         late = max(0.0, now - loan.until)
         for slot in list_slots(loan.slots):
             self._sums[slot].advance(now)
-            self._sums[slot].integral -= loan.part * late
-            self._change(slot, -loan.part, now)
+            self._sums[slot].integral -= loan.share * late
+            self._change(slot, -loan.share, now)
 
 
-def _get_part(loan: Loan, slot: int) -> float:
+def _get_share(loan: Loan, slot: int) -> float:
     """Return the part of a slot that a loan gives."""
-    return loan.part if has_slot(loan.slots, slot) else 0.0
+    return loan.share if has_slot(loan.slots, slot) else 0.0
--- a/beryltrack/accounts/slots.py
+++ b/beryltrack/accounts/slots.py
@@ -8,20 +8,20 @@
 
 from beryltrack.ranks import compute_rank
 
-SLOTS = 64
+SLOT_COUNT = 64
 """Slots of accounts: more than the instances that own connections, so that each of
 those has some, and few enough for one number of a message."""
 
-ALL_SLOTS = (1 << SLOTS) - 1
+ALL_SLOTS = (1 << SLOT_COUNT) - 1
 """The set of all slots; a set of slots is a number with a bit for each."""
 
 
 def get_slot(account: str) -> int:
     """Return the slot of an account, the same on all instances."""
-    return compute_rank("account", account) % SLOTS
+    return compute_rank("account", account) % SLOT_COUNT
 
 
-def make_set(slots: Iterable[int]) -> int:
+def make_slot_set(slots: Iterable[int]) -> int:
     """Return the set of some slots."""
     return sum(1 << slot for slot in set(slots))
 
@@ -33,4 +33,4 @@
 
 def list_slots(slots: int) -> Iterator[int]:
     """Return the slots of a set, the lowest first."""
-    return (slot for slot in range(SLOTS) if has_slot(slots, slot))
+    return (slot for slot in range(SLOT_COUNT) if has_slot(slots, slot))
--- a/beryltrack/accounts/task.py
+++ b/beryltrack/accounts/task.py
@@ -14,9 +14,9 @@
     LendingDecider,
     Offer,
 )
-from beryltrack.accounts.link import RightsLender, RightsPort
+from beryltrack.accounts.link import LoanBorrowerFactory, LoanLender
 from beryltrack.accounts.quota import QuotaDecider
-from beryltrack.accounts.rights import Loan
+from beryltrack.accounts.shares import Loan
 from beryltrack.settings.messages import Endpoint
 
 log = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
 """Seconds by which a turn is late in a process that was held up. The answers that came
 meanwhile are read after it, so that no link is judged by their absence."""
 
-SOON = 0.02
+CHANGE_DELAY = 0.02
 """Seconds after a change of the owners until all are told: changes come together."""
 
 GetEndpoint = Callable[[str], Endpoint | None]
@@ -42,11 +42,11 @@
     """A link to one owner, open or being opened."""
 
     def __init__(self, since: float):
-        self.lender: RightsLender | None = None
+        self.lender: LoanLender | None = None
         self.since = since
 
 
-class RightsTask:
+class LendingTask:
     """Lends rights over links to owners, and takes those of others.
 
     Parameters
@@ -83,10 +83,10 @@
         observe_lost: Callable[[str], object] = lambda name: None,
     ):
         self._observe_lost = observe_lost
-        self.port = RightsPort(quota.rights, seconds)
+        self.port = LoanBorrowerFactory(quota.shares, seconds)
         self._reactor = reactor
         self._name = name
-        self._rights = quota.rights
+        self._shares = quota.shares
         self._lending = lending
         self._get_endpoint = get_endpoint
         self._seconds = seconds
@@ -111,14 +111,16 @@
             if link.lender is not None:
                 link.lender.give_up()
 
-    def was_heard(self, name: str, since: float) -> bool:
+    def has_answered(self, name: str, since: float) -> bool:
         """Return whether an owner has answered on its link since a time."""
         return self._heard_at.get(name, -math.inf) > since
 
-    def hurry(self) -> None:
+    def renew_soon(self) -> None:
         """Tell owners soon: who they are has changed."""
         if self._is_running:
-            self._timer.reset(min(SOON, max(0.0, self._timer.getTime() - self._now)))
+            self._timer.reset(
+                min(CHANGE_DELAY, max(0.0, self._timer.getTime() - self._now))
+            )
 
     @property
     def _now(self) -> float:
@@ -141,10 +143,10 @@
     def _keep(self, offer: Offer, now: float) -> None:
         """Take this instance's own part for itself."""
         self._lending.observe_sent(self._name, offer, now)
-        self._rights.lend(
-            self._name, Loan(offer.slots, offer.part, now + LOAN_TIME), now
+        self._shares.set_loan(
+            self._name, Loan(offer.slots, offer.share, now + LOAN_TIME), now
         )
-        self._lending.observe_taken(self._name, offer)
+        self._lending.observe_accepted(self._name, offer)
 
     def _tell(self, name: str, offer: Offer, now: float) -> None:
         """Send an offer, over a new link if there is none."""
@@ -180,13 +182,13 @@
     def _observe_taken(self, name: str, offer: Offer) -> None:
         """Take in that an owner has an offer."""
         self._heard_at[name] = self._seconds()
-        if self._lending.observe_taken(name, offer):
-            self.hurry()
+        if self._lending.observe_accepted(name, offer):
+            self.renew_soon()
 
     def _observe_first(self, name: str) -> None:
         """Take in that a link works: what it is for can be lent now."""
         self._heard_at[name] = self._seconds()
-        self.hurry()
+        self.renew_soon()
 
     def _open(self, name: str, now: float) -> None:
         """Open a link to an owner."""
@@ -197,12 +199,12 @@
         endpoint = TCP4ClientEndpoint(
             self._reactor, place.host, place.port, CONNECT_TIMEOUT
         )
-        connecting = connectProtocol(endpoint, RightsLender())
+        connecting = connectProtocol(endpoint, LoanLender())
         connecting.addCallbacks(
             self._begin, self._fail, callbackArgs=(name, link), errbackArgs=(name,)
         )
 
-    def _begin(self, lender: RightsLender, name: str, link: _Link) -> None:
+    def _begin(self, lender: LoanLender, name: str, link: _Link) -> None:
         """Use a link that is open."""
         link.lender = lender
         lender.is_over.addCallback(self._end, name)
@@ -229,4 +231,4 @@
             self._observe_lost(name)
         if not link.lender.is_new:
             # One that takes links and ends them unanswered is asked once a turn.
-            self.hurry()
+            self.renew_soon()
--- a/beryltrack/daemon/load_status.py
+++ b/beryltrack/daemon/load_status.py
@@ -13,7 +13,7 @@
 
 from twisted.web.http import OK
 
-from beryltrack.accounts.slots import SLOTS
+from beryltrack.accounts.slots import SLOT_COUNT
 from beryltrack.daemon.group_connections import get_most_connections
 from beryltrack.daemon.plain_pages import JSON, Page, RenderPage
 from beryltrack.load.gate_status import GateSource, GateStatus
@@ -214,7 +214,7 @@
         if not self._directory.has_accounts:
             return {}
         choose = self._directory.choose_slot_owner
-        return Counter(choose(slot).name for slot in range(SLOTS))
+        return Counter(choose(slot).name for slot in range(SLOT_COUNT))
 
 
 def make_status_page(get_status: Callable[[], LoadStatus]) -> RenderPage:
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -6,12 +6,12 @@
 
 from twisted.internet.task import LoopingCall
 
-from beryltrack.accounts.book import NO_ACCOUNTS, AccountBook, make_book
+from beryltrack.accounts.index import NO_ACCOUNTS, AccountIndex, build_account_index
 from beryltrack.accounts.lending import LendingDecider
-from beryltrack.accounts.link import RightsPort
+from beryltrack.accounts.link import LoanBorrowerFactory
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import QuotaDecider
-from beryltrack.accounts.task import RightsTask
+from beryltrack.accounts.task import LendingTask
 from beryltrack.clock import get_monotonic_clock
 from beryltrack.findings import Finding
 from beryltrack.metrics.messages import Gauge, format_label
@@ -59,7 +59,7 @@
         rng: random.Random,
         probes_owners: bool = True,
     ):
-        self._book: AccountBook | None = None
+        self._book: AccountIndex | None = None
         self._directory = directory
         self._seconds = get_monotonic_clock(reactor)
         self.quota = QuotaDecider(self._get_account, settings.tolerance)
@@ -67,7 +67,7 @@
             self._choose_owner, self._seconds(), settings.is_first_start
         )
         self._lending = lending
-        self._task = RightsTask(
+        self._task = LendingTask(
             reactor,
             settings.name,
             self.quota,
@@ -86,10 +86,10 @@
         self._telling = LoopingCall(self._tell_refusals)
         self._telling.clock = reactor
         directory.set_holder_source(lending.get_holder)
-        directory.set_owner_observer(self._task.hurry)
+        directory.set_owner_observer(self._task.renew_soon)
 
     @property
-    def port(self) -> RightsPort:
+    def port(self) -> LoanBorrowerFactory:
         """What takes the rights of other instances."""
         return self._task.port
 
@@ -97,7 +97,7 @@
         """Begin to probe owners that are passed over."""
         self._probes.start()
 
-    def get_book(self) -> AccountBook | None:
+    def get_book(self) -> AccountIndex | None:
         """Return the accounts in force, None where callers need no key."""
         return self._book
 
@@ -108,8 +108,8 @@
         if accounts is None:
             self._book = None
             return []
-        self._book, findings = make_book(accounts, SOURCE)
-        self.quota.forget()
+        self._book, findings = build_account_index(accounts, SOURCE)
+        self.quota.drop_removed_accounts()
         self._start()
         return findings
 
@@ -120,7 +120,7 @@
 
     def was_heard(self, name: str, since: float) -> bool:
         """Return whether an owner has answered this instance since a time."""
-        return self._task.was_heard(name, since)
+        return self._task.has_answered(name, since)
 
     def leave(self) -> None:
         """Give back what others have lent, so that they lend it to the next owner."""
@@ -151,7 +151,7 @@
             yield "beryltrack_account_operations_total", labels, counts.run
             yield "beryltrack_account_refusals_total", labels, counts.refused
         if self._book is not None:
-            lenders = len(self.quota.rights.lenders)
+            lenders = len(self.quota.shares.lenders)
             yield "beryltrack_account_lenders", "", lenders
 
     def _start(self) -> None:
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result, Success
 from twisted.internet.defer import Deferred
 
-from beryltrack.accounts.book import AccountBook
+from beryltrack.accounts.index import AccountIndex
 from beryltrack.errors import (
     INVALID_AUTHORIZATION,
     INVALID_CATALOG_NAME,
@@ -45,7 +45,7 @@
 _BEGINS = frozenset((StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY))
 
 GetRoute = Callable[[str], RouteSettings | None]
-GetAccounts = Callable[[], AccountBook | None]
+GetAccounts = Callable[[], AccountIndex | None]
 GetPolicy = Callable[[RouteSettings], RequestPolicy]
 
 UNKNOWN_KEY = SqlError(INVALID_AUTHORIZATION, "the key belongs to no account")
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import LoopingCall
 
 from beryltrack.accounts.lending import Offer
-from beryltrack.accounts.link import RightsLender
+from beryltrack.accounts.link import LoanLender
 from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.settings.messages import Endpoint
@@ -97,7 +97,7 @@
         endpoint = TCP4ClientEndpoint(
             self._reactor, place.host, place.port, PROBE_LIMIT
         )
-        link = await connectProtocol(endpoint, RightsLender())
+        link = await connectProtocol(endpoint, LoanLender())
         answer = link.tell(self._name, NOTHING)
         link.is_over.addCallback(lambda _: answer.called or answer.cancel())
         try:
--- a/beryltrack/relay/slot_choice.py
+++ b/beryltrack/relay/slot_choice.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from beryltrack.accounts.slots import SLOTS
+from beryltrack.accounts.slots import SLOT_COUNT
 from beryltrack.ranks import compute_rank
 from beryltrack.relay.owners import ACCOUNTS, Peer
 
@@ -87,7 +87,7 @@
     owners: Sequence[Peer], choice: SlotChoice, zone: str
 ) -> dict[int, tuple[Line, ...]]:
     """Return the lines of all slots, as an instance of a zone asks them."""
-    return {slot: choice.make_lines(owners, slot, zone) for slot in range(SLOTS)}
+    return {slot: choice.make_lines(owners, slot, zone) for slot in range(SLOT_COUNT)}
 
 
 class SpentNotes:
--- a/beryltrack_bench/quota/lender.py
+++ b/beryltrack_bench/quota/lender.py
@@ -15,7 +15,7 @@
 )
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import QuotaDecider, Tolerance
-from beryltrack.accounts.rights import Loan
+from beryltrack.accounts.shares import Loan
 from beryltrack.accounts.task import ANSWER_TIMEOUT
 
 
@@ -111,9 +111,9 @@
         for name, offer in self.lending.plan(self.now).items():
             if name == self.name:
                 self.lending.observe_sent(name, offer, self.now)
-                loan = Loan(offer.slots, offer.part, self.now + LOAN_TIME)
-                self.quota.rights.lend(name, loan, self.now)
-                self.lending.observe_taken(name, offer)
+                loan = Loan(offer.slots, offer.share, self.now + LOAN_TIME)
+                self.quota.shares.set_loan(name, loan, self.now)
+                self.lending.observe_accepted(name, offer)
             else:
                 self._tell(name, offer)
 
@@ -135,8 +135,8 @@
     def take(self, link: Link, offer: Offer) -> None:
         """Take an offer as an owner, and answer it."""
         if link.answered_at is not None:
-            loan = Loan(offer.slots, offer.part, self.get_loan_end(link))
-            self.quota.rights.lend(link.lender.name, loan, self.now)
+            loan = Loan(offer.slots, offer.share, self.get_loan_end(link))
+            self.quota.shares.set_loan(link.lender.name, loan, self.now)
         link.answered_at = self.now
         self._carrier.put(self.name, link.lender, lambda: link.lender.end(link, offer))
 
@@ -146,7 +146,7 @@
             return
         link.sent_at = None
         if not link.is_new:
-            self.lending.observe_taken(link.owner.name, offer)
+            self.lending.observe_accepted(link.owner.name, offer)
         elif self._next_tick > self._carrier.now:
             self._next_tick = self._carrier.now
         link.is_new = False
--- a/beryltrack_bench/quota/ways.py
+++ b/beryltrack_bench/quota/ways.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from typing import Protocol
 
-from beryltrack.accounts.rights import Loan
-from beryltrack.accounts.slots import ALL_SLOTS, SLOTS, get_slot, make_set
+from beryltrack.accounts.shares import Loan
+from beryltrack.accounts.slots import ALL_SLOTS, SLOT_COUNT, get_slot, make_slot_set
 from beryltrack.relay.slot_choice import FleetOwners, SpentNotes, ZoneOwners
 from beryltrack_bench.quota.site import CALM_UNTIL, END, Figures, QuotaSite, Recorder
 
@@ -43,7 +43,7 @@
             self._is_shared = True
             for name, member in site.instances.items():
                 loan = Loan(ALL_SLOTS, 1 / len(site.names), math.inf)
-                member.quota.rights.lend(name, loan, site.now)
+                member.quota.shares.set_loan(name, loan, site.now)
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
         """Count it where it comes in."""
@@ -77,13 +77,13 @@
         """Let each instance have what it believes to own."""
         part = RESERVE / len(site.names)
         for name, member in site.instances.items():
-            slots = (s for s in range(SLOTS) if site.choose_owner(name, s) == name)
-            owned = make_set(slots)
+            slots = (s for s in range(SLOT_COUNT) if site.choose_owner(name, s) == name)
+            owned = make_slot_set(slots)
             if self._owned.get(name) != owned:
                 self._owned[name] = owned
-                rights = member.quota.rights
-                rights.lend("own", Loan(owned, 1 - RESERVE, math.inf), site.now)
-                rights.lend(name, Loan(ALL_SLOTS, part, math.inf), site.now)
+                shares = member.quota.shares
+                shares.set_loan("own", Loan(owned, 1 - RESERVE, math.inf), site.now)
+                shares.set_loan(name, Loan(ALL_SLOTS, part, math.inf), site.now)
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
         """Count it at the owner, or by the fixed part if that is not reached."""
--- a/beryltrack_bench/replay/site.py
+++ b/beryltrack_bench/replay/site.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.internet.task import deferLater
 
-from beryltrack.accounts.slots import SLOTS, get_slot
+from beryltrack.accounts.slots import SLOT_COUNT, get_slot
 from beryltrack.connections.messages import PoolRefused
 from beryltrack.connections.task import PoolTask
 from beryltrack.daemon.node_options import POOLS
@@ -183,7 +183,7 @@
         ]
         self._peers, self._owner_peers = peers, peers[: sizes.owners]
         self._slots = {
-            slot: rank_owners(self._owner_peers, slot) for slot in range(SLOTS)
+            slot: rank_owners(self._owner_peers, slot) for slot in range(SLOT_COUNT)
         }
         self.owners = {
             peer.name: Owner(
--- a/tests/accounts/network.py
+++ b/tests/accounts/network.py
@@ -13,7 +13,7 @@
 
 from beryltrack.accounts.lending import RENEW_PERIOD
 from beryltrack.accounts.messages import AccountSettings
-from beryltrack.accounts.slots import SLOTS
+from beryltrack.accounts.slots import SLOT_COUNT
 from beryltrack.daemon.node_accounts import NodeAccounts
 from beryltrack.platform.boot import parse_node_settings
 from beryltrack.relay.directory import RelayDirectory
@@ -131,8 +131,8 @@
     def advance(self, seconds):
         self.reactor.advance(seconds)
 
-    def get_part(self, slot):
-        return self.accounts.quota.rights.get_part(slot, self.reactor.seconds())
+    def get_share(self, slot):
+        return self.accounts.quota.shares.get_share(slot, self.reactor.seconds())
 
     def ask(self, slot):
         """Send a request to a slot's owner; pass over one that takes no connection."""
@@ -188,20 +188,20 @@
             elif not instance.is_lost:
                 carry_out(*args)
 
-    def get_parts(self, slots):
+    def get_shares(self, slots):
         """Return the largest part of each slot that a single instance has."""
         live = [
             each
             for each in self.instances.values()
             if not each.is_lost and self.now >= each.paused_until
         ]
-        return {slot: max(each.get_part(slot) for each in live) for slot in slots}
+        return {slot: max(each.get_share(slot) for each in live) for slot in slots}
 
     def list_owners(self):
         """Return the owners and their slots, those with most first."""
         one = next(iter(self.instances.values())).directory
         by_owner = {}
-        for slot in range(SLOTS):
+        for slot in range(SLOT_COUNT):
             by_owner.setdefault(one.choose_slot_owner(slot).name, []).append(slot)
         return sorted(by_owner.items(), key=lambda each: -len(each[1]))
 
--- a/tests/accounts/test_book.py
+++ b/tests/accounts/test_book.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beryltrack.accounts.book import make_book
+from beryltrack.accounts.index import build_account_index
 from beryltrack.accounts.keys import digest_key
 from beryltrack.accounts.messages import AccountSettings
 
@@ -17,7 +17,7 @@
 
 def test_a_key_stands_for_its_account():
     one, two = make_account("one", "k1", "k2"), make_account("two", "k3")
-    book, findings = make_book([one, two], "settings")
+    book, findings = build_account_index([one, two], "settings")
     assert findings == []
     assert book.by_key == {"k1": one, "k2": one, "k3": two}
     assert book.by_name == {"one": one, "two": two}
@@ -25,7 +25,7 @@
 
 def test_a_key_of_two_accounts_serves_neither():
     one, two = make_account("one", "k1", "k2"), make_account("two", "k2", "k3")
-    book, findings = make_book([one, two], "settings")
+    book, findings = build_account_index([one, two], "settings")
     assert set(book.by_key) == {"k1", "k3"}
     assert [finding.source for finding in findings] == ["settings"]
 
@@ -33,14 +33,14 @@
 def test_two_accounts_of_one_name_are_both_left_out():
     pair = [make_account("one", "k1"), make_account("one", "k2")]
     other = make_account("two", "k3")
-    book, findings = make_book([*pair, other], "settings")
+    book, findings = build_account_index([*pair, other], "settings")
     assert set(book.by_key) == {"k3"} and set(book.by_name) == {"two"}
     assert len(findings) == 1
 
 
 @given(st.lists(st.builds(AccountSettings, NAMES, KEYS), max_size=12))
 def test_a_key_never_stands_for_an_account_that_shares_it_or_its_name(accounts):
-    book, _ = make_book(accounts, "settings")
+    book, _ = build_account_index(accounts, "settings")
     for key, account in book.by_key.items():
         assert [each for each in accounts if key in each.keys] == [account]
         assert [each for each in accounts if each.name == account.name] == [account]
@@ -48,7 +48,7 @@
 
 def test_ten_thousand_accounts_are_read():
     accounts = [make_account(f"a{each}", f"k{each}") for each in range(10_000)]
-    book, findings = make_book(accounts, "settings")
+    book, findings = build_account_index(accounts, "settings")
     assert len(book.by_key) == 10_000 and findings == []
 
 
--- a/tests/accounts/test_link_turns.py
+++ b/tests/accounts/test_link_turns.py
@@ -8,10 +8,10 @@
 from twisted.python.failure import Failure
 
 from beryltrack.accounts.lending import RENEW_PERIOD, LendingDecider
-from beryltrack.accounts.link import RightsPort
+from beryltrack.accounts.link import LoanBorrowerFactory
 from beryltrack.accounts.quota import QuotaDecider
-from beryltrack.accounts.rights import RightsLedger
-from beryltrack.accounts.task import SOON, RightsTask
+from beryltrack.accounts.shares import QuotaShareLedger
+from beryltrack.accounts.task import CHANGE_DELAY, LendingTask
 from beryltrack.settings.messages import Endpoint
 
 STEP = 0.005
@@ -32,7 +32,7 @@
         lending = LendingDecider(lambda slot: "owner", 0.0, True)
         lending.set_members(("own", "owner"), 0.0)
         place = Endpoint("10.0.0.1", 3)
-        self.task = RightsTask(
+        self.task = LendingTask(
             self.reactor,
             "own",
             QuotaDecider(lambda name: None),
@@ -55,7 +55,9 @@
 
     def answer(self, link):
         """Have the owner answer the first message."""
-        far = RightsPort(RightsLedger(), self.reactor.seconds).buildProtocol(None)
+        far = LoanBorrowerFactory(
+            QuotaShareLedger(), self.reactor.seconds
+        ).buildProtocol(None)
         far.makeConnection(Wire())
         far.dataReceived(link.transport.value())
         link.dataReceived(far.transport.value())
@@ -85,5 +87,5 @@
     link = lender.take_link()
     lender.answer(link)
     end(link)
-    lender.reactor.advance(SOON)
+    lender.reactor.advance(CHANGE_DELAY)
     assert lender.opened == 2
--- a/tests/accounts/test_lost_owner.py
+++ b/tests/accounts/test_lost_owner.py
@@ -38,7 +38,7 @@
 
 
 def least(network, slots):
-    return min(network.get_parts(slots).values())
+    return min(network.get_shares(slots).values())
 
 
 @pytest.mark.parametrize("has_requests", [False, True])
@@ -70,7 +70,7 @@
     network.run(LIMIT)
     assert least(network, slots) == pytest.approx(OTHERS)
     network.run(6.0 + MOST_PAUSE)
-    parts = [network.instances[owner].get_part(slot) for slot in slots]
+    parts = [network.instances[owner].get_share(slot) for slot in slots]
     assert min(parts) == pytest.approx(1.0)
 
 
@@ -79,10 +79,10 @@
     cut = [name for name in network.instances if name != owner][:4]
     network.cut |= {(name, owner) for name in cut}
     network.run(LIMIT)
-    assert network.instances[owner].get_part(slots[0]) == pytest.approx(8 / COUNT)
+    assert network.instances[owner].get_share(slots[0]) == pytest.approx(8 / COUNT)
     network.cut.clear()
     network.run(MOST_PAUSE + LIMIT)
-    assert network.instances[owner].get_part(slots[0]) == pytest.approx(1.0)
+    assert network.instances[owner].get_share(slots[0]) == pytest.approx(1.0)
 
 
 def test_one_that_was_paused_itself_passes_over_nobody(network):
--- a/tests/accounts/test_quota.py
+++ b/tests/accounts/test_quota.py
@@ -4,12 +4,12 @@
 
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import (
-    FIRST_TOKENS,
-    LONGEST_WAIT,
+    INITIAL_TOKENS,
+    MAX_WAIT,
     QuotaDecider,
     Tolerance,
 )
-from beryltrack.accounts.rights import Loan
+from beryltrack.accounts.shares import Loan
 from beryltrack.accounts.slots import ALL_SLOTS
 
 EXACT = Tolerance()
@@ -18,10 +18,10 @@
 class Site:
     """One instance that has a part of all limits."""
 
-    def __init__(self, rate=10.0, burst=5.0, part=1.0, tolerance=EXACT):
+    def __init__(self, rate=10.0, burst=5.0, share=1.0, tolerance=EXACT):
         self.accounts = {"one": AccountSettings("one", frozenset(), rate, burst)}
         self.quota = QuotaDecider(self.accounts.get, tolerance)
-        self.quota.rights.lend("a", Loan(ALL_SLOTS, part, 1000.0), 0.0)
+        self.quota.shares.set_loan("a", Loan(ALL_SLOTS, share, 1000.0), 0.0)
 
     def run(self, now, count=1):
         """Return how many of some operations may run."""
@@ -38,7 +38,7 @@
 
 
 def test_an_instance_with_a_part_runs_that_part():
-    site = Site(rate=100.0, burst=40.0, part=0.25)
+    site = Site(rate=100.0, burst=40.0, share=0.25)
     site.run(0.0)
     assert site.run(100.0, 200) == 10
     assert sum(site.run(100.0 + each / 100) for each in range(1, 101)) == 25
@@ -46,8 +46,8 @@
 
 def test_first_tokens_are_there_before_any_rights():
     site = Site()
-    site.quota.rights.drop("a", 0.0)
-    assert site.run(0.0, 10) == FIRST_TOKENS
+    site.quota.shares.drop_loan("a", 0.0)
+    assert site.run(0.0, 10) == INITIAL_TOKENS
     assert site.run(60.0, 10) == 0
 
 
@@ -63,9 +63,9 @@
     site = Site(rate=10.0, burst=50.0)
     site.run(0.0)
     site.run(100.0)
-    site.quota.rights.lend("a", Loan(0, 1.0, 1000.0), 100.0)
-    site.quota.rights.lend("a", Loan(ALL_SLOTS, 1.0, 1000.0), 100.0)
-    assert site.run(100.0, 100) == FIRST_TOKENS
+    site.quota.shares.set_loan("a", Loan(0, 1.0, 1000.0), 100.0)
+    site.quota.shares.set_loan("a", Loan(ALL_SLOTS, 1.0, 1000.0), 100.0)
+    assert site.run(100.0, 100) == INITIAL_TOKENS
 
 
 def test_refused_operations_come_back_one_after_the_other():
@@ -75,12 +75,12 @@
     waits = [first, *(site.quota.spend("one", 1.0) for _ in range(3))]
     steps = [later - sooner for sooner, later in zip(waits, waits[1:], strict=False)]
     assert waits[0] == pytest.approx(0.1) and steps == pytest.approx([0.1] * 3)
-    assert max(site.quota.spend("one", 1.0) for _ in range(200)) == LONGEST_WAIT
+    assert max(site.quota.spend("one", 1.0) for _ in range(200)) == MAX_WAIT
 
 
 def test_what_did_not_run_is_not_counted():
     site = Site(rate=0.001, burst=1.0)
-    assert site.run(0.0, 9) == FIRST_TOKENS
+    assert site.run(0.0, 9) == INITIAL_TOKENS
     site.quota.refund("one")
     assert site.run(0.0, 9) == 1
 
@@ -98,8 +98,8 @@
     site = Site()
     site.run(0.0, 9)
     del site.accounts["one"]
-    site.quota.forget()
-    site.quota.rights.lend("a", Loan(0, 1.0, 1000.0), 1.0)
+    site.quota.drop_removed_accounts()
+    site.quota.shares.set_loan("a", Loan(0, 1.0, 1000.0), 1.0)
     assert site.quota.spend("one", 1.0) > 0.0
 
 
@@ -118,7 +118,7 @@
 
 
 def test_what_was_refused_is_told_once_with_what_it_rested_on():
-    site = Site(rate=10.0, burst=5.0, part=0.5)
+    site = Site(rate=10.0, burst=5.0, share=0.5)
     site.run(0.0, 4)
     (told,) = site.quota.take_refusals(0.0)
     assert told == ("one", 3, 1, 10.0, 5.0, 0.5)
@@ -133,12 +133,12 @@
 def test_it_has_saved_up_nothing_from_before_the_rights_were_lost():
     """Another instance has run its operations meanwhile."""
     site = Site(rate=10.0, burst=50.0)
-    site.quota.rights.lend("a", Loan(0, 1.0, 1000.0), 100.0)
-    site.quota.rights.lend("a", Loan(ALL_SLOTS, 1.0, 1000.0), 101.0)
-    assert site.run(101.5, 100) == FIRST_TOKENS + 5
+    site.quota.shares.set_loan("a", Loan(0, 1.0, 1000.0), 100.0)
+    site.quota.shares.set_loan("a", Loan(ALL_SLOTS, 1.0, 1000.0), 101.0)
+    assert site.run(101.5, 100) == INITIAL_TOKENS + 5
 
 
 def test_one_of_many_that_leaves_takes_nothing_from_accounts_that_come_later():
-    site = Site(rate=10.0, burst=5.0, part=0.95)
-    site.quota.rights.lend("b", Loan(ALL_SLOTS, 0.05, 50.0), 0.0)
+    site = Site(rate=10.0, burst=5.0, share=0.95)
+    site.quota.shares.set_loan("b", Loan(ALL_SLOTS, 0.05, 50.0), 0.0)
     assert site.run(100.0, 50) == 4
--- a/tests/accounts/test_quota_safety.py
+++ b/tests/accounts/test_quota_safety.py
@@ -122,7 +122,7 @@
         for each in self.instances.values():
             each.lending.observe_ended(name)
             each.links.pop(name, None)
-            each.quota.rights.drop(name, each.now)
+            each.quota.shares.drop_loan(name, each.now)
         self.instances[name] = Instance(self, name, False)
 
     def step(self):
@@ -275,7 +275,7 @@
         for each in self.instances.values():
             if each.is_lost or self.now < each.paused_until:
                 continue
-            total += each.get_part(slot)
+            total += each.get_share(slot)
             if self.rng.random() < 0.2:
                 each.ask(slot)
             now = each.reactor.seconds()
--- a/tests/accounts/test_rights.py
+++ b/tests/accounts/test_rights.py
@@ -2,47 +2,53 @@
 
 import pytest
 
-from beryltrack.accounts.lending import LOAN_TIME, MEMBERS_MEMORY, LendingDecider
-from beryltrack.accounts.rights import Loan, RightsLedger
-from beryltrack.accounts.slots import ALL_SLOTS, SLOTS, get_slot, list_slots, make_set
+from beryltrack.accounts.lending import LOAN_TIME, MEMBER_EXPIRY, LendingDecider
+from beryltrack.accounts.shares import Loan, QuotaShareLedger
+from beryltrack.accounts.slots import (
+    ALL_SLOTS,
+    SLOT_COUNT,
+    get_slot,
+    list_slots,
+    make_slot_set,
+)
 
 
 def test_an_account_has_one_slot():
     slots = {get_slot(f"account-{each}") for each in range(2000)}
-    assert slots == set(range(SLOTS))
-    assert list(list_slots(make_set([3, 0, 3]))) == [0, 3]
+    assert slots == set(range(SLOT_COUNT))
+    assert list(list_slots(make_slot_set([3, 0, 3]))) == [0, 3]
 
 
 def test_parts_add_up_over_time():
-    rights = RightsLedger()
-    rights.lend("a", Loan(make_set([1, 2]), 0.25, 10.0), 0.0)
-    rights.lend("b", Loan(make_set([1]), 0.5, 10.0), 2.0)
-    assert rights.get_part(1, 3.0) == 0.75 and rights.get_part(2, 3.0) == 0.25
-    assert rights.get_integral(1, 4.0) == pytest.approx(0.25 * 4 + 0.5 * 2)
-    assert rights.get_part(0, 4.0) == 0.0
+    shares = QuotaShareLedger()
+    shares.set_loan("a", Loan(make_slot_set([1, 2]), 0.25, 10.0), 0.0)
+    shares.set_loan("b", Loan(make_slot_set([1]), 0.5, 10.0), 2.0)
+    assert shares.get_share(1, 3.0) == 0.75 and shares.get_share(2, 3.0) == 0.25
+    assert shares.get_integral(1, 4.0) == pytest.approx(0.25 * 4 + 0.5 * 2)
+    assert shares.get_share(0, 4.0) == 0.0
 
 
 def test_a_loan_that_has_ended_counts_to_its_end_only():
     """Also where nobody looked at that moment, for example in a frozen process."""
-    rights = RightsLedger()
-    rights.lend("a", Loan(ALL_SLOTS, 0.5, 2.0), 0.0)
-    assert rights.get_part(7, 9.0) == 0.0
-    assert rights.get_integral(7, 9.0) == pytest.approx(1.0)
+    shares = QuotaShareLedger()
+    shares.set_loan("a", Loan(ALL_SLOTS, 0.5, 2.0), 0.0)
+    assert shares.get_share(7, 9.0) == 0.0
+    assert shares.get_integral(7, 9.0) == pytest.approx(1.0)
 
 
 def test_a_new_loan_replaces_the_one_before():
-    rights = RightsLedger()
-    rights.lend("a", Loan(make_set([1]), 0.5, 2.0), 0.0)
-    rights.lend("a", Loan(make_set([2]), 0.5, 3.0), 1.0)
-    assert rights.get_part(1, 1.0) == 0.0 and rights.get_part(2, 1.0) == 0.5
+    shares = QuotaShareLedger()
+    shares.set_loan("a", Loan(make_slot_set([1]), 0.5, 2.0), 0.0)
+    shares.set_loan("a", Loan(make_slot_set([2]), 0.5, 3.0), 1.0)
+    assert shares.get_share(1, 1.0) == 0.0 and shares.get_share(2, 1.0) == 0.5
 
 
 def test_no_more_than_the_whole_is_had():
-    rights = RightsLedger()
+    shares = QuotaShareLedger()
     for name in "abc":
-        rights.lend(name, Loan(ALL_SLOTS, 0.5, 9.0), 0.0)
-    assert rights.get_part(0, 1.0) == 1.0
-    assert rights.get_integral(0, 2.0) == pytest.approx(2.0)
+        shares.set_loan(name, Loan(ALL_SLOTS, 0.5, 9.0), 0.0)
+    assert shares.get_share(0, 1.0) == 1.0
+    assert shares.get_integral(0, 2.0) == pytest.approx(2.0)
 
 
 class Lender:
@@ -62,11 +68,11 @@
 
 def test_each_instance_has_an_even_part():
     lender = Lender()
-    assert lender.lending.part == 0.25
+    assert lender.lending.share == 0.25
     lender.lending.set_members(["a", "b"], 1.0)
-    assert lender.lending.part == 0.25
-    lender.lending.set_members(["a", "b"], MEMBERS_MEMORY + 1.0)
-    assert lender.lending.part == 0.5
+    assert lender.lending.share == 0.25
+    lender.lending.set_members(["a", "b"], MEMBER_EXPIRY + 1.0)
+    assert lender.lending.share == 0.5
 
 
 def test_a_slot_goes_to_another_only_when_it_came_back():
@@ -75,7 +81,7 @@
     lender.owner = "second"
     plan = lender.lending.plan(0.5)
     assert {name: each.slots for name, each in plan.items()} == {"first": 0}
-    assert lender.lending.observe_taken("first", plan["first"])
+    assert lender.lending.observe_accepted("first", plan["first"])
     assert lender.send(0.6) == {"second": ALL_SLOTS}
 
 
--- a/tests/platform/test_accounts.py
+++ b/tests/platform/test_accounts.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from beryltrack.accounts.book import make_book
+from beryltrack.accounts.index import build_account_index
 from beryltrack.accounts.keys import digest_key
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.objects.http import HttpAnswer
@@ -124,7 +124,7 @@
             AccountSettings(name, frozenset(map(digest_key, each)))
             for name, each in keys.items()
         ]
-        self.book = make_book(accounts, "settings")[0]
+        self.book = build_account_index(accounts, "settings")[0]
 
     def connect(self, *words):
         session = SimpleNamespace()
--- a/tests/relay/test_slot_choice.py
+++ b/tests/relay/test_slot_choice.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryltrack.accounts.slots import SLOTS, get_slot
+from beryltrack.accounts.slots import SLOT_COUNT, get_slot
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.relay.slot_choice import (
@@ -29,7 +29,7 @@
 
 
 def test_each_zone_has_its_own_owner_of_a_slot():
-    for slot in range(SLOTS):
+    for slot in range(SLOT_COUNT):
         for zone in ("z0", "z1", "z2"):
             own, *others = ZoneOwners().make_lines(PEERS, slot, zone)
             assert own[0].zone == zone and set(own) == set(PEERS)
@@ -38,7 +38,7 @@
 
 def test_all_instances_name_the_same_owner_of_a_zone():
     """Or the one that is asked from another zone would pass the operation on."""
-    for slot in range(SLOTS):
+    for slot in range(SLOT_COUNT):
         lines = {z: ZoneOwners().make_lines(PEERS, slot, z) for z in ("z0", "z1", "z2")}
         for zone in lines:
             firsts = {
@@ -49,14 +49,14 @@
 
 
 def test_a_zone_without_owners_asks_the_one_that_its_own_zone_asks():
-    for slot in range(SLOTS):
+    for slot in range(SLOT_COUNT):
         asked = ZoneOwners().make_lines(PEERS, slot, "elsewhere")[0][0]
         assert asked == ZoneOwners().make_lines(PEERS, slot, asked.zone)[0][0]
 
 
 def test_the_loss_of_an_owner_moves_only_what_it_had():
     rest = tuple(peer for peer in PEERS if peer.name != "n0")
-    for slot in range(SLOTS):
+    for slot in range(SLOT_COUNT):
         for zone in ("z0", "z1", "z2"):
             before = ZoneOwners().make_lines(PEERS, slot, zone)[0][0]
             after = ZoneOwners().make_lines(rest, slot, zone)[0][0]
