--- a/beryltrack/command/commands.py
+++ b/beryltrack/command/commands.py
@@ -28,8 +28,8 @@
 from beryltrack.command.waiting import wait_in_force
 from beryltrack.daemon.status import ObjectVersion
 from beryltrack.events.explain import (
+    explain_refusal,
     explain_request,
-    explain_verdict,
     format_line,
     read_lines,
 )
@@ -382,7 +382,7 @@
         if found.deciding is not None:
             reason = found.deciding.get("reason") or "no trouble"
             self.line(f"decided: {found.deciding.get('step')} ({reason})")
-            verdict = explain_verdict(found.deciding)
+            verdict = explain_refusal(found.deciding)
             if verdict:
                 self.line(verdict)
         return ExitCode.OK
--- a/beryltrack/daemon/metrics.py
+++ b/beryltrack/daemon/metrics.py
@@ -17,9 +17,9 @@
 from beryltrack.metrics.messages import (
     Counters,
     PoolUse,
-    RequestEnd,
     RequestKind,
     RequestOutcome,
+    RequestSummary,
     TargetKind,
     compute_replica_share,
 )
@@ -93,11 +93,13 @@
         """Count one request that ended."""
         self._requests[kind, outcome, target] += 1
 
-    def count_end(self, end: RequestEnd) -> None:
+    def count_by_priority(self, end: RequestSummary) -> None:
         """Count nothing: on PostgreSQL's side routes have no priority."""
 
-    def record_wait(self, priority: int, has_account: bool, seconds: float) -> None:
-        """Record nothing, as `count_end`."""
+    def record_wait_by_priority(
+        self, priority: int, has_account: bool, seconds: float
+    ) -> None:
+        """Record nothing, as `count_by_priority`."""
 
     def count_failover(self, group: str) -> None:
         """Count a change of primary that this instance carried out."""
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -35,8 +35,8 @@
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.events.log import EventLog
 from beryltrack.load.gate_status import render_gates
-from beryltrack.metrics.messages import Gauge, format_label
-from beryltrack.metrics.plain import PlainMetrics
+from beryltrack.metrics.messages import MetricSample, format_label
+from beryltrack.metrics.prometheus import PrometheusMetrics
 from beryltrack.objects.eras import EraTracker, get_latest_era, get_revision
 from beryltrack.objects.feed import FeedTask, compute_watch_timeout
 from beryltrack.objects.messages import PlatformObject
@@ -132,7 +132,7 @@
     ):
         self.settings = settings
         self.state = NodeState.STARTING
-        self.metrics = PlainMetrics()
+        self.metrics = PrometheusMetrics()
         self._reactor = reactor
         self._rng = rng
         self._seconds = get_monotonic_clock(reactor)
@@ -283,7 +283,7 @@
             reactor, settings.snapshot_sources, self._take_snapshot, rng
         )
         self._ports = []
-        self.metrics.set_gauges(self._get_gauges)
+        self.metrics.set_sample_source(self._get_gauges)
 
     @property
     def is_ready(self) -> bool:
@@ -537,7 +537,7 @@
         if due is not None:
             self._look_call = self._reactor.callLater(due - now + 0.01, self._apply)
 
-    def _get_gauges(self) -> Iterable[Gauge]:
+    def _get_gauges(self) -> Iterable[MetricSample]:
         """Return the values of the moment."""
         yield "beryltrack_settings_version", "", self._site.version
         yield "beryltrack_callers", "", len(self._callers.callers)
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -14,7 +14,7 @@
 from beryltrack.accounts.task import LendingTask
 from beryltrack.clock import get_monotonic_clock
 from beryltrack.findings import Finding
-from beryltrack.metrics.messages import Gauge, format_label
+from beryltrack.metrics.messages import MetricSample, format_label
 from beryltrack.relay.directory import RelayDirectory
 from beryltrack.relay.owners import Peer
 from beryltrack.relay.probes import ProbeTask
@@ -144,7 +144,7 @@
                 *each,
             )
 
-    def get_gauges(self) -> Iterable[Gauge]:
+    def get_gauges(self) -> Iterable[MetricSample]:
         """Return how many operations ran and were refused here, by account."""
         for name, counts in self.quota.counts.items():
             labels = format_label("account", name)
--- a/beryltrack/daemon/zone_traffic.py
+++ b/beryltrack/daemon/zone_traffic.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.protocols.policies import ProtocolWrapper, WrappingFactory
 
-from beryltrack.metrics.plain import Gauge
+from beryltrack.metrics.prometheus import MetricSample
 from beryltrack.relay.owners import Peer
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 
@@ -128,7 +128,7 @@
             factory = CountingFactory(factory, self._counts, purpose)
         return self._reactor.connectTCP(host, port, factory, *words, **options)
 
-    def get_gauges(self) -> Iterable[Gauge]:
+    def get_gauges(self) -> Iterable[MetricSample]:
         """Return the bytes to and from other zones, by purpose and direction."""
         for (purpose, direction), number in sorted(self._counts.items()):
             labels = f'purpose="{purpose}",direction="{direction}"'
--- a/beryltrack/events/explain.py
+++ b/beryltrack/events/explain.py
@@ -10,7 +10,7 @@
     step.value for step in RequestStep if step is not RequestStep.RETRIED
 )
 
-VERDICTS = {
+REFUSAL_TEXTS = {
     "admission": "the instance that it came to had no room for more requests",
     "queue_full": "too many requests waited for the database already",
     "too_late": "it could not have been done in time",
@@ -107,12 +107,12 @@
     )
 
 
-def explain_verdict(line: dict) -> str:
+def explain_refusal(line: dict) -> str:
     """Return why a request was refused, and what that rested on, in one sentence.
 
     Empty for a line that refuses nothing, or that tells none of it.
     """
-    words = VERDICTS.get(line.get("verdict"))
+    words = REFUSAL_TEXTS.get(line.get("verdict"))
     if words is None:
         return ""
     wait, left = line.get("wait_expected_ms"), line.get("aim_left_ms")
--- a/beryltrack/events/log.py
+++ b/beryltrack/events/log.py
@@ -101,7 +101,7 @@
         self._noted: dict[SharedDecision, list[str]] = {}
         self._noted_count = 0
 
-    def wants(self, step: RequestStep) -> bool:
+    def reserve_line(self, step: RequestStep) -> bool:
         """Return whether the budget has room for a line; it is used up by that.
 
         Asked before an event is made: that costs most of a served request's line,
@@ -114,7 +114,7 @@
         return self._budget.allows(step, now)
 
     def record(self, event: RequestEvent) -> None:
-        """Log one decision, for which `wants` has said so."""
+        """Log one decision, for which `reserve_line` has said so."""
         fields = event._asdict()
         fields["step"] = event.step.value
         fields["elapsed_ms"] = round(event.elapsed_ms, 1)
@@ -123,7 +123,7 @@
         _leave_out_unknown(fields)
         self._write_line("INFO", fields)
 
-    def note(self, request: str, shared: SharedDecision) -> None:
+    def record_shared(self, request: str, shared: SharedDecision) -> None:
         """Keep the identifier of a request that shares a line with others.
 
         What was served is left out. Without this nothing was known of 243 refusals
--- a/beryltrack/events/messages.py
+++ b/beryltrack/events/messages.py
@@ -105,14 +105,14 @@
 class RequestEvents(Protocol):
     """Takes the decisions about requests."""
 
-    def wants(self, step: RequestStep) -> bool:
+    def reserve_line(self, step: RequestStep) -> bool:
         """Return whether the budget has room for a line; it is used up by that."""
 
     def record(self, event: RequestEvent) -> None:
-        """Log one decision, for which `wants` has said so."""
+        """Log one decision, for which `reserve_line` has said so."""
 
-    def note(self, request: str, shared: "SharedDecision") -> None:
-        """Take a decision for which `wants` had no room."""
+    def record_shared(self, request: str, shared: "SharedDecision") -> None:
+        """Take a decision for which `reserve_line` had no room."""
 
 
 class SharedDecision(NamedTuple):
@@ -142,15 +142,15 @@
     verdict: str = ""
 
 
-class SilentEvents:
+class NullRequestEvents:
     """Logs nothing, for instances that nobody reads the logs of."""
 
-    def wants(self, step: RequestStep) -> bool:
+    def reserve_line(self, step: RequestStep) -> bool:
         """Return False."""
         return False
 
     def record(self, event: RequestEvent) -> None:
         """Drop a decision."""
 
-    def note(self, request: str, shared: SharedDecision) -> None:
+    def record_shared(self, request: str, shared: SharedDecision) -> None:
         """Drop a decision."""
--- a/beryltrack/load/gate_status.py
+++ b/beryltrack/load/gate_status.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 from beryltrack.connections.messages import RefusalReason
-from beryltrack.metrics.messages import Gauge, format_label
+from beryltrack.metrics.messages import MetricSample, format_label
 
 
 class GateStatus(NamedTuple):
@@ -47,7 +47,7 @@
         """Return what each gate has counted; nothing where the instance owns none."""
 
 
-def render_gates(counts: Iterable[GateStatus]) -> Iterable[Gauge]:
+def render_gates(counts: Iterable[GateStatus]) -> Iterable[MetricSample]:
     """Return the values of gates in the form of the metrics page."""
     for gate in counts:
         labels = ",".join(
--- a/beryltrack/metrics/messages.py
+++ b/beryltrack/metrics/messages.py
@@ -108,7 +108,7 @@
     return counters.replica_reads / reads if reads else None
 
 
-Gauge = tuple[str, str, float]
+MetricSample = tuple[str, str, float]
 """Name, labels in the text form, and value."""
 
 
@@ -118,7 +118,7 @@
     return f'{name}="{escaped}"'
 
 
-class RequestEnd(NamedTuple):
+class RequestSummary(NamedTuple):
     """How a request ended, by what it had asked for.
 
     Parameters
@@ -150,13 +150,15 @@
     ) -> None:
         """Count one request that ended."""
 
-    def count_end(self, end: RequestEnd) -> None:
+    def count_by_priority(self, end: RequestSummary) -> None:
         """Count the same request by what it had asked for."""
 
     def record_queue_time(self, seconds: float) -> None:
         """Record how long a request waited for a connection."""
 
-    def record_wait(self, priority: int, has_account: bool, seconds: float) -> None:
+    def record_wait_by_priority(
+        self, priority: int, has_account: bool, seconds: float
+    ) -> None:
         """Record the same by what it asks for, also if it got no connection."""
 
     def record_confirm_wait(self, seconds: float) -> None:
--- a/beryltrack/metrics/plain.py
+++ b/beryltrack/metrics/prometheus.py
@@ -11,10 +11,10 @@
 
 from beryltrack.metrics.catalog import format_head
 from beryltrack.metrics.messages import (
-    Gauge,
-    RequestEnd,
+    MetricSample,
     RequestKind,
     RequestOutcome,
+    RequestSummary,
     TargetKind,
 )
 
@@ -55,7 +55,7 @@
         self.waited = 0.0
         self.refused: Counter[str] = Counter()
 
-    def get_gauges(self, labels: str) -> Iterable[Gauge]:
+    def get_gauges(self, labels: str) -> Iterable[MetricSample]:
         """Return the counts in the form of the metrics page."""
         yield "beryltrack_priority_requests_total", labels, self.requests
         yield "beryltrack_priority_served_total", labels, self.served
@@ -66,7 +66,7 @@
             yield "beryltrack_priority_refused_total", own, count
 
 
-class PlainMetrics:
+class PrometheusMetrics:
     """All counts of one instance; see `RequestMetrics`."""
 
     def __init__(self):
@@ -76,7 +76,7 @@
         )
         self._queue_time = Histogram()
         self._confirm_wait = Histogram()
-        self._get_gauges: Callable[[], Iterable[Gauge]] = tuple
+        self._get_gauges: Callable[[], Iterable[MetricSample]] = tuple
 
     def count_request(
         self, kind: RequestKind, outcome: RequestOutcome, target: TargetKind
@@ -84,7 +84,7 @@
         """Count one request that ended."""
         self._requests[kind, outcome, target] += 1
 
-    def count_end(self, end: RequestEnd) -> None:
+    def count_by_priority(self, end: RequestSummary) -> None:
         """Count the same request by what it had asked for."""
         counts = self._classes[end.priority, end.has_account]
         counts.requests += 1
@@ -93,7 +93,9 @@
         if end.refused_for:
             counts.refused[end.refused_for] += 1
 
-    def record_wait(self, priority: int, has_account: bool, seconds: float) -> None:
+    def record_wait_by_priority(
+        self, priority: int, has_account: bool, seconds: float
+    ) -> None:
         """Record how long a request waited, also if it got no connection."""
         self._classes[priority, has_account].waited += seconds
 
@@ -105,7 +107,9 @@
         """Record how long a commit waited for a majority to receive it."""
         self._confirm_wait.record(seconds)
 
-    def set_gauges(self, get_gauges: Callable[[], Iterable[Gauge]]) -> None:
+    def set_sample_source(
+        self, get_gauges: Callable[[], Iterable[MetricSample]]
+    ) -> None:
         """Tell where a scrape finds the values of the moment."""
         self._get_gauges = get_gauges
 
@@ -118,7 +122,7 @@
         ]
         return ("\n".join(lines) + "\n").encode()
 
-    def _get_counts(self) -> Iterable[Gauge]:
+    def _get_counts(self) -> Iterable[MetricSample]:
         """Return what was counted of requests."""
         for (kind, outcome, target), count in self._requests.items():
             labels = (
@@ -132,7 +136,7 @@
             )
 
 
-def _render_gauges(gauges: list[Gauge]) -> Iterable[str]:
+def _render_gauges(gauges: list[MetricSample]) -> Iterable[str]:
     """Return the lines of values; those of one name must stand together."""
     for name, values in groupby(sorted(gauges, key=_get_name), _get_name):
         yield from format_head(name)
@@ -140,6 +144,6 @@
             yield f"{name}{{{labels}}} {value}" if labels else f"{name} {value}"
 
 
-def _get_name(gauge: Gauge) -> str:
+def _get_name(gauge: MetricSample) -> str:
     """Return the name of a value."""
     return gauge[0]
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -18,9 +18,9 @@
 from beryltrack.load.ingress_admission import compute_target_wait
 from beryltrack.load.messages import Demand
 from beryltrack.metrics.messages import (
-    RequestEnd,
     RequestKind,
     RequestOutcome,
+    RequestSummary,
     TargetKind,
 )
 from beryltrack.requests.admission import AdmissionReason
@@ -219,12 +219,12 @@
     policy = context.plan.policy
     priority = policy.priority if policy else None
     verdict = name_refusal(reason) if step is RequestStep.NOT_RUN else ""
-    if not services.events.wants(step):
+    if not services.events.reserve_line(step):
         shared = SharedDecision(
             step, reason, view.term, view.primary, priority, verdict
         )
         for each in filter(None, (request_id, opened_by)):
-            services.events.note(each, shared)
+            services.events.record_shared(each, shared)
         return
     now = services.seconds()
     elapsed = now - context.arrived_at
@@ -290,14 +290,14 @@
     is_served = outcome is RequestOutcome.DONE
     elapsed = services.seconds() - context.arrived_at
     is_refused = outcome is RequestOutcome.NOT_RUN
-    end = RequestEnd(
+    end = RequestSummary(
         policy.priority,
         bool(context.caller.account),
         is_served,
         is_served and elapsed <= policy.target_latency,
         name_refusal(reason) if is_refused else "",
     )
-    services.metrics.count_end(end)
+    services.metrics.count_by_priority(end)
 
 
 def name_refusal(message: str) -> str:
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from beryltrack.clock import get_monotonic_clock
-from beryltrack.events.messages import RequestEvents, SilentEvents
+from beryltrack.events.messages import NullRequestEvents, RequestEvents
 from beryltrack.metrics.messages import RequestMetrics
 from beryltrack.requests.admission import AdmissionPolicy
 from beryltrack.requests.admission_task import AdmissionTask
@@ -89,7 +89,7 @@
     policy: RequestPolicy
     sequence: Iterator[int]
     routing: RoutingPolicy = DEFAULT_POLICY
-    events: RequestEvents = SilentEvents()
+    events: RequestEvents = NullRequestEvents()
     ways: AccountWays = NO_WAYS
     is_crowded: Callable[[], bool] = lambda: False
 
@@ -153,7 +153,7 @@
         policy or RequestPolicy(),
         count(),
         routing,
-        events or SilentEvents(),
+        events or NullRequestEvents(),
         ways,
         is_crowded,
     )
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -286,7 +286,9 @@
         connection = await search.ticket.wait(acquiring)
     finally:
         waited = services.seconds() - started_at
-        services.metrics.record_wait(demand.priority, bool(demand.account), waited)
+        services.metrics.record_wait_by_priority(
+            demand.priority, bool(demand.account), waited
+        )
     services.metrics.record_queue_time(waited)
     return FoundTarget(use.database, use.is_replica, pool, connection, use.after)
 
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -7,7 +7,7 @@
 
 from beryltrack.errors import SqlError, make_not_run_error
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
-from beryltrack.metrics.messages import RequestEnd
+from beryltrack.metrics.messages import RequestSummary
 from beryltrack.requests.admission_task import UNCOUNTED, Ticket
 from beryltrack.requests.answers import ADMISSION, RequestContext
 from beryltrack.requests.course import RequestCourse
@@ -110,7 +110,7 @@
     ) -> None:
         """Log that the settings in force know no database for a caller, or no room."""
         events = self._services.events
-        if events.wants(RequestStep.NOT_RUN):
+        if events.reserve_line(RequestStep.NOT_RUN):
             event = RequestEvent(
                 request_id,
                 caller.database,
@@ -124,7 +124,7 @@
             events.record(event)
         elif request_id:
             shared = SharedDecision(RequestStep.NOT_RUN, error.message, 0, "", priority)
-            events.note(request_id, shared)
+            events.record_shared(request_id, shared)
 
     def _find_runtime(self, caller: UnitCaller) -> GroupRuntime | None:
         """Return the group of a caller; that of its transaction if one is open."""
@@ -178,8 +178,10 @@
     def _refuse_new(self, plan: UnitPlan, caller: UnitCaller, error: SqlError) -> None:
         """Refuse a unit that this instance has no room for; log and count that."""
         policy = plan.policy or self._services.policy
-        self._services.metrics.count_end(
-            RequestEnd(policy.priority, bool(caller.account), False, False, ADMISSION)
+        self._services.metrics.count_by_priority(
+            RequestSummary(
+                policy.priority, bool(caller.account), False, False, ADMISSION
+            )
         )
         priority = plan.policy.priority if plan.policy else None
         self._record_refusal(
--- a/tests/events/test_log.py
+++ b/tests/events/test_log.py
@@ -8,7 +8,7 @@
 from beryltrack.command.main import build_application
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.events.budget import BURST, OTHER_LINES, LineBudget
-from beryltrack.events.explain import VERDICTS, explain_request, read_lines
+from beryltrack.events.explain import REFUSAL_TEXTS, explain_request, read_lines
 from beryltrack.events.log import (
     IDS_A_LINE,
     MOST_HELD,
@@ -39,10 +39,12 @@
 
 
 def record(log, event):
-    if log.wants(event.step):
+    if log.reserve_line(event.step):
         log.record(event)
     else:
-        log.note(event.request, SharedDecision(event.step, event.reason, 3, "db-1"))
+        log.record_shared(
+            event.request, SharedDecision(event.step, event.reason, 3, "db-1")
+        )
 
 
 def test_a_line_carries_the_inputs_of_the_decision():
@@ -220,16 +222,16 @@
 
 def test_each_reason_of_a_refusal_has_words():
     words = {reason.name.lower() for reason in RefusalReason} | {ADMISSION}
-    assert words == set(VERDICTS)
+    assert words == set(REFUSAL_TEXTS)
 
 
 def test_requests_that_share_a_line_are_told_apart_by_priority():
     log, lines, clock = make_log()
     for number, priority in enumerate((0, 0, 2, None)):
         shared = SharedDecision(RequestStep.NOT_RUN, "full", 3, "db-1", priority)
-        log.note(f"r-{number}", shared)
+        log.record_shared(f"r-{number}", shared)
     clock.now = 1.5
-    log.wants(RequestStep.NOT_RUN)
+    log.reserve_line(RequestStep.NOT_RUN)
     told = [(line["requests"], line.get("priority")) for line in map(json.loads, lines)]
     assert told == [(["r-0", "r-1"], 0), (["r-2"], 2), (["r-3"], None)]
     assert "priority" not in json.loads(lines[2])
@@ -239,9 +241,9 @@
     log, lines, clock = make_log()
     for number in range(3):
         shared = SharedDecision(RequestStep.NOT_RUN, "full", 3, "db-1", 1, "queue_full")
-        log.note(f"r-{number}", shared)
+        log.record_shared(f"r-{number}", shared)
     clock.now = 1.5
-    log.wants(RequestStep.NOT_RUN)
+    log.reserve_line(RequestStep.NOT_RUN)
     file = tmp_path / "node-1.log"
     file.write_text("".join(lines))
     tester = CommandTester(build_application().find("explain"))
--- a/tests/metrics/test_catalog.py
+++ b/tests/metrics/test_catalog.py
@@ -11,12 +11,12 @@
 from beryltrack.load.gate_status import GateStatus, render_gates
 from beryltrack.metrics.catalog import METRICS
 from beryltrack.metrics.messages import (
-    RequestEnd,
     RequestKind,
     RequestOutcome,
+    RequestSummary,
     TargetKind,
 )
-from beryltrack.metrics.plain import PlainMetrics
+from beryltrack.metrics.prometheus import PrometheusMetrics
 from tests.accounts.network import Network
 
 ROOT = Path(beryltrack.__file__).parent
@@ -34,14 +34,14 @@
 
 
 def make_metrics():
-    metrics = PlainMetrics()
+    metrics = PrometheusMetrics()
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
-    metrics.count_end(RequestEnd(0, True, True, True))
-    metrics.count_end(RequestEnd(0, True, True, False))
-    metrics.count_end(RequestEnd(2, False, False, False, "too_late"))
-    metrics.record_wait(0, True, 0.25)
+    metrics.count_by_priority(RequestSummary(0, True, True, True))
+    metrics.count_by_priority(RequestSummary(0, True, True, False))
+    metrics.count_by_priority(RequestSummary(2, False, False, False, "too_late"))
+    metrics.record_wait_by_priority(0, True, 0.25)
     metrics.record_queue_time(0.25)
-    metrics.set_gauges(lambda: render_gates([GATE]))
+    metrics.set_sample_source(lambda: render_gates([GATE]))
     return metrics
 
 
@@ -88,8 +88,10 @@
 
 def test_names_that_operators_chose_break_no_line():
     odd = 'a"b\\c'
-    metrics = PlainMetrics()
-    metrics.set_gauges(lambda: render_gates([GATE._replace(group=odd, database=odd)]))
+    metrics = PrometheusMetrics()
+    metrics.set_sample_source(
+        lambda: render_gates([GATE._replace(group=odd, database=odd)])
+    )
     gate = {"group": odd, "database": odd}
     assert get_value(metrics, "beryltrack_gate_limit", **gate) == 3
     assert get_value(metrics, "beryltrack_gate_waiting", **gate, priority="1") == 4
@@ -101,8 +103,8 @@
     accounts = next(iter(network.instances.values())).accounts
     accounts.set_accounts((AccountSettings(odd, frozenset(), 1.0, 0.0),))
     accounts.quota.spend(odd, 0.0)
-    metrics = PlainMetrics()
-    metrics.set_gauges(accounts.get_gauges)
+    metrics = PrometheusMetrics()
+    metrics.set_sample_source(accounts.get_gauges)
     name = "beryltrack_account_operations_total"
     assert get_value(metrics, name, account=odd) == 1
 
--- a/tests/metrics/test_plain.py
+++ b/tests/metrics/test_plain.py
@@ -3,7 +3,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from beryltrack.metrics.messages import RequestKind, RequestOutcome, TargetKind
-from beryltrack.metrics.plain import PlainMetrics
+from beryltrack.metrics.prometheus import PrometheusMetrics
 
 
 def get_samples(metrics):
@@ -16,12 +16,12 @@
 
 
 def test_counts_durations_and_gauges_are_scraped():
-    metrics = PlainMetrics()
+    metrics = PrometheusMetrics()
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
     metrics.record_queue_time(0.002)
     metrics.record_queue_time(9.0)
-    metrics.set_gauges(lambda: [("beryltrack_callers", "", 7)])
+    metrics.set_sample_source(lambda: [("beryltrack_callers", "", 7)])
     samples = get_samples(metrics)
     assert samples["beryltrack_requests_total", "read", "done", "replica"] == 2
     assert samples["beryltrack_queue_time_seconds_bucket", "0.003"] == 1
--- a/tests/requests/test_hold.py
+++ b/tests/requests/test_hold.py
@@ -99,7 +99,7 @@
     site.services.reactor = site.clock
     site.services.metrics = SimpleNamespace(
         record_queue_time=lambda seconds: None,
-        record_wait=lambda priority, has_account, seconds: None,
+        record_wait_by_priority=lambda priority, has_account, seconds: None,
     )
     for name in ("a", "b"):
         site.runtime.pools[name] = SimpleNamespace(
--- a/tests/requests/test_load_counts.py
+++ b/tests/requests/test_load_counts.py
@@ -8,7 +8,7 @@
 from beryltrack.connections.messages import RefusalReason
 from beryltrack.errors import make_not_run_error, make_refusal
 from beryltrack.events.messages import RequestStep
-from beryltrack.metrics.messages import RequestEnd, TargetKind
+from beryltrack.metrics.messages import RequestSummary, TargetKind
 from beryltrack.requests.admission import AdmissionReason
 from beryltrack.requests.answers import (
     ADMISSION,
@@ -37,7 +37,7 @@
     def count_request(self, kind, outcome, target):
         pass
 
-    def count_end(self, end):
+    def count_by_priority(self, end):
         self.ends.append(end)
 
 
@@ -53,7 +53,7 @@
 def test_an_answer_is_in_aim_within_the_target_latency(elapsed, is_in_aim):
     context, metrics, _ = make_request(elapsed)
     count_request(context, TargetKind.PRIMARY)
-    assert metrics.ends == [RequestEnd(2, False, True, is_in_aim)]
+    assert metrics.ends == [RequestSummary(2, False, True, is_in_aim)]
 
 
 def test_a_refusal_is_counted_by_its_reason():
@@ -61,7 +61,7 @@
     text = RefusalReason.TOO_LATE.value
     error = make_refusal(f"busy: {text}", 1.0, "53300")
     send_failure(context, error, TransactionStatus.IDLE)
-    assert metrics.ends == [RequestEnd(2, False, False, False, "too_late")]
+    assert metrics.ends == [RequestSummary(2, False, False, False, "too_late")]
     (event,) = events.events
     assert event.verdict == "too_late"
 
@@ -95,7 +95,7 @@
     metrics, events, caller = Metrics(), Events(), Caller()
     caller.session = CallerSession()
     make_full_task(metrics, events).handle("r-1", caller)
-    assert metrics.ends == [RequestEnd(2, False, False, False, "admission")]
+    assert metrics.ends == [RequestSummary(2, False, False, False, "admission")]
     (event,) = events.events
     assert (event.request, event.step, event.priority, event.verdict) == (
         "r-1",
--- a/tests/requests/test_refusals.py
+++ b/tests/requests/test_refusals.py
@@ -17,13 +17,13 @@
         self.events = []
         self.noted = []
 
-    def wants(self, step):
+    def reserve_line(self, step):
         return self.has_room
 
     def record(self, event):
         self.events.append(event)
 
-    def note(self, request, shared):
+    def record_shared(self, request, shared):
         self.noted.append((request, shared.step, shared.reason))
 
 
