--- a/tests/e2e/test_rolling.py
+++ b/tests/e2e/test_rolling.py
@@ -4,7 +4,7 @@
 
 import psycopg
 
-from tests.local_proxies import connect, mark_request, run_proxies
+from tests.local_proxies import connect, run_proxies, set_request_id
 from tests.reactor_thread import run
 
 CALLERS = 4
@@ -38,7 +38,7 @@
     def write(self, connection):
         while not self.ending.is_set():
             key = f"{self.number}-{len(self.acknowledged)}"
-            mark_request(connection, key)
+            set_request_id(connection, key)
             connection.execute("INSERT INTO item VALUES (%s)", (key,))
             self.acknowledged.append(key)
 
--- a/tests/e2e/test_two_losses.py
+++ b/tests/e2e/test_two_losses.py
@@ -3,14 +3,14 @@
 from tests.local_proxies import (
     connect,
     get_primary,
-    mark_request,
     run_proxies,
+    set_request_id,
 )
 from tests.reactor_thread import run
 
 
 def write(connection, number):
-    mark_request(connection, f"insert-{number}")
+    set_request_id(connection, f"insert-{number}")
     connection.execute("INSERT INTO item VALUES (%s)", (number,))
 
 
--- a/tests/local_proxies.py
+++ b/tests/local_proxies.py
@@ -52,7 +52,7 @@
     return max(leading, key=lambda s: s.database.status.term, default=None)
 
 
-def mark_request(connection, request_id):
+def set_request_id(connection, request_id):
     """Mark the next request of a connection as one that runs at most once."""
     connection.execute(f"SET beryltrack.request_id = '{request_id}'")
     connection.execute("SET beryltrack.idempotent = off")
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -8,7 +8,7 @@
 from beryltrack.requests.forward_form import decode_request
 from beryltrack.requests.forward_handler import read_unit
 from beryltrack.routing.messages import StatementKind
-from tests.local_proxies import connect, get_token, mark_request, run_proxies
+from tests.local_proxies import connect, get_token, run_proxies, set_request_id
 from tests.reactor_thread import run
 from tests.requests.scripted import make_context, run_to_end
 
@@ -79,7 +79,7 @@
 def test_a_marked_request_runs_once_whoever_runs_it(local):
     for proxy in (local.proxies[2], local.proxies[0], local.proxies[2]):
         with connect(proxy) as connection:
-            mark_request(connection, "forwarded-1")
+            set_request_id(connection, "forwarded-1")
             connection.execute("INSERT INTO item VALUES (20)")
 
 
--- a/tests/requests/test_path.py
+++ b/tests/requests/test_path.py
@@ -10,8 +10,8 @@
     connect,
     get_primary,
     get_token,
-    mark_request,
     run_proxies,
+    set_request_id,
 )
 from tests.reactor_thread import run
 
@@ -84,7 +84,7 @@
 def test_a_marked_request_runs_once_through_any_proxy(local):
     for proxy in (*local.proxies, local.proxies[0]):
         with connect(proxy) as connection:
-            mark_request(connection, "order-1")
+            set_request_id(connection, "order-1")
             answer = connection.execute(
                 "INSERT INTO item (id, name) VALUES (100 + (SELECT count(*) FROM item"
                 " WHERE id >= 100), 'once') RETURNING id"
@@ -94,7 +94,7 @@
 
 def test_an_identifier_cannot_stand_for_two_requests(local):
     with connect(local.proxies[0]) as connection:
-        mark_request(connection, "order-2")
+        set_request_id(connection, "order-2")
         connection.execute("INSERT INTO item VALUES (200, 'first')")
         with pytest.raises(psycopg.errors.InvalidParameterValue):
             connection.execute("INSERT INTO item VALUES (201, 'second')")
@@ -104,7 +104,7 @@
     for expected in (1, 1):
         with connect(local.proxies[1], autocommit=False) as connection:
             connection.execute("INSERT INTO item (name) VALUES ('transfer')")
-            mark_request(connection, "transfer-1")
+            set_request_id(connection, "transfer-1")
             connection.commit()
         with connect(local.proxies[0]) as connection:
             rows = connection.execute("SELECT id FROM item WHERE name = 'transfer'")
@@ -119,7 +119,7 @@
         run(lost.stop)
         # Without a mark the answer may be "outcome unknown", truly, if the write
         # was sent before the proxy saw that the connection had ended.
-        mark_request(connection, "insert-2")
+        set_request_id(connection, "insert-2")
         connection.execute("INSERT INTO item VALUES (2)")
         token = get_token(connection)
         with connect(local.proxies[1], token) as reader:
@@ -163,7 +163,7 @@
 
 def test_old_rows_of_the_ledger_are_removed(local):
     with connect(local.proxies[0]) as connection:
-        mark_request(connection, "old-1")
+        set_request_id(connection, "old-1")
         connection.execute("INSERT INTO item VALUES (300, 'old')")
         lookup = "SELECT count(*) FROM beryltrack_ledger WHERE request_id = 'old-1'"
         assert connection.execute(lookup).fetchone() == (1,)
