--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -98,12 +98,12 @@
             self._reactor, place.host, place.port, PROBE_LIMIT
         )
         link = await connectProtocol(endpoint, LoanLender())
-        answer = link.tell(self._name, NOTHING)
-        link.is_over.addCallback(lambda _: answer.called or answer.cancel())
+        answer = link.send_offer(self._name, NOTHING)
+        link.ended.addCallback(lambda _: answer.called or answer.cancel())
         try:
             await answer.addTimeout(PROBE_LIMIT, self._awake)
         finally:
-            link.give_up()
+            link.abort()
 
     def _note_reached(self, _: None, name: str) -> None:
         """Take in that an instance answers."""
