--- a/beryltrack/daemon/fleet.py
+++ b/beryltrack/daemon/fleet.py
@@ -14,8 +14,8 @@
 from beryltrack.connections.budget_service import BudgetService, make_plan
 from beryltrack.connections.loan_links import get_holder_name
 from beryltrack.daemon.groups import GroupTable
-from beryltrack.failover.hints import HintWriter
 from beryltrack.failover.messages import FailoverReport
+from beryltrack.failover.primary_records import PrimaryRecordWriter
 from beryltrack.groups.sharing import GroupSharing
 from beryltrack.objects.client import PlatformClient
 from beryltrack.peers.forwarder import Forwarder, ForwardHandler
@@ -84,8 +84,8 @@
             incarnation,
         )
         self.forwarder = Forwarder(reactor, self.peers, handler, self.get_owner_names)
-        self._hints = HintWriter(reactor, platform, rng)
-        platform.eras.subscribe(lambda era: self._hints.write_again())
+        self._hints = PrimaryRecordWriter(reactor, platform, rng)
+        platform.eras.subscribe(lambda era: self._hints.rewrite_all())
         self._writing: set[Deferred] = set()
         self._sharing = GroupSharing(self.peers, self.get_owner_names)
         self._told_owners: dict[str, tuple[str, ...]] = {}
--- a/beryltrack/daemon/members.py
+++ b/beryltrack/daemon/members.py
@@ -21,7 +21,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import LoopingCall, deferLater
 
-from beryltrack.failover.hints import ObjectClient
+from beryltrack.failover.primary_records import ObjectClient
 from beryltrack.findings import Finding
 from beryltrack.objects.eras import get_era
 from beryltrack.objects.feed import FeedTask, ObjectFeed
--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -38,23 +38,23 @@
 FAILOVER = FailoverPolicy(
     stagger=0.3,
     # Databases across availability zones answer in 4 ms.
-    grant_wait=0.15,
+    grant_timeout=0.15,
     # Longer than a promotion takes until it is in force, 0.3 to 1 s.
-    settle=1.5,
+    settle_time=1.5,
     # A promotion under way holds replicas while the former primary still leads.
     reclaim_after=2.5,
     # A holder of the permit notices a loss within 0.25 s of the others.
-    takeover=0.7,
+    non_holder_delay=0.7,
     # As long as a silence that counts as a loss, and less than a statement may take: a
     # receipt takes 1 to 4 ms. A primary that was cut off from its replicas alone had no
     # write acknowledged for as long as that lasted.
     stalled_after=0.5,
-    rotates=False,
+    rotates_ranks=False,
     has_authority=True,
 )
 # Nobody holds a permit beforehand there, so that the next in rank need not wait for a
 # holder: databases that are held show that another one is at work.
-UNFENCED_FAILOVER = FAILOVER._replace(former_goes_on=True, takeover=0.0)
+UNFENCED_FAILOVER = FAILOVER._replace(former_accepts_writes=True, non_holder_delay=0.0)
 
 # A control request fails after 0.4 s, so that what runs at a silent database is given
 # up with the first one that fails; at a replaced primary no answer can be of use.
--- a/beryltrack/daemon/store_clients.py
+++ b/beryltrack/daemon/store_clients.py
@@ -7,8 +7,8 @@
 from beryltrack.daemon import node_options as options
 from beryltrack.failover.authority import PromotionAuthority, StoreAuthority
 from beryltrack.failover.unfenced_authority import (
-    CONNECT_TIME,
-    USABLE_TIME,
+    CONNECT_TIMEOUT,
+    PERMIT_VALIDITY,
     UnfencedAuthority,
 )
 from beryltrack.objects.eras import EraTracker
@@ -81,10 +81,10 @@
         promotions = make_client(settings.promotion)
         authority = StoreAuthority(store, settings.name, eras)
     else:
-        promotions = make_client(settings.promotion, CONNECT_TIME)
+        promotions = make_client(settings.promotion, CONNECT_TIMEOUT)
         # A permit that is not written in time is of no use: the next one is tried.
         permits = PlatformStore(
-            make_client(settings.store, CONNECT_TIME, USABLE_TIME, eras), rejects
+            make_client(settings.store, CONNECT_TIMEOUT, PERMIT_VALIDITY, eras), rejects
         )
         process = f"{rng.getrandbits(64):016x}"
         authority = UnfencedAuthority(
--- a/beryltrack/failover/authority.py
+++ b/beryltrack/failover/authority.py
@@ -14,7 +14,7 @@
 
 from returns.result import Failure, Result, Success
 
-from beryltrack.failover.hints import ObjectClient
+from beryltrack.failover.primary_records import ObjectClient
 from beryltrack.objects.eras import EraTracker
 from beryltrack.objects.messages import ErrorKind, PlatformError
 
@@ -22,7 +22,7 @@
 
 PATH_PREFIX = "permits/"
 
-TAKE_TRIES = 3
+MAX_TAKE_ATTEMPTS = 3
 """Attempts to take a permit; each one that fails has met another's."""
 
 
@@ -131,7 +131,7 @@
         """Write the permit with the next token."""
         path = PATH_PREFIX + group
         failure: Result = Failure(PlatformError(ErrorKind.CONFLICT, "taken by others"))
-        for _ in range(TAKE_TRIES):
+        for _ in range(MAX_TAKE_ATTEMPTS):
             found = await self._client.get(path)
             if not isinstance(found, Success):
                 return found
--- a/beryltrack/failover/decider.py
+++ b/beryltrack/failover/decider.py
@@ -11,10 +11,10 @@
 from typing import NamedTuple
 
 from beryltrack.failover.detector import (
-    LossDetector,
-    compute_lost_at,
-    get_losers,
-    is_lost,
+    FailureDetector,
+    compute_loss_time,
+    get_databases_without_primary,
+    is_primary_lost,
 )
 from beryltrack.failover.messages import Election, ElectionKind
 from beryltrack.failover.ranking import compute_rank
@@ -38,7 +38,7 @@
 )
 
 # Longer than any control request takes.
-LONGEST_GRANT_WAIT = 2.0
+MAX_GRANT_TIMEOUT = 2.0
 
 
 class FailoverPolicy(NamedTuple):
@@ -49,37 +49,37 @@
     stagger : float
         Between the attempts of two nodes that are next in rank: two round
         trips of a grant and a promotion.
-    settle : float
+    settle_time : float
         How long somebody else's attempt, seen by its term, is left alone.
-    fresh : float
+    max_status_age : float
         Answers to requests sent longer ago do not count as a loss.
-    first_backoff : float
+    initial_backoff : float
         Mean pause after the first attempt that failed; it doubles each time.
-    last_backoff : float
+    max_backoff : float
         The longest mean pause.
     reclaim_after : float
         How long a database must have refused its primary before the primary
         takes a higher term.
-    suspect_for : float
+    suspicion_period : float
         How long after its loss a replica makes nodes expect a new primary.
     hand_over_stagger : float
         Between two nodes that order a hand-over; longer than one takes.
-    hand_over_limit : float
+    hand_over_timeout : float
         How long the replica may take to catch up before the hand-over is
         given up; less than a primary that stopped writes waits by itself.
-    hand_over_first_backoff : float
+    hand_over_initial_backoff : float
         Mean pause after the first hand-over that was given up; it doubles each
         time. The next one may choose another successor, and a leaving primary
         has to be relieved within a few seconds.
-    hand_over_backoff : float
+    hand_over_max_backoff : float
         The longest mean pause after a hand-over that was given up: each one
         stops the writes for a while.
-    grant_wait : float
+    grant_timeout : float
         How long a candidate waits for a majority; it doubles after each
         failure, so that slow databases can be asked too.
-    takeover : float
+    non_holder_delay : float
         How long an instance without the permit leaves a loss to its holder.
-    rotates : bool
+    rotates_ranks : bool
         True if another instance is first in rank in each term. False where a
         permit is held, which is to change hands seldom.
     stalled_after : float
@@ -88,29 +88,29 @@
     has_authority : bool
         True if an authority promotes, so that databases need not see to it that only
         one is elected.
-    former_goes_on : bool
+    former_accepts_writes : bool
         True if a replaced primary goes on by itself. Its own grant counts for nothing
         then: each election needs so many of the others that one of them is among any
         that confirm the term before.
     """
 
     stagger: float = 0.06
-    settle: float = 0.15
-    fresh: float = 0.5
-    first_backoff: float = 0.05
-    last_backoff: float = 1.0
+    settle_time: float = 0.15
+    max_status_age: float = 0.5
+    initial_backoff: float = 0.05
+    max_backoff: float = 1.0
     reclaim_after: float = 0.5
-    suspect_for: float = 1.0
+    suspicion_period: float = 1.0
     hand_over_stagger: float = 1.0
-    hand_over_limit: float = 0.8
-    hand_over_first_backoff: float = 0.2
-    hand_over_backoff: float = 5.0
-    grant_wait: float = 0.1
-    takeover: float = 0.0
-    rotates: bool = True
+    hand_over_timeout: float = 0.8
+    hand_over_initial_backoff: float = 0.2
+    hand_over_max_backoff: float = 5.0
+    grant_timeout: float = 0.1
+    non_holder_delay: float = 0.0
+    rotates_ranks: bool = True
     stalled_after: float = math.inf
     has_authority: bool = False
-    former_goes_on: bool = False
+    former_accepts_writes: bool = False
 
     def get_quorum(self, size: int) -> int:
         """Return how many of a group's databases an election needs."""
@@ -145,7 +145,7 @@
         self,
         group: str,
         node: str,
-        detector: LossDetector,
+        detector: FailureDetector,
         rng: Random,
         policy: FailoverPolicy = DEFAULT_POLICY,
     ):
@@ -194,7 +194,7 @@
         self._nodes = nodes
         self._is_candidate = is_candidate
 
-    def set_holder(self, is_holder: bool) -> None:
+    def set_holds_permit(self, is_holder: bool) -> None:
         """Take whether this instance holds the permit to promote."""
         self._is_holder = is_holder
 
@@ -204,11 +204,11 @@
         A replica that lost its primary long ago, while it still leads, is cut
         off by itself; it must not make all nodes ask without a pause.
         """
-        limit = self._policy.suspect_for
-        losers = get_losers(view, self._detector, 0.0)
+        limit = self._policy.suspicion_period
+        orphaned = get_databases_without_primary(view, self._detector, 0.0)
         lately = (
-            item.heard_age < self._detector.get_limit(item.name) + limit
-            for item in losers
+            item.heard_age < self._detector.get_timeout(item.name) + limit
+            for item in orphaned
         )
         return not view.primary or any(lately)
 
@@ -229,14 +229,14 @@
         """
         for item in view.databases:
             self._detector.observe(item)
-        self._note_term(view, now)
+        self._observe_term(view, now)
         kind = self._get_kind(view, now)
         if kind != self._kind:
             self._kind, self._since = kind, now
         if kind is ElectionKind.LOST:
             # By the databases' own word, so that all nodes count from one time.
             quorum = self._policy.get_quorum(len(view.databases))
-            self._since = compute_lost_at(view, self._detector, now, quorum)
+            self._since = compute_loss_time(view, self._detector, now, quorum)
         if kind is None or not self._is_candidate:
             self._failures, self._due = 0, NEVER
             return None
@@ -249,23 +249,25 @@
         """Take in how this node's own election ended."""
         if won:
             self._failures = 0
-            self._not_before = now + self._policy.settle
+            self._not_before = now + self._policy.settle_time
             return
         self._failures += 1
         self._not_before = now + self._compute_backoff(election.kind)
 
-    def _note_term(self, view: GroupView, now: float) -> None:
+    def _observe_term(self, view: GroupView, now: float) -> None:
         """Notice that the term moved: somebody is at work or has finished."""
         highest = max(item.term for item in view.databases)
         if highest > self._highest_term:
             first_look = self._highest_term < 0
             self._highest_term = highest
-            self._moved_at = -self._policy.settle if first_look else now
+            self._moved_at = -self._policy.settle_time if first_look else now
 
     def _get_kind(self, view: GroupView, now: float) -> ElectionKind | None:
         """Return why the group needs another term, or None."""
         quorum = self._policy.get_quorum(len(view.databases))
-        if is_lost(view, self._detector, now - self._policy.fresh, quorum):
+        if is_primary_lost(
+            view, self._detector, now - self._policy.max_status_age, quorum
+        ):
             return ElectionKind.LOST
         leader = get_primary(view)
         if leader is not None and self._is_stalled(view, leader, now, quorum):
@@ -285,7 +287,8 @@
         voters = [
             item
             for item in view.databases
-            if item.reachable and not (self._policy.former_goes_on and item == leader)
+            if item.reachable
+            and not (self._policy.former_accepts_writes and item == leader)
         ]
         has_quorum = count_eligible_voters(view, voters) >= quorum
         return has_quorum and get_successor(view) is not None
@@ -315,7 +318,7 @@
 
     def _is_fresh(self, item: DatabaseView, now: float) -> bool:
         """Return whether a database answered lately."""
-        return item.reachable and item.seen_at >= now - self._policy.fresh
+        return item.reachable and item.seen_at >= now - self._policy.max_status_age
 
     def _leads_now(self, view: GroupView, leader: DatabaseView, now: float) -> bool:
         """Return whether a majority, the leader among them, hears no later primary.
@@ -342,7 +345,7 @@
 
         One that is held for such a term hears nothing, whoever leads.
         """
-        silent = item.heard_age >= self._detector.get_limit(item.name) or item.is_held
+        silent = item.heard_age >= self._detector.get_timeout(item.name) or item.is_held
         return item.term > leader.term and silent and self._is_fresh(item, now)
 
     def _compute_due(self, view: GroupView, kind: ElectionKind) -> float:
@@ -353,25 +356,25 @@
             delay = rank * policy.hand_over_stagger
             return self._since + (0.0 if self._is_holder else delay)
         delay = rank * policy.stagger
-        if policy.takeover:
-            delay = 0.0 if self._is_holder else delay + policy.takeover
+        if policy.non_holder_delay:
+            delay = 0.0 if self._is_holder else delay + policy.non_holder_delay
         if kind is ElectionKind.RECLAIM:
             return self._since + policy.reclaim_after + delay
         if self._highest_term > view.term:
-            return max(self._since, self._moved_at + policy.settle) + delay
+            return max(self._since, self._moved_at + policy.settle_time) + delay
         return self._since + delay
 
     def _get_rank(self) -> int:
         """Return how many instances are to act before this one."""
-        turn = self._highest_term if self._policy.rotates else 0
+        turn = self._highest_term if self._policy.rotates_ranks else 0
         return compute_rank(self._node, self._nodes, self._group, turn)
 
     def _compute_backoff(self, kind: ElectionKind) -> float:
         """Return a jittered pause that grows with the failures in a row."""
         policy = self._policy
-        first, last = policy.first_backoff, policy.last_backoff
+        first, last = policy.initial_backoff, policy.max_backoff
         if kind is ElectionKind.HAND_OVER:
-            first, last = policy.hand_over_first_backoff, policy.hand_over_backoff
+            first, last = policy.hand_over_initial_backoff, policy.hand_over_max_backoff
         mean = min(first * 2 ** (self._failures - 1), last)
         return mean * self._rng.uniform(0.5, 1.5)
 
@@ -381,7 +384,7 @@
         Each database judges again by this when it is asked, so a primary that
         was heard in the meantime is not replaced.
         """
-        return min(self._detector.get_limit(item.name) for item in view.databases)
+        return min(self._detector.get_timeout(item.name) for item in view.databases)
 
     def _get_next_term(self, view: GroupView) -> int:
         """Return the term to ask for.
@@ -410,9 +413,9 @@
             view.primary,
             leader.term if leader else 0,
             preferred,
-            min(self._policy.grant_wait * 2**self._failures, LONGEST_GRANT_WAIT),
+            min(self._policy.grant_timeout * 2**self._failures, MAX_GRANT_TIMEOUT),
             tuple(item.name for item in view.databases if is_deposed(view, item)),
-            view.last_primary if self._policy.former_goes_on else "",
+            view.last_primary if self._policy.former_accepts_writes else "",
         )
 
 
@@ -443,7 +446,7 @@
     preferred: str,
     unwanted: frozenset[str],
     quorum: int | None = None,
-    former: str = "",
+    non_voting_primary: str = "",
     recovering: Mapping[str, LogPosition | None] = MappingProxyType({}),
 ) -> str | None:
     """Return who shall lead the term that the replies granted.
@@ -460,7 +463,7 @@
         Who should not lead if the logs allow another.
     quorum : int or None
         How many databases an election needs; None for a majority.
-    former : str
+    non_voting_primary : str
         The primary so far if its grant counts for nothing; else empty.
     recovering : mapping of str to LogPosition or None
         What databases that have started again empty may have held, None if that is
@@ -476,7 +479,7 @@
     """
     granted = [reply.status for reply in replies if reply.granted]
     needed = compute_majority(size) if quorum is None else quorum
-    voters = [status for status in granted if status.name != former]
+    voters = [status for status in granted if status.name != non_voting_primary]
     if len(granted) == size:
         recovering = {}
     fit = [
--- a/beryltrack/failover/detector.py
+++ b/beryltrack/failover/detector.py
@@ -19,17 +19,17 @@
 )
 
 
-class LossDetector(Protocol):
+class FailureDetector(Protocol):
     """Says whether a database has lost its primary."""
 
     def observe(self, database: DatabaseView) -> None:
         """Take in a new status of a database."""
 
-    def get_limit(self, database: str) -> float:
+    def get_timeout(self, database: str) -> float:
         """Return the seconds without a word after which the primary is lost."""
 
 
-class FixedDetector:
+class FixedTimeoutDetector:
     """A detector with one limit for all.
 
     Parameters
@@ -44,13 +44,13 @@
     def observe(self, database: DatabaseView) -> None:
         """Learn nothing."""
 
-    def get_limit(self, database: str) -> float:
+    def get_timeout(self, database: str) -> float:
         """Return the limit."""
         return self._lost_after
 
 
-def get_losers(
-    view: GroupView, detector: LossDetector, oldest: float
+def get_databases_without_primary(
+    view: GroupView, detector: FailureDetector, oldest: float
 ) -> tuple[DatabaseView, ...]:
     """Return the databases that have lost their primary.
 
@@ -69,7 +69,7 @@
         Replicas that answered lately and have not heard their primary, and
         deposed primaries, which have never heard the one that leads now.
     """
-    counts_deposed = _has_led(view, detector)
+    counts_deposed = _counts_deposed(view, detector)
     return tuple(
         item
         for item in view.databases
@@ -79,7 +79,7 @@
     )
 
 
-def _has_led(view: GroupView, detector: LossDetector) -> bool:
+def _counts_deposed(view: GroupView, detector: FailureDetector) -> bool:
     """Return whether the present primary has been at work and may be lost now.
 
     Just after a promotion the replicas are still silent from the loss before.
@@ -98,14 +98,14 @@
     )
 
 
-def _is_silent(item: DatabaseView, detector: LossDetector) -> bool:
+def _is_silent(item: DatabaseView, detector: FailureDetector) -> bool:
     """Return whether a replica has not heard its primary for too long."""
-    return item.role == REPLICA and item.heard_age >= detector.get_limit(item.name)
+    return item.role == REPLICA and item.heard_age >= detector.get_timeout(item.name)
 
 
-def is_lost(
+def is_primary_lost(
     view: GroupView,
-    detector: LossDetector,
+    detector: FailureDetector,
     oldest: float,
     quorum: int | None = None,
 ) -> bool:
@@ -113,20 +113,20 @@
 
     `quorum` is how many an election needs; None for a majority.
     """
-    losers = get_losers(view, detector, oldest)
+    orphaned = get_databases_without_primary(view, detector, oldest)
     needed = quorum or compute_majority(len(view.databases))
-    return count_eligible_voters(view, losers) >= needed
+    return count_eligible_voters(view, orphaned) >= needed
 
 
-def compute_lost_at(
-    view: GroupView, detector: LossDetector, now: float, quorum: int | None = None
+def compute_loss_time(
+    view: GroupView, detector: FailureDetector, now: float, quorum: int | None = None
 ) -> float:
     """Return since when a majority of the group's databases has lost the primary.
 
     Parameters
     ----------
     view : GroupView
-        The view of a group whose primary is lost; see `is_lost`.
+        The view of a group whose primary is lost; see `is_primary_lost`.
     detector : LossDetector
         Says how long a silence is a loss.
     now : float
@@ -144,13 +144,13 @@
     lost_at = sorted(
         NEVER
         if is_deposed(view, item)
-        else item.seen_at - item.heard_age + detector.get_limit(item.name)
-        for item in get_losers(view, detector, NEVER)
+        else item.seen_at - item.heard_age + detector.get_timeout(item.name)
+        for item in get_databases_without_primary(view, detector, NEVER)
     )
     return min(now, lost_at[needed - 1])
 
 
-def compute_silence(view: GroupView, now: float) -> float:
+def compute_primary_silence(view: GroupView, now: float) -> float:
     """Return how long no replica has heard its primary.
 
     Parameters
--- a/beryltrack/failover/grants.py
+++ b/beryltrack/failover/grants.py
@@ -13,14 +13,19 @@
     """The replies so far, and the Deferred that fires when they suffice."""
 
     def __init__(
-        self, size: int, preferred: str, quorum: int, former: str, needs_all: bool
+        self,
+        size: int,
+        preferred: str,
+        quorum: int,
+        non_voting_primary: str,
+        needs_all: bool,
     ):
         self._needs_all = needs_all
         self.done: Deferred = Deferred()
         self._size = size
         self._quorum = quorum
         self._preferred = preferred
-        self._former = former
+        self._non_voting_primary = non_voting_primary
         self._replies: list[GrantReply] = []
         self._failed: set[str] = set()
 
@@ -44,7 +49,7 @@
         if len(answered) == self._size:
             return True
         granted = sum(
-            reply.granted and reply.status.name != self._former
+            reply.granted and reply.status.name != self._non_voting_primary
             for reply in self._replies
         )
         waits_for_preferred = self._preferred and self._preferred not in answered
@@ -88,14 +93,14 @@
         len(databases),
         election.preferred,
         quorum or compute_majority(len(databases)),
-        election.former,
+        election.non_voting_primary,
         needs_all,
     )
 
     async def ask(database: str) -> None:
         lost_after = election.lost_after
         if database in election.deposed:
-            if election.former:
+            if election.non_voting_primary:
                 # It leads on, and would follow the former primary soon, and let that
                 # one's commits count, if its word were taken for a grant.
                 await adapter.stop_writes(database, election.term - 1)
@@ -108,7 +113,7 @@
 
     for database in databases:
         Deferred.fromCoroutine(ask(database))
-    timer = reactor.callLater(election.grant_wait, collection.finish)
+    timer = reactor.callLater(election.grant_timeout, collection.finish)
     try:
         return await collection.done
     finally:
--- a/beryltrack/failover/messages.py
+++ b/beryltrack/failover/messages.py
@@ -39,12 +39,12 @@
         The term in which it leads.
     preferred : str
         The database that should lead; empty if any may.
-    grant_wait : float
+    grant_timeout : float
         How long to wait for grants of a majority, seconds.
     deposed : tuple of str
         Databases that still believe to lead a term that is over. They hear
         themselves, so they are asked for the term without `lost_after`.
-    former : str
+    non_voting_primary : str
         The primary so far where its own grant counts for nothing, as it goes on
         after it was replaced; else empty.
     """
@@ -56,9 +56,9 @@
     primary: str
     primary_term: int
     preferred: str
-    grant_wait: float
+    grant_timeout: float
     deposed: tuple[str, ...] = ()
-    former: str = ""
+    non_voting_primary: str = ""
 
 
 class FailoverReport(NamedTuple):
--- a/beryltrack/failover/hints.py
+++ b/beryltrack/failover/primary_records.py
@@ -20,9 +20,9 @@
 log = logging.getLogger(__name__)
 
 PATH_PREFIX = "status/groups/"
-MAX_TRIES = 8
-FIRST_BACKOFF = 0.5
-LAST_BACKOFF = 30.0
+MAX_ATTEMPTS = 8
+INITIAL_BACKOFF = 0.5
+MAX_BACKOFF = 30.0
 
 
 class ObjectClient(Protocol):
@@ -37,7 +37,7 @@
         """Write an object if its version is `if_version`."""
 
 
-class HintWriter:
+class PrimaryRecordWriter:
     """Writes one record for each change of primary.
 
     Parameters
@@ -56,7 +56,7 @@
         self._rng = rng
         self._last: dict[str, FailoverReport] = {}
 
-    def write_again(self) -> None:
+    def rewrite_all(self) -> None:
         """Write the last report of each group again, some time from now."""
         for report in self._last.values():
             delay = self._rng.uniform(0.0, RESTORE_SPREAD)
@@ -80,10 +80,10 @@
         return Deferred.fromCoroutine(self._write(report))
 
     async def _write(self, report: FailoverReport) -> bool:
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             if await self._try_once(report):
                 return True
-            mean = min(FIRST_BACKOFF * 2**attempt, LAST_BACKOFF)
+            mean = min(INITIAL_BACKOFF * 2**attempt, MAX_BACKOFF)
             await deferLater(self._reactor, mean * self._rng.uniform(0.5, 1.5))
         log.info("failover: the record of %s was given up.", report.group)
         return False
--- a/beryltrack/failover/task.py
+++ b/beryltrack/failover/task.py
@@ -22,7 +22,7 @@
     FailoverPolicy,
     choose_primary,
 )
-from beryltrack.failover.detector import LossDetector, compute_silence
+from beryltrack.failover.detector import FailureDetector, compute_primary_silence
 from beryltrack.failover.grants import collect_grants
 from beryltrack.failover.messages import Election, ElectionKind, FailoverReport
 from beryltrack.groups.adapter import DatabaseGroup, StatusWait
@@ -44,27 +44,27 @@
 
 # How often a promotion is asked for again when its answer is lost. Promotion
 # is idempotent, and no other database may be promoted in the same term.
-PROMOTE_TRIES = 3
+MAX_PROMOTE_ATTEMPTS = 3
 
 # Seconds that a promoted database may take to lead, and between two looks at it.
 # Known databases take 0.3 to 1 s.
-LEAD_LIMIT = 3.0
-LEAD_PERIOD = 0.05
+LEAD_TIMEOUT = 3.0
+LEAD_POLL_INTERVAL = 0.05
 
 # Seconds between two attempts of the first in rank to take a permit beforehand.
-PERMIT_PERIOD = 1.0
+PERMIT_RETRY_INTERVAL = 1.0
 
 # Seconds between two attempts to have a replaced primary take no more writes, and
 # how many there are. It ends by itself a second after it reaches the next one.
-STEP_DOWN_PERIOD = 0.25
-STEP_DOWN_TRIES = 20
+STEP_DOWN_INTERVAL = 0.25
+MAX_STEP_DOWN_ATTEMPTS = 20
 
 # Seconds for which the members must have stayed the same before the first in rank
 # takes the permit: at a start they register one after the other.
-PERMIT_DELAY = 2.0
+PERMIT_ACQUIRE_DELAY = 2.0
 
 
-class FailoverOwner(Protocol):
+class FailoverDelegate(Protocol):
     """What a failover asks of the task that owns it."""
 
     @property
@@ -74,10 +74,10 @@
     def get_time(self) -> float:
         """Return a time later than that of any request before."""
 
-    def take_status(self, status: DatabaseStatus, sent_at: float) -> None:
+    def observe_status(self, status: DatabaseStatus, sent_at: float) -> None:
         """Take in a status that came with an answer."""
 
-    def take_report(self, report: FailoverReport) -> None:
+    def report_failover(self, report: FailoverReport) -> None:
         """Take in what was done."""
 
 
@@ -113,8 +113,8 @@
         adapter: DatabaseGroup,
         node_name: str,
         rng: Random,
-        owner: FailoverOwner,
-        detector: LossDetector,
+        owner: FailoverDelegate,
+        detector: FailureDetector,
         policy: FailoverPolicy = DEFAULT_POLICY,
         authority: PromotionAuthority | None = None,
     ):
@@ -161,8 +161,8 @@
             return
         if not self._authority.keeps_permits:
             # Whoever is first in rank does not wait for a holder of the permit.
-            self._decider.set_holder(self._decider.is_first)
-        self._plan_permit(PERMIT_DELAY)
+            self._decider.set_holds_permit(self._decider.is_first)
+        self._plan_permit(PERMIT_ACQUIRE_DELAY)
 
     @property
     def is_candidate(self) -> bool:
@@ -199,7 +199,7 @@
         )
         self._busy = True
         is_loss = election.kind is not ElectionKind.HAND_OVER
-        silence = compute_silence(view, now) if is_loss else 0.0
+        silence = compute_primary_silence(view, now) if is_loss else 0.0
         self._running = _start(self._hold(election, silence))
 
     def _prepare_if_due(self) -> None:
@@ -239,7 +239,7 @@
         log.info(
             "failover: %s leads %s in term %d.", primary, self._group, election.term
         )
-        self._owner.take_report(
+        self._owner.report_failover(
             FailoverReport(
                 self._group,
                 election.kind,
@@ -274,7 +274,7 @@
             bool(get_recovering(self._view)),
         )
         for reply in replies:
-            self._owner.take_status(reply.status, sent_at)
+            self._owner.observe_status(reply.status, sent_at)
         # The replies themselves may show that a database has started again.
         chosen = choose_primary(
             replies,
@@ -282,10 +282,13 @@
             election.preferred,
             self._owner.draining,
             quorum,
-            election.former,
+            election.non_voting_primary,
             get_recovering(self._view),
         )
-        if chosen not in (None, election.former) and election.former:
+        if (
+            chosen not in (None, election.non_voting_primary)
+            and election.non_voting_primary
+        ):
             # It goes on otherwise, and takes writes that nobody confirms.
             _start(self._step_down(election))
         if chosen is None or not await self._promote(election, chosen, replies):
@@ -308,7 +311,7 @@
         self, election: Election, chosen: str, replies: tuple[GrantReply, ...]
     ) -> bool:
         """Make a database the primary; True once it leads."""
-        for _ in range(PROMOTE_TRIES):
+        for _ in range(MAX_PROMOTE_ATTEMPTS):
             token = await self._acquire_permit(self._unanswered)
             if token is None or not self._still_holds(chosen, replies):
                 return False
@@ -319,7 +322,7 @@
             self._unanswered = not isinstance(result, Success)
             if not self._unanswered:
                 reply = result.unwrap()
-                self._owner.take_status(reply.status, sent_at)
+                self._owner.observe_status(reply.status, sent_at)
                 if reply.promoted:
                     leads = await self._wait_leading(chosen, reply.status)
                     # One that does not lead yet may do so later on.
@@ -343,26 +346,26 @@
 
     async def _step_down(self, election: Election) -> None:
         """Have the former primary lead no more, as soon as it can be reached."""
-        for _ in range(STEP_DOWN_TRIES):
+        for _ in range(MAX_STEP_DOWN_ATTEMPTS):
             result = await self._adapter.stop_writes(
-                election.former, election.primary_term or election.term - 1
+                election.non_voting_primary, election.primary_term or election.term - 1
             )
             status = _get_status(result)
             if self._stopped or (status is not None and status.role != PRIMARY):
                 return
-            await deferLater(self._reactor, STEP_DOWN_PERIOD)
+            await deferLater(self._reactor, STEP_DOWN_INTERVAL)
 
     async def _wait_leading(self, chosen: str, status: DatabaseStatus) -> bool:
         """Wait until a database that was promoted says that it leads."""
-        deadline = self._seconds() + LEAD_LIMIT
+        deadline = self._seconds() + LEAD_TIMEOUT
         while status is None or status.role != PRIMARY:
             if self._seconds() >= deadline:
                 return False
-            await deferLater(self._reactor, LEAD_PERIOD)
+            await deferLater(self._reactor, LEAD_POLL_INTERVAL)
             sent_at = self._owner.get_time()
             status = _get_status(await self._adapter.get_status(chosen))
             if status is not None:
-                self._owner.take_status(status, sent_at)
+                self._owner.observe_status(status, sent_at)
         return True
 
     async def _release(self, databases: Iterable[str]) -> None:
@@ -378,7 +381,7 @@
             return 0
         permit = await self._authority.acquire(self._group, renew)
         if self._authority.keeps_permits:
-            self._decider.set_holder(self._authority.holds(self._group))
+            self._decider.set_holds_permit(self._authority.holds(self._group))
         if isinstance(permit, Success):
             return permit.unwrap().token
         log.warning(
@@ -401,7 +404,7 @@
             _start(self._authority.prepare(self._group))
             return
         taking = _start(self._acquire_permit(False))
-        taking.addCallback(lambda _: self._plan_permit(PERMIT_PERIOD))
+        taking.addCallback(lambda _: self._plan_permit(PERMIT_RETRY_INTERVAL))
 
     async def _prepare_hand_over(self, election: Election) -> bool:
         """Stop the writes and let the successor catch up.
@@ -427,7 +430,7 @@
 
     async def _wait_received(self, election: Election, stopped: DatabaseStatus) -> bool:
         """Wait until the successor has received all that the primary wrote."""
-        deadline = self._seconds() + self._policy.hand_over_limit
+        deadline = self._seconds() + self._policy.hand_over_timeout
         wait = StatusWait(election.primary_term, stopped.received.offset)
         while (left := deadline - self._seconds()) > 0:
             status = _get_status(
--- a/beryltrack/failover/unfenced_authority.py
+++ b/beryltrack/failover/unfenced_authority.py
@@ -25,26 +25,26 @@
 from returns.result import Failure, Result, Success
 
 from beryltrack.failover.authority import PATH_PREFIX, Permit, make_permit_value
-from beryltrack.failover.hints import ObjectClient
+from beryltrack.failover.primary_records import ObjectClient
 from beryltrack.objects.eras import EraTracker
 from beryltrack.objects.messages import ErrorKind, PlatformError, PlatformObject
 
 log = logging.getLogger(__name__)
 
-USABLE_TIME = 0.5
+PERMIT_VALIDITY = 0.5
 """Seconds from when the write of a permit is sent until no call under it may begin:
 longer than the 0.3 s that a write takes while the store is slow, and the 0.15 s that
 the databases may take to grant."""
 
-CONNECT_TIME = 0.3
+CONNECT_TIMEOUT = 0.3
 """Seconds that a call may take from its begin until it is sent."""
 
-OVERTAKE_TIME = 1.0
+TAKEOVER_DELAY = 1.0
 """Seconds for which another process's permit must have been seen unchanged before the
 next one is taken: the two times above, and 0.2 s for packets that are on their way."""
 
 
-class SeenPermit(NamedTuple):
+class ObservedPermit(NamedTuple):
     """The permit of a group as the store had it.
 
     Parameters
@@ -67,7 +67,7 @@
         return 0 if self.kept is None else self.kept.version
 
 
-class UsedPermit(NamedTuple):
+class OwnPermit(NamedTuple):
     """A permit of this process, and when its write was sent."""
 
     permit: Permit
@@ -106,8 +106,8 @@
         self._holder = holder
         self._process = process
         self._seconds = seconds
-        self._seen: dict[str, SeenPermit] = {}
-        self._used: dict[str, UsedPermit] = {}
+        self._seen: dict[str, ObservedPermit] = {}
+        self._used: dict[str, OwnPermit] = {}
 
     def holds(self, group: str) -> bool:
         """Return False: no permit is kept."""
@@ -138,7 +138,7 @@
             return _refuse("the permit of another instance is too young")
         return await self._take(group, seen)
 
-    async def _take(self, group: str, seen: SeenPermit) -> Result:
+    async def _take(self, group: str, seen: ObservedPermit) -> Result:
         """Write the permit that follows one that was seen."""
         sent_at = self._seconds()
         value = make_permit_value(self._holder, seen.version)
@@ -156,7 +156,7 @@
         version = written.unwrap()
         permit = Permit(self._holder, version)
         self._observe(group, PlatformObject(path, version, value, False))
-        used = self._used[group] = UsedPermit(permit, sent_at)
+        used = self._used[group] = OwnPermit(permit, sent_at)
         log.info("failover: %s: permit with token %d.", group, permit.token)
         if not self._is_usable(used):
             return _refuse("the store took too long to write the permit")
@@ -168,24 +168,24 @@
         version = 0 if kept is None else kept.version
         is_same = seen is not None and seen.version == version
         seen_at = seen.seen_at if is_same else self._seconds()
-        self._seen[group] = SeenPermit(kept, seen_at, era)
+        self._seen[group] = ObservedPermit(kept, seen_at, era)
 
-    def _get_seen(self, group: str) -> SeenPermit | None:
+    def _get_seen(self, group: str) -> ObservedPermit | None:
         """Return the permit as it was last seen in the store's present era."""
         seen = self._seen.get(group)
         return seen if seen is not None and seen.era == self._eras.era else None
 
-    def _is_usable(self, used: UsedPermit) -> bool:
+    def _is_usable(self, used: OwnPermit) -> bool:
         """Return whether a call under a permit of this process may begin."""
-        return self._seconds() - used.sent_at <= USABLE_TIME
+        return self._seconds() - used.sent_at <= PERMIT_VALIDITY
 
-    def _may_overtake(self, seen: SeenPermit) -> bool:
+    def _may_overtake(self, seen: ObservedPermit) -> bool:
         """Return whether no other process can still call under a permit."""
-        if self._eras.age < OVERTAKE_TIME:
+        if self._eras.age < TAKEOVER_DELAY:
             return False
         if seen.kept is None or _get_process(seen.kept) == self._process:
             return True
-        return self._seconds() - seen.seen_at >= OVERTAKE_TIME
+        return self._seconds() - seen.seen_at >= TAKEOVER_DELAY
 
 
 def _get_process(kept: PlatformObject) -> str:
--- a/beryltrack/groups/task.py
+++ b/beryltrack/groups/task.py
@@ -16,7 +16,7 @@
 from beryltrack.clock import get_monotonic_clock
 from beryltrack.failover.authority import PromotionAuthority
 from beryltrack.failover.decider import DEFAULT_POLICY, FailoverPolicy
-from beryltrack.failover.detector import FixedDetector, LossDetector
+from beryltrack.failover.detector import FailureDetector, FixedTimeoutDetector
 from beryltrack.failover.messages import FailoverReport
 from beryltrack.failover.task import FailoverTask
 from beryltrack.groups.adapter import DatabaseGroup
@@ -49,7 +49,7 @@
 from beryltrack.groups.watches import GroupWatches
 from beryltrack.pause_aware_clock import Pause, get_pause_aware_clock
 from beryltrack.settings.messages import GroupSettings
-from beryltrack.transactions.waits import CommitWaits
+from beryltrack.transactions.pending_commits import PendingCommits
 
 log = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
         node_name: str,
         rng: Random,
         policy: ProbePolicy | None = None,
-        detector: LossDetector | None = None,
+        detector: FailureDetector | None = None,
         authority: PromotionAuthority | None = None,
         failover_policy: FailoverPolicy = DEFAULT_POLICY,
         proof: LeadershipProof = LeadershipProof.MAJORITY,
@@ -109,9 +109,9 @@
         self._adapter = adapter
         self._seconds = get_monotonic_clock(reactor)
         self._policy = policy or make_probe_policy(group_settings.lost_after)
-        self._detector = detector or FixedDetector(group_settings.lost_after)
+        self._detector = detector or FixedTimeoutDetector(group_settings.lost_after)
         self._decider = GroupDecider(group_settings.name, names, draining, proof)
-        self._commits = CommitWaits(reactor, len(names))
+        self._commits = PendingCommits(reactor, len(names))
         self._watches = GroupWatches(reactor, adapter, self, names)
         self._failover = FailoverTask(
             reactor,
@@ -193,7 +193,7 @@
         self._adapter.set_databases(group_settings.databases)
         restarted = self._decider.set_databases(names, self._seconds())
         self._decider.set_draining(get_draining(group_settings))
-        self._commits.keep_databases(names)
+        self._commits.set_databases(names)
         self._failover.set_databases(names)
         self._pace.keep_databases(names)
         self._waiters.keep_databases(names)
@@ -265,7 +265,7 @@
         sent_at = self.get_time()
         result = await self._adapter.get_status(database)
         if isinstance(result, Success):
-            self.take_status(result.unwrap(), sent_at)
+            self.observe_status(result.unwrap(), sent_at)
         elif self.has_answered_since(database, sent_at):
             # The other instance must not take it for lost either.
             return Failure(result.failure()._replace(is_answered=True))
@@ -496,7 +496,7 @@
         """Take in the result of a request to a database."""
         self._awake.record_tick()
         if isinstance(result, Success):
-            self.take_status(result.unwrap(), sent_at)
+            self.observe_status(result.unwrap(), sent_at)
             if self._pace.turns_to_all(self._seconds()):
                 self._watches.wake_replicas(self.view)
             return
@@ -510,10 +510,10 @@
         self._decider.observe_failure(database, self._seconds())
         self._report_view()
 
-    def take_status(self, status: DatabaseStatus, sent_at: float) -> None:
+    def observe_status(self, status: DatabaseStatus, sent_at: float) -> None:
         """Take in a status, and answer all who waited for what it shows."""
         if self._decider.observe_status(status, sent_at, self._seconds()):
-            self._commits.forget(status.name)
+            self._commits.reset_database(status.name)
             self._note_restart(status.name)
         if status.name == self.view.primary:
             self._pace.note_primary_status(sent_at)
@@ -541,7 +541,7 @@
         if self._failover.is_candidate and self.view.primary:
             self.wake(self.view.primary)
 
-    def take_report(self, report: FailoverReport) -> None:
+    def report_failover(self, report: FailoverReport) -> None:
         """Tell the subscribers of a change of primary that this node made."""
         self._watches.wake_all()
         for callback in tuple(self._failover_subscribers):
@@ -578,7 +578,7 @@
 
     def _get_until_lost(self, item: DatabaseView) -> float:
         """Return after how much more silence a replica will have lost its primary."""
-        return self._detector.get_limit(item.name) - item.heard_age
+        return self._detector.get_timeout(item.name) - item.heard_age
 
     def _answer_samples(self) -> None:
         """Answer those who wait for a sample, or for the proof of a term."""
--- a/beryltrack/transactions/decider.py
+++ b/beryltrack/transactions/decider.py
@@ -28,9 +28,9 @@
 from beryltrack.groups.view import compute_majority
 
 # A database's history has at most so many terms; older ones are not told.
-HISTORY_LIMIT = 32
+MAX_HISTORY_TERMS = 32
 # Terms for which receipts are kept for each database.
-TERMS_KEPT = 4
+MAX_RECEIPT_TERMS = 4
 
 
 class CommitOutcome(Enum):
@@ -41,7 +41,7 @@
     UNKNOWN = "unknown"
 
 
-class Decision(NamedTuple):
+class CommitDecision(NamedTuple):
     """The outcome of one pending commit.
 
     Parameters
@@ -60,7 +60,7 @@
     term: int
 
 
-class FinalLog(NamedTuple):
+class CommittedPrefix(NamedTuple):
     """A part of the log that every later primary has.
 
     Parameters
@@ -75,7 +75,7 @@
     end: LogPosition
 
 
-class ConfirmDecider:
+class CommitDecider:
     """The commits of one group that wait for a majority.
 
     Parameters
@@ -89,14 +89,14 @@
         self._pending: dict[int, LogPosition] = {}
         self._receipts: dict[str, dict[int, int]] = {}
         self._primaries: dict[int, str] = {}
-        self._final: FinalLog | None = None
+        self._final: CommittedPrefix | None = None
 
     @property
     def pending(self) -> int:
         """Number of commits that wait."""
         return len(self._pending)
 
-    def keep_databases(self, names: Collection[str]) -> None:
+    def set_databases(self, names: Collection[str]) -> None:
         """Take the group's members from new settings; others confirm nothing more."""
         self._majority = compute_majority(len(names))
         self._receipts = {
@@ -106,14 +106,14 @@
             term: name for term, name in self._primaries.items() if name in names
         }
 
-    def forget(self, name: str) -> None:
+    def reset_database(self, name: str) -> None:
         """Forget what a database has received or led: it has started again empty."""
         self._receipts.pop(name, None)
         self._primaries = {
             term: each for term, each in self._primaries.items() if each != name
         }
 
-    def add(self, key: int, position: LogPosition) -> Decision | None:
+    def add(self, key: int, position: LogPosition) -> CommitDecision | None:
         """Add a commit and return its outcome if it is known already.
 
         Parameters
@@ -157,7 +157,7 @@
             default=None,
         )
 
-    def observe_status(self, status: DatabaseStatus) -> tuple[Decision, ...]:
+    def observe_status(self, status: DatabaseStatus) -> tuple[CommitDecision, ...]:
         """Take in a database's status and return the commits that it decides.
 
         Parameters
@@ -170,8 +170,8 @@
         tuple of Decision
             The commits that need not wait any longer.
         """
-        self._note_receipt(status)
-        self._note_final_log(status)
+        self._record_receipt(status)
+        self._advance_committed_prefix(status)
         decided = tuple(
             decision
             for key, position in self._pending.items()
@@ -181,7 +181,7 @@
             del self._pending[decision.key]
         return decided
 
-    def _note_receipt(self, status: DatabaseStatus) -> None:
+    def _record_receipt(self, status: DatabaseStatus) -> None:
         """Keep how far a database received entries of the term that it is in."""
         if status.role == PRIMARY:
             self._primaries[status.term] = status.name
@@ -190,10 +190,10 @@
         receipts = self._receipts.setdefault(status.name, {})
         before = receipts.get(status.term, 0)
         receipts[status.term] = max(before, status.received.offset)
-        for term in sorted(receipts)[:-TERMS_KEPT]:
+        for term in sorted(receipts)[:-MAX_RECEIPT_TERMS]:
             del receipts[term]
 
-    def _note_final_log(self, status: DatabaseStatus) -> None:
+    def _advance_committed_prefix(self, status: DatabaseStatus) -> None:
         """Keep the log up to a term's first entry once a majority has it."""
         known = self._final.end.term if self._final else 0
         if status.received.term != status.term or status.term <= known:
@@ -203,7 +203,7 @@
         start = status.history[-1]
         first = LogPosition(start.term, start.offset + 1)
         if self._count_receipts(first) >= self._majority:
-            self._final = FinalLog(status.history, first)
+            self._final = CommittedPrefix(status.history, first)
 
     def _count_receipts(self, position: LogPosition) -> int:
         """Return how many databases received an entry while in its term."""
@@ -216,15 +216,15 @@
         writer = self._primaries.get(position.term)
         return len(holders | {writer} if writer else holders)
 
-    def _decide(self, key: int, position: LogPosition) -> Decision | None:
+    def _decide(self, key: int, position: LogPosition) -> CommitDecision | None:
         if self._count_receipts(position) >= self._majority:
-            return Decision(key, CommitOutcome.CONFIRMED, position.term)
+            return CommitDecision(key, CommitOutcome.CONFIRMED, position.term)
         final = self._final
         if final is None or final.end.term <= position.term:
             return None
         oldest = final.history[0].term
-        if len(final.history) >= HISTORY_LIMIT and position.term < oldest:
+        if len(final.history) >= MAX_HISTORY_TERMS and position.term < oldest:
             return None
         kept = has_entry(final.history, final.end, position)
         outcome = CommitOutcome.CONFIRMED if kept else CommitOutcome.ROLLED_BACK
-        return Decision(key, outcome, final.end.term)
+        return CommitDecision(key, outcome, final.end.term)
--- a/beryltrack/transactions/waits.py
+++ b/beryltrack/transactions/pending_commits.py
@@ -8,10 +8,10 @@
 from beryltrack.groups.messages import DatabaseStatus, LogPosition
 from beryltrack.groups.waiters import make_timed_deferred
 from beryltrack.pause_aware_clock import get_pause_aware_clock
-from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
+from beryltrack.transactions.decider import CommitDecider, CommitOutcome
 
 
-class CommitWaits:
+class PendingCommits:
     """The commits of one group whose outcome somebody waits for.
 
     Parameters
@@ -24,7 +24,7 @@
 
     def __init__(self, reactor, size: int):
         self._awake = get_pause_aware_clock(reactor)
-        self._decider = ConfirmDecider(size)
+        self._decider = CommitDecider(size)
         self._keys = itertools.count()
         self._waiting: dict[int, Deferred] = {}
 
@@ -65,13 +65,13 @@
         """Number of commits that wait."""
         return self._decider.pending
 
-    def keep_databases(self, names: Collection[str]) -> None:
+    def set_databases(self, names: Collection[str]) -> None:
         """Take the group's members from new settings; others confirm nothing more."""
-        self._decider.keep_databases(names)
+        self._decider.set_databases(names)
 
-    def forget(self, database: str) -> None:
+    def reset_database(self, database: str) -> None:
         """Forget what a database has received: it has started again empty."""
-        self._decider.forget(database)
+        self._decider.reset_database(database)
 
     def observe_status(self, status: DatabaseStatus) -> int:
         """Take in a status, answer whose commits it decides, return their number."""
--- a/beryltrack_bench/experiments/detection.py
+++ b/beryltrack_bench/experiments/detection.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from beryltrack.failover.detector import FixedDetector, LossDetector
+from beryltrack.failover.detector import FailureDetector, FixedTimeoutDetector
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.experiments.failover import run_calm, run_loss
 from beryltrack_bench.losses.accrual import AccrualDetector
@@ -42,10 +42,10 @@
     detector: str
     setting: float
 
-    def make(self) -> LossDetector:
+    def make(self) -> FailureDetector:
         """Return a new detector."""
         if self.detector == "fixed":
-            return FixedDetector(self.setting)
+            return FixedTimeoutDetector(self.setting)
         return AccrualDetector(self.setting, first_limit=0.3)
 
 
--- a/beryltrack_bench/losses/accrual.py
+++ b/beryltrack_bench/losses/accrual.py
@@ -57,6 +57,6 @@
             limit = fmean(silences) + self._deviations * pstdev(silences)
             self._limits[name] = min(max(limit, SHORTEST_LIMIT), LONGEST_LIMIT)
 
-    def get_limit(self, database: str) -> float:
+    def get_timeout(self, database: str) -> float:
         """Return the seconds without a word after which the primary is lost."""
         return self._limits.get(database, self._first_limit)
--- a/beryltrack_bench/losses/site.py
+++ b/beryltrack_bench/losses/site.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import NamedTuple
 
-from beryltrack.failover.detector import LossDetector
-from beryltrack.failover.hints import HintWriter
+from beryltrack.failover.detector import FailureDetector
+from beryltrack.failover.primary_records import PrimaryRecordWriter
 from beryltrack.groups.task import GroupTask
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
 from beryltrack_bench.deployment import Deployment, get_zone
@@ -55,7 +55,7 @@
     lost_after: float
     store: Store = Store.UP
     bad_link: bool = False
-    make_detector: Callable[[], LossDetector] | None = None
+    make_detector: Callable[[], FailureDetector] | None = None
 
 
 class LossSite:
@@ -159,7 +159,7 @@
         detector = make_detector() if make_detector else None
         task = GroupTask(proxy, settings, adapter, proxy.name, rng, detector=detector)
         client = FakePlatformClient(self.platform, self.network, proxy)
-        task.subscribe_failover(HintWriter(proxy, client, rng).write)
+        task.subscribe_failover(PrimaryRecordWriter(proxy, client, rng).write)
         return task
 
     def _cut_one_link(self) -> None:
--- a/tests/failover/lost_primary.py
+++ b/tests/failover/lost_primary.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from beryltrack.failover.detector import FixedDetector
+from beryltrack.failover.detector import FixedTimeoutDetector
 from beryltrack.failover.task import FailoverTask
 from beryltrack.groups.messages import PRIMARY, REPLICA, LogPosition
 from beryltrack.groups.view import DatabaseView, GroupView
@@ -21,10 +21,10 @@
         self.get_time = clock.seconds
         self.reports = []
 
-    def take_status(self, status, sent_at):
+    def observe_status(self, status, sent_at):
         pass
 
-    def take_report(self, report):
+    def report_failover(self, report):
         self.reports.append(report)
 
 
@@ -42,7 +42,7 @@
         "node",
         Random(1),
         owner,
-        FixedDetector(0.5),
+        FixedTimeoutDetector(0.5),
         policy,
         authority,
     )
--- a/tests/failover/test_decider.py
+++ b/tests/failover/test_decider.py
@@ -11,7 +11,11 @@
     choose_primary,
     get_successor,
 )
-from beryltrack.failover.detector import FixedDetector, compute_lost_at, is_lost
+from beryltrack.failover.detector import (
+    FixedTimeoutDetector,
+    compute_loss_time,
+    is_primary_lost,
+)
 from beryltrack.failover.messages import ElectionKind
 from beryltrack.failover.ranking import compute_rank
 from beryltrack.groups.messages import (
@@ -24,7 +28,7 @@
 from beryltrack.groups.view import DatabaseView, GroupView
 
 NODES = ("n1", "n2", "n3")
-LOST = FixedDetector(0.5)
+LOST = FixedTimeoutDetector(0.5)
 
 
 def make_replica(name, heard_age=0.0, term=1, **fields):
@@ -81,14 +85,14 @@
 
 def test_all_nodes_count_from_the_moment_that_the_databases_tell():
     view = make_view(make_replica("b", 0.7), make_replica("c", 0.9), reachable=False)
-    assert compute_lost_at(view, LOST, 10.0) == pytest.approx(9.8)
+    assert compute_loss_time(view, LOST, 10.0) == pytest.approx(9.8)
     later = view._replace(
         databases=tuple(
             item._replace(heard_age=item.heard_age + 0.05, seen_at=10.05)
             for item in view.databases
         )
     )
-    assert compute_lost_at(later, LOST, 10.06) == pytest.approx(9.8)
+    assert compute_loss_time(later, LOST, 10.06) == pytest.approx(9.8)
 
 
 def test_it_is_told_when_to_decide_again():
@@ -106,7 +110,7 @@
     waits = []
     for _ in range(6):
         election = decider.decide(DEAD, 10.0)
-        waits.append(election.grant_wait)
+        waits.append(election.grant_timeout)
         decider.observe_outcome(election, False, 1.0)
     assert waits == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.6, 2.0])
 
@@ -122,7 +126,7 @@
     ids=["own link", "one replica", "old answer", "silent replica"],
 )
 def test_no_loss_without_the_fresh_word_of_a_majority(view):
-    assert not is_lost(view, LOST, 9.5)
+    assert not is_primary_lost(view, LOST, 9.5)
     assert make_decider(nodes=("n1",)).decide(view, 10.0) is None
 
 
@@ -131,12 +135,12 @@
     decider.decide(HEALTHY, 9.0)
     view = make_view(make_replica("b", 0.6, term=2), make_replica("c", 0.6, term=2))
     assert decider.decide(view, 10.0) is None
-    assert decider.decide(view, 10.0 + DEFAULT_POLICY.settle + 0.001).term == 3
+    assert decider.decide(view, 10.0 + DEFAULT_POLICY.settle_time + 0.001).term == 3
 
 
 def test_failed_attempts_back_off_ever_longer():
     decider = make_decider(nodes=("n1",))
-    first, last = DEFAULT_POLICY.first_backoff, DEFAULT_POLICY.last_backoff
+    first, last = DEFAULT_POLICY.initial_backoff, DEFAULT_POLICY.max_backoff
     now = 1.0
     for mean in (first, 2 * first, 4 * first, 8 * first, 16 * first, last, last):
         election = decider.decide(DEAD, now)
@@ -175,7 +179,7 @@
     decider = make_decider(nodes=("n1",))
     view = make_view(make_replica("b"), make_replica("c", 0.9, term=2))
     assert decider.decide(view, 10.0) is None
-    election = decider.decide(view, 10.0 + DEFAULT_POLICY.fresh)
+    election = decider.decide(view, 10.0 + DEFAULT_POLICY.max_status_age)
     assert (election.kind, election.term) == (ElectionKind.RECLAIM, 3)
     assert election.preferred == "a"
 
@@ -241,17 +245,17 @@
 
 
 def test_a_deposed_primary_counts_as_one_that_lost_its_primary():
-    assert is_lost(make_twice_lost_view(0.5), LOST, 9.0)
-    assert not is_lost(make_twice_lost_view(0.1), LOST, 9.0)
+    assert is_primary_lost(make_twice_lost_view(0.5), LOST, 9.0)
+    assert not is_primary_lost(make_twice_lost_view(0.1), LOST, 9.0)
 
 
 def test_a_promotion_that_the_replicas_have_not_heard_of_is_no_loss():
     view = make_twice_lost_view(0.6)
     databases = tuple(item._replace(reachable=True) for item in view.databases)
-    assert not is_lost(view._replace(databases=databases), LOST, 9.0)
+    assert not is_primary_lost(view._replace(databases=databases), LOST, 9.0)
     heard = databases[2]._replace(received=LogPosition(2, 5))
     databases = (*databases[:2], heard)
-    assert is_lost(view._replace(databases=databases), LOST, 9.0)
+    assert is_primary_lost(view._replace(databases=databases), LOST, 9.0)
 
 
 def test_a_deposed_primary_is_asked_although_it_hears_itself():
--- a/tests/failover/test_detector.py
+++ b/tests/failover/test_detector.py
@@ -1,6 +1,6 @@
 """When a primary was last heard."""
 
-from beryltrack.failover.detector import compute_silence
+from beryltrack.failover.detector import compute_primary_silence
 from beryltrack.groups.messages import PRIMARY
 from beryltrack.groups.view import DatabaseView, GroupView
 
@@ -18,8 +18,8 @@
         DatabaseView("c", reachable=True, seen_at=9.75, heard_age=0.75),
         DatabaseView("d", reachable=False, seen_at=9.9, heard_age=0.0),
     )
-    assert compute_silence(view, NOW) == 1.0
+    assert compute_primary_silence(view, NOW) == 1.0
 
 
 def test_group_without_a_reachable_replica_has_no_known_silence():
-    assert compute_silence(make_view(DatabaseView("b")), NOW) == 0.0
+    assert compute_primary_silence(make_view(DatabaseView("b")), NOW) == 0.0
--- a/tests/failover/test_former_primary.py
+++ b/tests/failover/test_former_primary.py
@@ -8,7 +8,7 @@
 from beryltrack.failover.decider import FailoverPolicy, choose_primary
 from beryltrack.failover.grants import collect_grants
 from beryltrack.failover.messages import Election, ElectionKind
-from beryltrack.failover.task import STEP_DOWN_PERIOD
+from beryltrack.failover.task import STEP_DOWN_INTERVAL
 from beryltrack.groups.adapter import PromoteReply
 from beryltrack.groups.messages import (
     PRIMARY,
@@ -22,7 +22,7 @@
 from beryltrack.objects.messages import ErrorKind, PlatformError
 from tests.failover.lost_primary import NAMES, lose_primary
 
-POLICY = FailoverPolicy(has_authority=True, former_goes_on=True)
+POLICY = FailoverPolicy(has_authority=True, former_accepts_writes=True)
 
 
 def make_reply(name, offset=5, granted=True):
@@ -115,10 +115,10 @@
 def test_the_former_primary_is_stepped_down_until_it_answers():
     clock, group, _, owner = start("b", "c")
     assert len(group.promoted) == 1 and owner.reports
-    clock.pump([STEP_DOWN_PERIOD] * 3)
+    clock.pump([STEP_DOWN_INTERVAL] * 3)
     assert group.stepped == [("a", 1)] * 4
     group.answers = NAMES
-    clock.pump([STEP_DOWN_PERIOD] * 4)
+    clock.pump([STEP_DOWN_INTERVAL] * 4)
     assert len(group.stepped) == 5
 
 
@@ -203,7 +203,16 @@
     """Guards against commits that it receives and confirms after its grant."""
     clock, group = Clock(), GoingOn()
     election = Election(
-        ElectionKind.LOST, 3, "node/1", 0.5, "a", 2, "", 0.5, ("b",), former="a"
+        ElectionKind.LOST,
+        3,
+        "node/1",
+        0.5,
+        "a",
+        2,
+        "",
+        0.5,
+        ("b",),
+        non_voting_primary="a",
     )
     collecting = Deferred.fromCoroutine(
         collect_grants(clock, group, NAMES, election, 2)
--- a/tests/failover/test_hand_over_backoff.py
+++ b/tests/failover/test_hand_over_backoff.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from beryltrack.failover.decider import FailoverDecider
-from beryltrack.failover.detector import FixedDetector
+from beryltrack.failover.detector import FixedTimeoutDetector
 from beryltrack.failover.messages import ElectionKind
 from beryltrack.groups.messages import PRIMARY, LogPosition
 from beryltrack.groups.view import DatabaseView, GroupView
@@ -15,14 +15,14 @@
     for name in ("b", "c")
 )
 VIEW = GroupView("group", 1, "a", END, databases=(LEADER, *REPLICAS))
-MOST_STEPS = 6000
+MAX_STEPS = 6000
 
 
 def measure_pauses(count):
     """Return the seconds between hand-overs that all fail at once."""
-    decider = FailoverDecider("group", "node", FixedDetector(0.5), Random(1))
+    decider = FailoverDecider("group", "node", FixedTimeoutDetector(0.5), Random(1))
     times = []
-    for now in (step / 100 for step in range(MOST_STEPS)):
+    for now in (step / 100 for step in range(MAX_STEPS)):
         databases = tuple(item._replace(seen_at=now) for item in VIEW.databases)
         election = decider.decide(VIEW._replace(databases=databases), now)
         if election is not None:
--- a/tests/failover/test_hints.py
+++ b/tests/failover/test_hints.py
@@ -5,8 +5,8 @@
 from returns.result import Failure, Success
 from twisted.internet.task import Clock
 
-from beryltrack.failover.hints import MAX_TRIES, HintWriter
 from beryltrack.failover.messages import ElectionKind, FailoverReport
+from beryltrack.failover.primary_records import MAX_ATTEMPTS, PrimaryRecordWriter
 from beryltrack.objects.messages import ErrorKind, PlatformError, PlatformObject
 
 REPORT = FailoverReport("g", ElectionKind.LOST, 4, "b", 0.25, 0.3)
@@ -33,7 +33,9 @@
 
 def write(client):
     clock, results = Clock(), []
-    HintWriter(clock, client, Random(1)).write(REPORT).addCallback(results.append)
+    PrimaryRecordWriter(clock, client, Random(1)).write(REPORT).addCallback(
+        results.append
+    )
     clock.pump([1.0] * 300)
     return results
 
@@ -53,4 +55,4 @@
 def test_a_store_that_stays_down_is_given_up():
     client = FakeClient(refusals=1000)
     assert write(client) == [False]
-    assert client.calls == MAX_TRIES
+    assert client.calls == MAX_ATTEMPTS
--- a/tests/failover/test_permits.py
+++ b/tests/failover/test_permits.py
@@ -5,7 +5,7 @@
 
 from beryltrack.failover.authority import Permit
 from beryltrack.failover.decider import FailoverPolicy
-from beryltrack.failover.task import LEAD_LIMIT
+from beryltrack.failover.task import LEAD_TIMEOUT
 from beryltrack.groups.adapter import PromoteReply
 from beryltrack.groups.messages import (
     PRIMARY,
@@ -81,7 +81,7 @@
     clock, databases, authority = Clock(), Databases(*promotions), Authority()
     policy = FailoverPolicy(has_authority=True)
     owner = lose_primary(clock, databases, authority, policy)
-    clock.pump([0.05] * int(LEAD_LIMIT / 0.05 + 5))
+    clock.pump([0.05] * int(LEAD_TIMEOUT / 0.05 + 5))
     return databases, authority, owner
 
 
--- a/tests/failover/test_restored_permits.py
+++ b/tests/failover/test_restored_permits.py
@@ -23,7 +23,7 @@
 from twisted.internet.defer import Deferred
 
 from beryltrack.daemon.store_clients import make_store_clients
-from beryltrack.failover.unfenced_authority import CONNECT_TIME, USABLE_TIME
+from beryltrack.failover.unfenced_authority import CONNECT_TIMEOUT, PERMIT_VALIDITY
 from beryltrack.objects.http import HttpClient
 from beryltrack.objects.rejects import RejectLog
 from beryltrack.platform.boot import parse_node_settings
@@ -46,7 +46,7 @@
     @property
     def used_until(self):
         """When the last call under it may be sent where no fence is checked."""
-        return self.given_at + USABLE_TIME + CONNECT_TIME
+        return self.given_at + PERMIT_VALIDITY + CONNECT_TIMEOUT
 
 
 class Process:
--- a/tests/failover/test_task.py
+++ b/tests/failover/test_task.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 from twisted.internet.task import Clock, deferLater
 
-from beryltrack.failover.detector import FixedDetector
+from beryltrack.failover.detector import FixedTimeoutDetector
 from beryltrack.failover.messages import ElectionKind
 from beryltrack.failover.task import FailoverTask
 from beryltrack.groups.messages import ControlFailure, DatabaseStatus, LogPosition
@@ -136,7 +136,7 @@
         "n1",
         Random(1),
         owner,
-        FixedDetector(0.5),
+        FixedTimeoutDetector(0.5),
     )
     fields = {"term": 1, "reachable": True, "heard_age": 0.0, "seen_at": 9.0}
     leader = DatabaseView("a", "primary", **fields, leaving=True)
--- a/tests/failover/test_unfenced_authority.py
+++ b/tests/failover/test_unfenced_authority.py
@@ -6,9 +6,9 @@
 
 from beryltrack.failover.authority import PATH_PREFIX
 from beryltrack.failover.unfenced_authority import (
-    CONNECT_TIME,
-    OVERTAKE_TIME,
-    USABLE_TIME,
+    CONNECT_TIMEOUT,
+    PERMIT_VALIDITY,
+    TAKEOVER_DELAY,
     UnfencedAuthority,
 )
 from beryltrack.objects.messages import ErrorKind, PlatformError
@@ -31,7 +31,7 @@
         first, second = self.make("node-1"), self.make("node-2", "p2")
         acquire(first)
         prepare(second)
-        self.pass_time(OVERTAKE_TIME)
+        self.pass_time(TAKEOVER_DELAY)
         return first, second
 
     def pass_time(self, seconds):
@@ -51,7 +51,7 @@
     site = Site()
     authority = site.make("node-1")
     assert [acquire(authority), acquire(authority)] == [1, 1]
-    site.pass_time(USABLE_TIME + 0.01)
+    site.pass_time(PERMIT_VALIDITY + 0.01)
     assert acquire(authority) == 2
     assert acquire(authority, renew=True) == 3
 
@@ -61,9 +61,9 @@
     first, second = site.make("node-1"), site.make("node-2", "p2")
     assert acquire(first) == 1
     assert acquire(second) is None
-    site.pass_time(USABLE_TIME + CONNECT_TIME)
+    site.pass_time(PERMIT_VALIDITY + CONNECT_TIMEOUT)
     assert acquire(second) is None
-    site.pass_time(OVERTAKE_TIME - USABLE_TIME - CONNECT_TIME)
+    site.pass_time(TAKEOVER_DELAY - PERMIT_VALIDITY - CONNECT_TIMEOUT)
     assert acquire(second) == 2
 
 
@@ -78,7 +78,7 @@
     assert acquire(second) == 2
     # It wakes, and knows nothing of the other one.
     assert acquire(first) is None
-    site.pass_time(OVERTAKE_TIME)
+    site.pass_time(TAKEOVER_DELAY)
     assert acquire(first) == 3
 
 
@@ -87,7 +87,7 @@
     assert acquire(site.make("node-1", "p1")) == 1
     again = site.make("node-1", "p2")
     assert acquire(again) is None
-    site.pass_time(OVERTAKE_TIME)
+    site.pass_time(TAKEOVER_DELAY)
     assert acquire(again) == 2
 
 
@@ -95,7 +95,7 @@
     site = Site()
     authority = site.make("node-1")
     acquire(authority)
-    site.pass_time(USABLE_TIME + 0.01)
+    site.pass_time(PERMIT_VALIDITY + 0.01)
     site.store.is_down = True
     assert acquire(authority) is None
 
@@ -103,7 +103,7 @@
 def test_a_write_whose_answer_is_late_gives_no_permit():
     site = Site()
     authority = site.make("node-1")
-    site.store.before_put = lambda: site.pass_time(USABLE_TIME + 0.01)
+    site.store.before_put = lambda: site.pass_time(PERMIT_VALIDITY + 0.01)
     assert acquire(authority) is None
     site.store.before_put = lambda: None
     assert acquire(authority) == 2
@@ -129,7 +129,7 @@
     first, second = site.make_pair()
     acquire(first, renew=True)
     assert acquire(second) is None
-    site.pass_time(OVERTAKE_TIME)
+    site.pass_time(TAKEOVER_DELAY)
     assert acquire(second) == 3
 
 
--- a/tests/objects/test_restored_registration.py
+++ b/tests/objects/test_restored_registration.py
@@ -5,8 +5,8 @@
 from treq.testing import RequestTraversalAgent
 from twisted.internet.task import Clock
 
-from beryltrack.failover.hints import PATH_PREFIX, HintWriter
 from beryltrack.failover.messages import ElectionKind, FailoverReport
+from beryltrack.failover.primary_records import PATH_PREFIX, PrimaryRecordWriter
 from beryltrack.objects.client import PlatformClient
 from beryltrack.objects.eras import RESTORE_SPREAD
 from beryltrack.objects.registration import PREFIX, RegistrationTask
@@ -62,11 +62,11 @@
 def test_a_record_of_who_leads_that_was_lost_is_written_again():
     site = Site()
     copy = site.platform.store.make_backup()
-    writer = HintWriter(site.clock, site.client, site.rng)
+    writer = PrimaryRecordWriter(site.clock, site.client, site.rng)
     writer.write(FailoverReport("g", ElectionKind.LOST, 4, "b", 0.25, 0.3))
     site.advance(2.0)
     site.platform.restore(copy)
-    site.client.eras.subscribe(lambda era: writer.write_again())
+    site.client.eras.subscribe(lambda era: writer.rewrite_all())
     site.hear()
     site.advance(LIMIT)
     assert site.platform.store.get(f"{PATH_PREFIX}g").value["primary"] == "b"
--- a/tests/transactions/test_decider.py
+++ b/tests/transactions/test_decider.py
@@ -8,10 +8,10 @@
     TermStart,
 )
 from beryltrack.transactions.decider import (
-    HISTORY_LIMIT,
+    MAX_HISTORY_TERMS,
+    CommitDecider,
+    CommitDecision,
     CommitOutcome,
-    ConfirmDecider,
-    Decision,
 )
 
 FIRST = (TermStart(1, 0),)
@@ -22,24 +22,24 @@
 
 
 def test_the_primary_and_one_replica_of_two_are_enough():
-    decider = ConfirmDecider(3)
+    decider = CommitDecider(3)
     decider.observe_status(make_status("a", 1, LogPosition(1, 1), role=PRIMARY))
     assert decider.add(7, LogPosition(1, 5)) is None
     assert decider.observe_status(make_status("b", 1, LogPosition(1, 4))) == ()
     decided = decider.observe_status(make_status("b", 1, LogPosition(1, 6)))
-    assert decided == (Decision(7, CommitOutcome.CONFIRMED, 1),)
+    assert decided == (CommitDecision(7, CommitOutcome.CONFIRMED, 1),)
     assert decider.add(8, LogPosition(1, 6)).outcome is CommitOutcome.CONFIRMED
 
 
 def test_an_unknown_primary_is_not_counted():
-    decider = ConfirmDecider(3)
+    decider = CommitDecider(3)
     assert decider.add(1, LogPosition(1, 5)) is None
     assert decider.observe_status(make_status("b", 1, LogPosition(1, 5))) == ()
     assert decider.observe_status(make_status("c", 1, LogPosition(1, 5)))
 
 
 def test_a_receipt_of_a_database_that_left_the_term_does_not_count():
-    decider = ConfirmDecider(3)
+    decider = CommitDecider(3)
     decider.observe_status(make_status("a", 1, LogPosition(1, 1), role=PRIMARY))
     decider.add(1, LogPosition(1, 5))
     assert decider.observe_status(make_status("b", 2, LogPosition(1, 5))) == ()
@@ -49,7 +49,7 @@
     """The entry (2, 2) can still be overwritten from a log that ends in term 3."""
     old = (TermStart(1, 0), TermStart(2, 1))
     new = (*old, TermStart(4, 2))
-    decider = ConfirmDecider(5)
+    decider = CommitDecider(5)
     decider.observe_status(make_status("a", 2, LogPosition(2, 2), old, PRIMARY))
     assert decider.add(1, LogPosition(2, 2)) is None
     for name in ("b", "c"):
@@ -61,24 +61,24 @@
     )
     assert not decider.observe_status(make_status("b", 4, LogPosition(4, 3), new))
     decided = decider.observe_status(make_status("c", 4, LogPosition(4, 3), new))
-    assert decided == (Decision(1, CommitOutcome.CONFIRMED, 4),)
+    assert decided == (CommitDecision(1, CommitOutcome.CONFIRMED, 4),)
 
 
 def test_a_later_primary_without_the_entry_proves_nothing_by_itself():
     """Before a majority follows it, a database with the entry may replace it."""
     later = (TermStart(1, 0), TermStart(2, 3))
-    decider = ConfirmDecider(3)
+    decider = CommitDecider(3)
     decider.add(1, LogPosition(1, 5))
     status = make_status("b", 2, LogPosition(2, 4), later, PRIMARY)
     assert decider.observe_status(status) == ()
     decided = decider.observe_status(make_status("c", 2, LogPosition(2, 4), later))
-    assert decided == (Decision(1, CommitOutcome.ROLLED_BACK, 2),)
+    assert decided == (CommitDecision(1, CommitOutcome.ROLLED_BACK, 2),)
 
 
 def test_a_term_that_the_history_does_not_reach_back_to_is_not_judged():
-    history = tuple(TermStart(term, term) for term in range(10, 10 + HISTORY_LIMIT))
+    history = tuple(TermStart(term, term) for term in range(10, 10 + MAX_HISTORY_TERMS))
     end = LogPosition(history[-1].term, history[-1].offset + 1)
-    decider = ConfirmDecider(1)
+    decider = CommitDecider(1)
     decider.observe_status(make_status("a", end.term, end, history, PRIMARY))
     assert decider.add(1, LogPosition(9, 5)) is None
     assert decider.add(2, LogPosition(10, 11)).outcome is CommitOutcome.CONFIRMED
@@ -86,7 +86,7 @@
 
 
 def test_one_wait_serves_all_that_are_pending():
-    decider = ConfirmDecider(3)
+    decider = CommitDecider(3)
     decider.observe_status(make_status("a", 1, LogPosition(1, 1), role=PRIMARY))
     assert decider.get_wait_offset("b") is None
     for key, offset in ((1, 6), (2, 5), (3, 9)):
@@ -99,6 +99,6 @@
 
 
 def test_a_status_without_the_history_of_its_term_is_left_out():
-    decider = ConfirmDecider(1)
+    decider = CommitDecider(1)
     decider.observe_status(make_status("a", 2, LogPosition(2, 4), FIRST, PRIMARY))
     assert decider.add(1, LogPosition(1, 1)) is None
--- a/tests/transactions/test_restart_safety.py
+++ b/tests/transactions/test_restart_safety.py
@@ -26,7 +26,7 @@
     get_known_primary_term,
     get_recovering,
 )
-from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
+from beryltrack.transactions.decider import CommitDecider, CommitOutcome
 
 SIZE = 3
 place = st.integers(min_value=0, max_value=SIZE - 1)
@@ -75,17 +75,17 @@
 
     def __init__(self, names):
         self.group = GroupDecider("main", names, proof=LeadershipProof.SELF_REPORT)
-        self.commits = ConfirmDecider(SIZE)
+        self.commits = CommitDecider(SIZE)
 
     def take(self, status, sent_at, now):
         if self.group.observe_status(status, sent_at, now):
-            self.commits.forget(status.name)
+            self.commits.reset_database(status.name)
         if not self.group.is_recovering(status.name):
             self.commits.observe_status(status)
 
     def set_databases(self, names, now):
         self.group.set_databases(names, now)
-        self.commits.keep_databases(names)
+        self.commits.set_databases(names)
 
 
 class RestartMachine(RuleBasedStateMachine):
--- a/tests/transactions/test_safety.py
+++ b/tests/transactions/test_safety.py
@@ -14,7 +14,7 @@
 
 from beryltrack.failover.decider import choose_primary
 from beryltrack.groups.messages import LogPosition
-from beryltrack.transactions.decider import CommitOutcome, ConfirmDecider
+from beryltrack.transactions.decider import CommitDecider, CommitOutcome
 from beryltrack_standins.database.replica_log import ReplicaLog
 
 NODES = 2
@@ -48,7 +48,7 @@
     @initialize(size=st.sampled_from((3, 5)))
     def start(self, size):
         self.logs = [ReplicaLog(f"d{number}") for number in range(size)]
-        self.nodes = [ConfirmDecider(size) for _ in range(NODES)]
+        self.nodes = [CommitDecider(size) for _ in range(NODES)]
         self.mail = []
         self.candidates = []
         self.promotions = []
--- a/tests/transactions/test_waits.py
+++ b/tests/transactions/test_waits.py
@@ -6,7 +6,7 @@
 from beryltrack.groups.messages import PRIMARY, LogPosition
 from beryltrack.pause_aware_clock import RESUME_GRACE, get_pause_aware_clock
 from beryltrack.transactions.decider import CommitOutcome
-from beryltrack.transactions.waits import CommitWaits
+from beryltrack.transactions.pending_commits import PendingCommits
 from tests.transactions.test_decider import make_status
 
 TIMEOUT = 0.8
@@ -16,7 +16,7 @@
 def waits():
     """A commit at offset 5 of which the primary alone has told, before a pause."""
     clock = Clock()
-    waits = CommitWaits(clock, 3)
+    waits = PendingCommits(clock, 3)
     get_pause_aware_clock(clock).start_detection()
     waits.observe_status(make_status("a", 1, LogPosition(1, 5), role=PRIMARY))
     answer = waits.wait(LogPosition(1, 5), TIMEOUT, "a")
