--- a/beryltrack/groups/__init__.py
+++ b/beryltrack/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Database groups: their members, terms, log positions and who leads them."""
+"""Database groups: members, terms, log positions, and which database is the primary."""
--- a/beryltrack/groups/adapter.py
+++ b/beryltrack/groups/adapter.py
@@ -1,8 +1,8 @@
-"""The seam between beryltrack and what a database group offers.
+"""Adapter interface for control requests to the databases of a group.
 
-Everything that is particular to one kind of database stands behind the
-protocol `DatabaseGroup`. A group that arbitrates its primary otherwise needs
-another adapter and another proof, and no change elsewhere.
+`DatabaseGroup` hides everything that is specific to one kind of database. A group
+that chooses its primary in another way needs another adapter and another
+`LeadershipProof`, and no change elsewhere.
 """
 
 from typing import NamedTuple, Protocol
@@ -13,15 +13,16 @@
 from beryltrack.settings.messages import DatabaseSettings
 
 NO_WAIT = -1
+"""Offset in a `StatusWait` that stands for no condition."""
 
 
 class StatusWait(NamedTuple):
-    """What a status is waited for. The first change that comes ends the wait.
+    """Conditions of a long poll for a status; the first one that holds ends it.
 
     Parameters
     ----------
     term : int
-        The wait ends when the database's term is another one.
+        The wait ends when the database's term differs from this one.
     received : int
         The wait ends when this offset is received; `NO_WAIT` for none.
     applied : int
@@ -39,9 +40,9 @@
     Parameters
     ----------
     promoted : bool
-        True if the database leads the term now.
+        True if the database is the primary of the term now.
     status : DatabaseStatus
-        Its state just after the decision.
+        Its state immediately after the decision.
     """
 
     promoted: bool
@@ -49,18 +50,18 @@
 
 
 class ControlLimits(NamedTuple):
-    """Times of control requests.
+    """Time limits of control requests.
 
     Parameters
     ----------
     request_timeout : float
         Seconds until a request counts as failed.
     reconnect_after : float
-        Seconds without an answer after which a connection that was open before is
-        given up and the request is sent over a new one, within the same limit.
+        Seconds without an answer after which a reused connection is closed and the
+        request is sent over a new one, within `request_timeout`.
     relayed_factor : float
-        Factor of both for requests that an owner passes on: it answers the ones
-        before, and judges itself whether the database is silent.
+        Factor of both limits for requests that an owner forwards. The owner answers
+        earlier requests first, and itself decides whether the database is silent.
     """
 
     request_timeout: float
@@ -71,23 +72,26 @@
 class DatabaseGroup(Protocol):
     """Control requests to the databases of one group.
 
-    Each coroutine gives a `returns` result and raises nothing. Requests to one
+    Each coroutine returns a `returns` result and raises nothing. Requests to one
     database are answered in the order in which they were made. A request that
     is not answered within the adapter's own time limit fails.
     """
 
     async def get_status(self, database: str) -> Result[DatabaseStatus, ControlFailure]:
-        """Return what a database says of itself now."""
+        """Return the status that a database reports now."""
 
     async def wait_status(
         self, database: str, wait: StatusWait, timeout: float
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Return the status when `wait` is over, or after `timeout` seconds."""
+        """Return the status when a condition of `wait` holds, or after `timeout` s."""
 
     async def grant(
         self, database: str, term: int, candidate: str, lost_after: float
     ) -> Result[GrantReply, ControlFailure]:
-        """Ask a database to promise `term` to one candidate alone."""
+        """Ask a database to promise `term` to `candidate` and to no other.
+
+        A database that heard from its primary within `lost_after` seconds may refuse.
+        """
 
     async def promote(
         self, database: str, term: int, candidate: str, token: int
@@ -95,19 +99,19 @@
         """Make a database the primary of a term that it granted to `candidate`.
 
         `token` is the fencing token of the permit, where one is needed. The
-        database may lead only some time after the answer.
+        promotion may take effect some time after the answer.
         """
 
     async def stop_writes(
         self, database: str, term: int
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Let the primary of `term` take no more writes for a while."""
+        """Make the primary of `term` refuse writes for a while."""
 
     async def release(self, database: str) -> Result[DatabaseStatus, ControlFailure]:
-        """Let a database that granted a term follow its primary again."""
+        """End the hold of a database that granted a term: it follows its primary."""
 
     def set_databases(self, databases: tuple[DatabaseSettings, ...]) -> None:
-        """Take the group's members from new settings."""
+        """Replace the group's members by those of new settings."""
 
     def close(self) -> None:
         """Close all control connections."""
--- a/beryltrack/groups/confirmations.py
+++ b/beryltrack/groups/confirmations.py
@@ -1,8 +1,9 @@
-"""Those who wait for the proof that no later term has a primary, and who is asked.
+"""Requests that wait for the proof that no later term had a primary.
 
-Where others than the primary prove its term, a few of them are asked for all who wait.
-The replicas that have received most are asked first: they nearly always answer at once.
-The others are asked when those have not answered in time.
+It is a quorum check like Raft's ReadIndex, shared by all waiting requests. Where
+databases other than the primary prove its term, as many replicas as the proof needs
+(the witnesses) are asked first, those that have received most: they nearly always
+answer at once. The other replicas are asked when the witnesses do not answer in time.
 """
 
 from typing import Protocol
@@ -18,28 +19,28 @@
 
 
 class ConfirmationOwner(Protocol):
-    """What the waiting asks of the task that owns it."""
+    """What `LeadershipConfirmations` needs of the group's task."""
 
     @property
     def view(self) -> GroupView:
-        """The group as it is known now."""
+        """The current view of the group."""
 
     @property
     def witness_count(self) -> int:
-        """How many databases beside the primary have to confirm its term."""
+        """Number of databases besides the primary that have to confirm its term."""
 
     def get_time(self) -> float:
         """Return a time later than that of any request before."""
 
     def get_sent_at(self, database: str) -> float:
-        """Return when a database was last asked."""
+        """Return the send time of the last request to a database."""
 
     def wake(self, database: str) -> None:
-        """Ask a database now."""
+        """Request a database's status now."""
 
 
 class LeadershipConfirmations:
-    """The requests that wait until the primary's term is confirmed.
+    """Requests that wait until the primary's term is confirmed.
 
     Parameters
     ----------
@@ -54,47 +55,49 @@
         self._seconds = get_monotonic_clock(reactor)
         self._owner = owner
         self._waiting = ProofWaiters()
-        self._look_call: IDelayedCall | None = None
+        self._fallback_call: IDelayedCall | None = None
 
     def wait(self) -> "Deferred[None]":
         """Return a Deferred that fires once the term is confirmed after this call.
 
-        It has no timeout of its own; cancel it.
+        It has no timeout of its own; the caller cancels it.
         """
         answer = self._waiting.wait(self._owner.get_time())
         view = self._owner.view
         names = get_witnesses(view, self._owner.witness_count)
         for name in names or (item.name for item in view.databases):
             self._owner.wake(name)
-        if self._look_call is None or not self._look_call.active():
-            self._plan_look()
+        if self._fallback_call is None or not self._fallback_call.active():
+            self._schedule_fallback()
         return answer.addCallback(_return_none)
 
-    def wants(self, database: str) -> bool:
-        """Return whether a database is to be asked again at once."""
+    def needs_request(self, database: str) -> bool:
+        """Return whether a database has to be asked again at once."""
         sent_at = self._owner.get_sent_at(database)
-        if not self._waiting.wants_after(sent_at):
+        if not self._waiting.needs_request_after(sent_at):
             return False
         return database in get_witnesses(self._owner.view, self._owner.witness_count)
 
     def answer(self, confirmed_at: float) -> None:
-        """Answer those who waited for the proof up to a time."""
+        """Answer the requests that were made at or before `confirmed_at`."""
         self._waiting.answer(
             lambda called_at: True if confirmed_at >= called_at else None
         )
 
     def stop(self) -> None:
-        """Give up whoever waits."""
+        """Cancel all waiting requests."""
         self._waiting.stop()
-        if self._look_call is not None and self._look_call.active():
-            self._look_call.cancel()
+        if self._fallback_call is not None and self._fallback_call.active():
+            self._fallback_call.cancel()
 
-    def _plan_look(self) -> None:
-        """Look in a while whether the first witnesses have answered."""
-        self._look_call = self._reactor.callLater(WITNESS_TIMEOUT, self._look)
+    def _schedule_fallback(self) -> None:
+        """Check after `WITNESS_TIMEOUT` whether the witnesses have answered."""
+        self._fallback_call = self._reactor.callLater(
+            WITNESS_TIMEOUT, self._ask_all_replicas
+        )
 
-    def _look(self) -> None:
-        """Ask all for what the first witnesses have not confirmed in time."""
+    def _ask_all_replicas(self) -> None:
+        """Ask all replicas if the witnesses have not answered in time."""
         if not self._waiting:
             return
         oldest = self._waiting.oldest
@@ -103,8 +106,8 @@
                 is_asked = self._owner.get_sent_at(item.name) >= oldest
                 if item.role != PRIMARY and not is_asked:
                     self._owner.wake(item.name)
-        self._plan_look()
+        self._schedule_fallback()
 
 
 def _return_none(proof: object) -> None:
-    """Return nothing: that there is a proof is all that is told."""
+    """Return None: the waiting request learns only that there is a proof."""
--- a/beryltrack/groups/control_calls.py
+++ b/beryltrack/groups/control_calls.py
@@ -1,7 +1,7 @@
-"""Control requests to the databases of a group, in order on kept connections.
+"""Control requests to the databases of a group, in order on reused connections.
 
-When a request counts as failed, and when a kept connection is given up for a new one,
-is decided here; what is sent and how an answer reads is the protocol's part.
+This module decides when a request has failed and when a reused connection is replaced
+by a new one. The adapter writes the requests and parses the answers.
 """
 
 import logging
@@ -22,38 +22,38 @@
 
 log = logging.getLogger(__name__)
 
-FREE_WAIT = 0.025
-"""Seconds to wait for a connection of the pool that is in use: most statements run for
-less, and a new one takes 12 to 30 ms of a slot."""
+IDLE_CONNECTION_WAIT = 0.025
+"""Seconds to wait for a pooled connection that is in use: most statements take less,
+and opening a new connection occupies a slot of the database for 12 to 30 ms."""
 
-OPEN_WAIT = 0.15
-"""Seconds to wait for the pool's first connection. After a loss of power a database
-still counts the connections of before, and has room for one of each instance only."""
+FIRST_CONNECTION_WAIT = 0.15
+"""Seconds to wait for the pool's first connection. After a power loss a database still
+counts its former connections, and has capacity for one connection of each instance."""
 
 Connect = Callable[[DatabaseSettings], Deferred[RelayedConnection]]
 
 
-class Spare(Protocol):
-    """Gives connections that are free for a moment, as `PoolTask` does."""
+class ConnectionPool(Protocol):
+    """A pool that lends idle connections for single requests, as `PoolTask` does."""
 
     def acquire_briefly(
         self, patience: float, open_patience: float
     ) -> Deferred[RelayedConnection | None]:
-        """Return a Deferred of a connection, or of None if none is free in time."""
+        """Return a Deferred of a connection, or of None if none is idle in time."""
 
     def release(self, connection: RelayedConnection, reusable: bool) -> None:
-        """Give it back."""
+        """Return a connection to the pool."""
 
 
 class ControlAnswer(NamedTuple):
-    """The rows of an answer as they came, and how it ended."""
+    """The rows of an answer as received, and the message that ended it."""
 
     rows: bytes
     end: ResponseEnd
 
 
 class ControlCalls:
-    """Sends control requests.
+    """Sends control requests over pooled connections, or over dedicated ones.
 
     Parameters
     ----------
@@ -62,13 +62,13 @@
     connect : callable
         Opens a connection to a database.
     limits : ControlLimits
-        Times.
+        Time limits.
     observe_silence : callable
-        Takes each open connection that gave no answer.
-    get_spare : callable
-        Returns what lends free connections to a database, or None.
+        Receives each open connection that gave no answer.
+    get_pool : callable
+        Returns the pool of connections to a database, or None.
     idle_time : float
-        Seconds after which a connection of its own is closed if nothing needs it.
+        Seconds after which an unused dedicated connection is closed.
     """
 
     def __init__(
@@ -77,31 +77,33 @@
         connect: Connect,
         limits: ControlLimits,
         observe_silence: Callable[[RelayedConnection], None],
-        get_spare: Callable[[str], Spare | None] = lambda database: None,
+        get_pool: Callable[[str], ConnectionPool | None] = lambda database: None,
         idle_time: float = math.inf,
     ):
-        self._get_spare = get_spare
+        self._get_pool = get_pool
         self._idle_time = idle_time
         self._closing: dict[str, IDelayedCall] = {}
         self._reactor = reactor
-        self._awake = get_pause_aware_clock(reactor)
+        self._clock = get_pause_aware_clock(reactor)
         self._open = connect
         self._limits = limits
         self._observe_silence = observe_silence
-        self._was_heard: Callable[[str, float], bool] = lambda database, since: False
+        self._has_answered_since: Callable[[str, float], bool] = (
+            lambda database, since: False
+        )
         self._databases: dict[str, DatabaseSettings] = {}
         self._connections: dict[str, RelayedConnection] = {}
-        self._ways: tuple[str, ...] | None = None
+        self._allowed_vias: tuple[str, ...] | None = None
         self._locks: dict[str, DeferredLock] = {}
 
     def set_answer_check(
         self, has_answered_since: Callable[[str, float], bool]
     ) -> None:
-        """Set the check whether a database has answered others since a time."""
-        self._was_heard = has_answered_since
+        """Set the check whether a database answered other statements since a time."""
+        self._has_answered_since = has_answered_since
 
     def set_databases(self, databases: tuple[DatabaseSettings, ...]) -> None:
-        """Take the group's members from new settings."""
+        """Replace the group's members by those of new settings."""
         self._databases = {item.name: item for item in databases}
         for name in self._connections.keys() - self._databases.keys():
             self._connections.pop(name).end_session()
@@ -109,8 +111,11 @@
             del self._locks[name]
 
     def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
-        """Open new connections in place of those that go another way than these."""
-        self._ways = vias
+        """Use only connections through these owners; an empty name allows direct ones.
+
+        Other open connections are closed; the next request opens a new one.
+        """
+        self._allowed_vias = vias
         for name, connection in tuple(self._connections.items()):
             if connection.way not in vias:
                 self._connections.pop(name).end_session()
@@ -125,7 +130,7 @@
                 closing.cancel()
 
     async def call(self, database: str, wire: bytes) -> ControlAnswer:
-        """Send one request once those before it are answered.
+        """Send one request after all earlier requests to the database are answered.
 
         Raises
         ------
@@ -139,48 +144,54 @@
         try:
             return await self._run(database, wire)
         except (TargetLost, TimeoutError, OSError):
-            self._drop(database)
+            self._discard(database)
             raise
         finally:
             self._close_later(database)
             lock.release()
 
     async def _run(self, database: str, wire: bytes) -> ControlAnswer:
-        """Send one request over the connection that is open, or a new one.
+        """Send one request over an open connection, and if that fails over a new one.
 
-        An open connection can have fallen silent while its database is at work.
-        Without a second attempt over a new one all instances would take a primary
-        for lost whose open connections have been cut without a word.
+        An open connection can be dead while its database still works. Without a
+        second attempt, all instances would consider a primary lost whose open
+        connections were cut without a reset.
         """
-        left = 1.0
-        kept = self._connections.get(database)
-        spare = self._get_spare(database)
-        lent = None
-        if spare is not None:
-            is_open = kept is not None and not kept.broken
-            lent = await spare.acquire_briefly(
-                0.0 if is_open else FREE_WAIT, 0.0 if is_open else OPEN_WAIT
+        fraction = 1.0
+        reused = self._connections.get(database)
+        pool = self._get_pool(database)
+        pooled = None
+        if pool is not None:
+            is_open = reused is not None and not reused.broken
+            pooled = await pool.acquire_briefly(
+                0.0 if is_open else IDLE_CONNECTION_WAIT,
+                0.0 if is_open else FIRST_CONNECTION_WAIT,
             )
-        if lent is not None:
-            kept = lent
-        if kept is not None and not kept.broken:
+        if pooled is not None:
+            reused = pooled
+        if reused is not None and not reused.broken:
             try:
-                return await self._ask(kept, wire, left, database)
+                return await self._send(reused, wire, fraction, database)
             except (TargetLost, TimeoutError) as error:
-                log.info("groups: A connection to %s fails: %s", database, error)
-                left -= self._limits.reconnect_after / self._limits.request_timeout
-                self._observe_silence(kept)
+                log.info(
+                    "groups: an open connection to %s failed, retrying over a new one:"
+                    " %s",
+                    database,
+                    error,
+                )
+                fraction -= self._limits.reconnect_after / self._limits.request_timeout
+                self._observe_silence(reused)
             finally:
-                if lent is not None:
-                    spare.release(lent, not lent.busy)
+                if pooled is not None:
+                    pool.release(pooled, not pooled.busy)
         connection = await self._connect(database)
-        return await self._ask(connection, wire, left)
+        return await self._send(connection, wire, fraction)
 
     def _close_later(self, database: str) -> None:
-        """Close a connection of one's own once nothing has needed it for a while.
+        """Close a dedicated connection once it has been unused for `idle_time`.
 
-        Where a database has few connections, one that is kept for control requests
-        would take the place of one for callers.
+        Where a database allows few connections, a retained control connection would
+        displace one for callers.
         """
         closing = self._closing.pop(database, None)
         if closing is not None and closing.active():
@@ -191,62 +202,62 @@
             )
 
     def _close_idle(self, database: str) -> None:
-        """Close a connection of one's own unless it is in use."""
+        """Close a dedicated connection unless it is in use."""
         connection = self._connections.get(database)
         if connection is not None and connection.busy:
             self._close_later(database)
         elif connection is not None:
             self._connections.pop(database).end_session()
 
-    async def _ask(
+    async def _send(
         self,
         connection: RelayedConnection,
         wire: bytes,
-        part: float,
-        doubted: str = "",
+        fraction: float,
+        database: str = "",
     ) -> ControlAnswer:
-        """Send one request over a connection, within a part of the time limit.
+        """Send one request over a connection, within a fraction of the time limit.
 
-        Where a database is named, the connection is given up sooner unless the
-        database was heard otherwise: it is only slow then, and a new connection
-        would take one of its slots for 12 to 30 ms.
+        If `database` is given, the connection is closed after `reconnect_after`
+        unless that database has answered other statements: then it is only slow, and
+        a new connection would occupy one of its slots for 12 to 30 ms.
         """
         sink = CollectingSink()
         running = connection.run(wire, sink)
         since = connection.run_since
         factor = self._limits.relayed_factor if connection.way else 1.0
-        limit = self._limits.request_timeout * part * factor
-        doubt_after = min(self._limits.reconnect_after * factor, limit)
+        limit = self._limits.request_timeout * fraction * factor
+        check_after = min(self._limits.reconnect_after * factor, limit)
 
-        def doubt() -> None:
-            if doubted and not self._was_heard(doubted, since):
+        def close_if_silent() -> None:
+            if database and not self._has_answered_since(database, since):
                 connection.close()
 
-        # An answer that has come during a pause of this process is no silence.
-        doubting = self._awake.callLater(doubt_after, doubt)
+        # The timers do not count pauses of this process, in which answers are unread.
+        checking = self._clock.callLater(check_after, close_if_silent)
         try:
-            end = await running.addTimeout(limit, self._awake)
+            end = await running.addTimeout(limit, self._clock)
         finally:
-            if doubting.active():
-                doubting.cancel()
+            if checking.active():
+                checking.cancel()
         return ControlAnswer(sink.frames, end)
 
     async def _connect(self, database: str) -> RelayedConnection:
         """Return a new connection to a database."""
-        self._drop(database)
+        self._discard(database)
         item = self._databases.get(database)
         if item is None:
-            raise ConnectionError("the database is no member any more")
+            raise ConnectionError("the database is no longer a member of the group")
         connection = await self._open(item)
-        if self._ways is not None and connection.way not in self._ways:
-            # The ways have changed while it was opened.
+        if self._allowed_vias is not None and connection.way not in self._allowed_vias:
+            # The allowed owners have changed while the connection was opened.
             connection.end_session()
-            raise ConnectionError("the way to the database is used no more")
+            raise ConnectionError("the path to the database is no longer allowed")
         self._connections[database] = connection
         return connection
 
-    def _drop(self, database: str) -> None:
-        """Use a connection no more."""
+    def _discard(self, database: str) -> None:
+        """Close the dedicated connection to a database."""
         connection = self._connections.pop(database, None)
         if connection is not None:
             connection.close()
--- a/beryltrack/groups/control_connection.py
+++ b/beryltrack/groups/control_connection.py
@@ -1,9 +1,8 @@
-"""A control connection to one database: simple queries, one at a time, in order.
+"""A control connection to one database, over the PostgreSQL simple query protocol.
 
-It connects when it is first used, and again after a failure with a jittered
-back-off, so that a database that is down costs little. A request that is not
-answered in time closes the connection, since the answers that follow would
-belong to other requests.
+Queries run one at a time, in order. The connection is opened at its first use, and
+again after a failure with a jittered exponential back-off. A query that is not answered
+in time closes the connection, since later answers could not be matched to queries.
 """
 
 import logging
@@ -44,24 +43,25 @@
 
 APPLICATION_NAME = "beryltrack-control"
 SCRAM = "SCRAM-SHA-256"
-# Seconds for a connection to be made and the user to be accepted.
 CONNECT_TIMEOUT = 2.0
-# Mean pause after the first failed connection; it doubles up to the longest.
-FIRST_BACKOFF = 0.05
-LAST_BACKOFF = 1.0
+"""Seconds to connect, and seconds to authenticate after that."""
+MIN_BACKOFF = 0.05
+"""Mean seconds before the next attempt after the first failure; doubles with each."""
+MAX_BACKOFF = 1.0
+"""Upper bound of the mean back-off, in seconds."""
 
 Row = dict[str, str | None]
 
 
 class Credentials(NamedTuple):
-    """How to log on.
+    """Log-on data.
 
     Parameters
     ----------
     user : str
         The user.
     password : str
-        Empty if the database trusts the user.
+        The password; empty if the database requires none.
     database : str
         The name of the group, which is the PostgreSQL database's name.
     """
@@ -72,7 +72,7 @@
 
 
 class _Request(NamedTuple):
-    """A query that waits for its answer."""
+    """A query and the Deferred of its result."""
 
     text: str
     answer: Deferred
@@ -93,7 +93,7 @@
         self._error = ""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Log on."""
+        """Send the start-up message."""
         self.transport.setTcpNoDelay(True)
         user, _, database = self._credentials
         self._send(
@@ -107,23 +107,23 @@
         )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take in the database's messages."""
+        """Handle the database's messages."""
         try:
             for message in self._wire.receive(data):
-                self._take(message)
+                self._handle_message(message)
         except (PygwireError, ScramException, ValueError) as error:
-            self._error = f"bad answer: {error}"
+            self._error = f"malformed answer: {error}"
             self.transport.abortConnection()
 
     def connectionLost(self, reason) -> None:  # noqa: N802
-        """Fail what was waited for."""
+        """Fail the log-on and the running query."""
         text = self._error or "the connection was lost"
         for waiting in (self.lost, self.ready, self._answer):
             if waiting is not None and not waiting.called:
                 waiting.callback(Failure(text))
 
     def query(self, text: str) -> Deferred:
-        """Send a query; fires with a result of rows or of an error's text."""
+        """Send a query; the Deferred fires with a `Result` of rows or an error text."""
         self._answer, self._columns, self._rows = Deferred(), [], []
         self._error = ""
         self._send(Query(query_string=text))
@@ -132,7 +132,7 @@
     def _send(self, message: PGMessage) -> None:
         self.transport.write(self._wire.send(message))
 
-    def _take(self, message: PGMessage) -> None:
+    def _handle_message(self, message: PGMessage) -> None:
         match message:
             case DataRow():
                 self._rows.append(_make_row(self._columns, message.columns))
@@ -146,7 +146,7 @@
                 self._authenticate(message)
 
     def _finish(self) -> None:
-        """Give the answer to the request in hand, or say that log-on is done."""
+        """Resolve the running query, or the log-on if that was not complete."""
         if not self.ready.called:
             self.ready.callback(Success(None))
             return
@@ -176,7 +176,7 @@
 
 
 class ControlConnection:
-    """A control connection that is made again whenever it was lost.
+    """A control connection that reconnects after it was lost.
 
     Parameters
     ----------
@@ -185,9 +185,9 @@
     name : str
         The database's name, for failures and logs.
     endpoint : Endpoint
-        Where it listens.
+        Address at which it listens.
     credentials : Credentials
-        How to log on.
+        Log-on data.
     rng : Random
         Source of jitter.
     """
@@ -202,41 +202,41 @@
     ):
         self._reactor = reactor
         self._seconds = get_monotonic_clock(reactor)
-        self._awake = get_pause_aware_clock(reactor)
+        self._clock = get_pause_aware_clock(reactor)
         self._name = name
         self._endpoint = endpoint
         self._credentials = credentials
         self._rng = rng
         self._protocol: _ControlProtocol | None = None
         self._queue: deque[_Request] = deque()
-        self._in_hand: _Request | None = None
-        self._working = False
+        self._in_flight: _Request | None = None
+        self._is_processing = False
         self._failures = 0
-        self._not_before = 0.0
+        self._retry_at = 0.0
         self._closed = False
 
     async def query(
         self, text: str, timeout: float
     ) -> Result[tuple[Row, ...], ControlFailure]:
-        """Run a query after those before it.
+        """Run a query after all earlier ones.
 
         Parameters
         ----------
         text : str
             The query.
         timeout : float
-            Seconds, the wait for those before it counted.
+            Seconds, including the wait for earlier queries.
 
         Returns
         -------
         Result
-            The rows, as columns by name, or why there is no answer.
+            The rows, as columns by name, or the reason why there is no answer.
         """
         request = _Request(text, Deferred())
-        # An answer that has come during a pause of this process is no silence.
-        timer = self._awake.callLater(timeout, self._give_up, request)
+        # The timer does not count pauses of this process, in which answers are unread.
+        timer = self._clock.callLater(timeout, self._time_out, request)
         self._queue.append(request)
-        self._work()
+        self._start_processing()
         try:
             result = await request.answer
         finally:
@@ -245,18 +245,18 @@
         return result.alt(lambda reason: ControlFailure(self._name, reason))
 
     def close(self) -> None:
-        """Close for good."""
+        """Close the connection permanently and fail the queued queries."""
         self._closed = True
         if self._protocol is not None:
             self._protocol.transport.abortConnection()
         self._fail_all("the connection is closed")
 
-    def _work(self) -> None:
-        """Answer the requests one after the other, if nobody does so already."""
-        if self._working or not self._queue:
+    def _start_processing(self) -> None:
+        """Start to process the queue unless that is already running."""
+        if self._is_processing or not self._queue:
             return
-        self._working = True
-        Deferred.fromCoroutine(self._run_queue()).addErrback(self._report_defect)
+        self._is_processing = True
+        Deferred.fromCoroutine(self._run_queue()).addErrback(self._log_defect)
 
     async def _run_queue(self) -> None:
         try:
@@ -266,22 +266,22 @@
                     return
                 await self._run_first()
         finally:
-            self._working = False
+            self._is_processing = False
 
     async def _run_first(self) -> None:
-        """Run the query at the head of the queue, unless it was given up."""
+        """Run the query at the head of the queue, unless it has timed out."""
         request = self._queue.popleft()
         if request.answer.called or self._protocol is None:
             return
-        self._in_hand = request
+        self._in_flight = request
         result = await self._protocol.query(request.text)
-        self._in_hand = None
+        self._in_flight = None
         if not request.answer.called:
             request.answer.callback(result)
 
     async def _connect(self) -> bool:
-        """Return whether a connection was made; at most one try a back-off."""
-        if self._seconds() < self._not_before:
+        """Return whether a connection was opened; no attempt before `_retry_at`."""
+        if self._seconds() < self._retry_at:
             return False
         factory = Factory.forProtocol(lambda: _ControlProtocol(self._credentials))
         endpoint = TCP4ClientEndpoint(
@@ -290,42 +290,46 @@
         try:
             protocol = await endpoint.connect(factory)
         except Exception as error:  # noqa: BLE001
-            return self._note_failure(str(error))
+            return self._record_failure(str(error))
         self._protocol = protocol
-        protocol.lost.addCallback(self._note_lost, protocol)
-        timer = self._awake.callLater(
+        protocol.lost.addCallback(self._handle_lost, protocol)
+        timer = self._clock.callLater(
             CONNECT_TIMEOUT, protocol.transport.abortConnection
         )
         result = await protocol.ready
         if timer.active():
             timer.cancel()
         if not isinstance(result, Success):
-            return self._note_failure(result.failure())
+            return self._record_failure(result.failure())
         self._failures = 0
         return not self._closed
 
-    def _note_failure(self, reason: str) -> bool:
-        """Set when to try again, and return False."""
+    def _record_failure(self, reason: str) -> bool:
+        """Set the time of the next attempt, and return False."""
         if self._failures == 0:
-            log.info("groups: no control connection to %s: %s.", self._name, reason)
-        mean = min(FIRST_BACKOFF * 2**self._failures, LAST_BACKOFF)
+            log.info(
+                "groups: cannot open a control connection to %s, will retry: %s.",
+                self._name,
+                reason,
+            )
+        mean = min(MIN_BACKOFF * 2**self._failures, MAX_BACKOFF)
         self._failures = min(self._failures + 1, 10)
-        self._not_before = self._seconds() + mean * self._rng.uniform(0.5, 1.5)
+        self._retry_at = self._seconds() + mean * self._rng.uniform(0.5, 1.5)
         return False
 
-    def _note_lost(self, result: object, protocol: _ControlProtocol) -> None:
+    def _handle_lost(self, result: object, protocol: _ControlProtocol) -> None:
         if self._protocol is protocol:
             self._protocol = None
 
-    def _give_up(self, request: _Request) -> None:
+    def _time_out(self, request: _Request) -> None:
         """Fail a request that was not answered in time.
 
-        If it was sent already, the connection is of no use any more.
+        If it was already sent, the connection is closed.
         """
         if request.answer.called:
             return
         request.answer.callback(Failure("no answer in time"))
-        if self._in_hand is request and self._protocol is not None:
+        if self._in_flight is request and self._protocol is not None:
             self._protocol.transport.abortConnection()
 
     def _fail_all(self, reason: str) -> None:
@@ -335,12 +339,17 @@
             if not request.answer.called:
                 request.answer.callback(Failure(reason))
 
-    def _report_defect(self, failure) -> None:
-        log.error("groups: control connection to %s: %s", self._name, failure)
+    def _log_defect(self, failure) -> None:
+        log.error(
+            "groups: control connection to %s failed with a defect, its queued requests"
+            " fail: %s",
+            self._name,
+            failure,
+        )
         self._fail_all("the connection failed")
 
 
 def _make_row(columns: list[str], values: list[bytes | None]) -> Row:
-    """Return the text of each column by its name."""
+    """Return the text of each column, by column name."""
     texts = (None if value is None else value.decode() for value in values)
     return dict(zip(columns, texts, strict=True))
--- a/beryltrack/groups/messages.py
+++ b/beryltrack/groups/messages.py
@@ -1,7 +1,8 @@
 """Terms, log positions and the status that a database reports.
 
-Every slice speaks of positions in these types. All of them are flat tuples of
-numbers and text, so that CBOR carries them without a mapping of its own.
+A term is a period with at most one primary, numbered in order, as in Raft. All other
+folders use these types. They are flat tuples of numbers and text, so that CBOR encodes
+them without a custom mapping.
 """
 
 from enum import Enum
@@ -12,29 +13,29 @@
 
 
 class LeadershipProof(Enum):
-    """What proves that no later term had a primary before a time."""
+    """Evidence that no later term had a primary before a given time."""
 
     MAJORITY = "majority"
-    """A majority of the databases was asked later, and all were in its term."""
+    """A majority of the databases was asked after that time and was in its term."""
     SELF_REPORT = "self report"
-    """The primary was asked later and leads: one that is replaced loses its lead at
-    that moment, wherever it is."""
+    """The primary was asked after that time and reported to lead. A replaced primary
+    loses the role at the moment of the replacement, wherever it is."""
     WITNESSES = "witnesses"
-    """Enough of the others were asked later, were in its term and were not held for
-    the next one. A replaced primary goes on by itself for a while, so that its own
-    word proves nothing; but whoever promotes holds so many of the others first that
-    any two such sets meet."""
+    """Enough of the other databases were asked after that time, were in its term and
+    were not held for the next one. A replaced primary continues on its own for a while,
+    so that its report proves nothing; but a promotion first holds so many of the other
+    databases that any two such sets intersect."""
 
 
 class LogPosition(NamedTuple):
-    """A place in a group's log.
+    """A position in a group's log.
 
     Parameters
     ----------
     term : int
         The term in which the entry at `offset` was written.
     offset : int
-        The number of entries up to and with this one.
+        The number of entries up to and including this one.
     """
 
     term: int
@@ -45,7 +46,7 @@
 
 
 class TermStart(NamedTuple):
-    """Where a term begins in a log.
+    """The position at which a term begins in a log.
 
     Parameters
     ----------
@@ -60,14 +61,14 @@
 
 
 class DatabaseStatus(NamedTuple):
-    """What one database says of itself.
+    """The status that a database reports.
 
     Parameters
     ----------
     name : str
         The database's name in its group.
     role : str
-        `PRIMARY` or `REPLICA`: what the database believes that it is.
+        `PRIMARY` or `REPLICA`, according to the database itself.
     term : int
         The highest term that the database has granted or seen. It refuses
         writes and replication of lower terms.
@@ -76,21 +77,22 @@
     applied : LogPosition
         The last entry that its readers can see.
     history : tuple of TermStart
-        Where each term in its log begins, oldest first.
+        Start of each term in its log, oldest first.
     heard_age : float or None
         Seconds since it last heard from its primary; 0.0 on a primary. None if
-        databases of this kind do not tell; then the node's own word counts.
+        databases of this kind do not report it; then the silence that the instance
+        itself measured is used.
     leaving : bool
-        True if the database is about to leave and wants no new work.
+        True if the database is about to leave and accepts no new work.
     is_held : bool
-        True if `term` was only promised to a candidate that can take it back.
-        Until then the database receives nothing.
+        True if `term` is a hold: promised to a candidate that can take it back.
+        The database receives nothing until the hold ends.
     is_role_fenced : bool
-        True if a database of this kind loses its lead at the very moment at which
-        another one gains it. Its own word that it leads then proves its term.
+        True if a database of this kind loses the primary role at the moment at which
+        another one gains it. Its own report of that role then proves its term.
     incarnation : str
-        Names the data that it holds, where databases of its kind tell: another one
-        under the same name holds nothing of before.
+        Identifies the data that it holds; empty if databases of this kind do not
+        report it. A later incarnation of the same name has lost all earlier data.
     """
 
     name: str
@@ -112,9 +114,9 @@
     Parameters
     ----------
     granted : bool
-        True if the database promised the term to this candidate alone.
+        True if the database promised the term to this candidate and to no other.
     status : DatabaseStatus
-        The database's state just after its decision.
+        The database's state immediately after its decision.
     """
 
     granted: bool
@@ -122,16 +124,16 @@
 
 
 class ControlFailure(NamedTuple):
-    """Why a control request has no answer. It may have been carried out.
+    """A control request without an answer. It may have been carried out.
 
     Parameters
     ----------
     database : str
         The database that was asked.
     text : str
-        What happened, in a short sentence.
+        The reason, in a short sentence.
     is_answered : bool
-        True if the database itself refused, so that it is at work.
+        True if the database itself refused, which shows that it works.
     """
 
     database: str
--- a/beryltrack/groups/policy.py
+++ b/beryltrack/groups/policy.py
@@ -1,4 +1,4 @@
-"""How often the databases of a group are asked for their status."""
+"""Probe intervals: how often the databases of a group are asked for their status."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,82 +7,84 @@
 from beryltrack.groups.messages import PRIMARY, LogPosition
 from beryltrack.groups.view import DatabaseView
 
-# How long after a replica's limit it is asked, so that its answer shows a loss.
 LIMIT_MARGIN = 1e-6
+"""Seconds after a replica's detection limit at which it is asked, so that its answer
+shows the loss of its primary."""
 
 
 class ProbePolicy(NamedTuple):
-    """How often databases are asked.
+    """Intervals of status requests.
 
     Parameters
     ----------
     interval : float
-        Seconds between two probes of a database while the group is in use:
-        how exactly ages are known.
+        Seconds between two probes of a database while the group is in use; it
+        bounds the precision of the known ages.
     idle_interval : float
-        The same while nobody asks anything of the group.
+        Seconds between two probes of a database while the group has no requests.
     suspect_interval : float
         Seconds between two probes while the primary may be lost.
-    wait_slice : float
-        Most seconds that one long poll holds a control connection, and so
-        delays a grant that is asked for over it.
-    use_time : float
+    max_long_poll : float
+        Maximum seconds that one long poll occupies a control connection, and so
+        delays a grant over it.
+    active_time : float
         Seconds after a request for which the group counts as in use.
     is_poll_only : bool
-        True if databases of this kind answer at once, whatever is waited for, and
-        do not tell whether they hear their primary.
+        True if databases of this kind answer each request at once, without long
+        polls, and do not report whether they hear their primary.
     poll_interval : float
-        Seconds between two probes of a replica whose progress somebody waits
-        for, where there are no long polls: about a round trip.
+        Seconds between two probes of a poll-only replica while a request waits for
+        its progress: about a round trip.
     idle_primary_interval : float
-        Seconds between two questions of the instance that is first to act to a
-        primary that it has not heard from otherwise.
+        Idle probe interval: seconds of silence after which the instance that ranks
+        first among the failover candidates probes a poll-only primary.
     background_interval : float
-        Seconds between two probes of plain databases that nothing calls for.
-    suspect_time : float
-        Seconds for which a group stays suspect after a sign of a loss.
+        Seconds between two probes of a poll-only database for which no other rule
+        asks for a probe.
+    suspicion_time : float
+        Seconds for which a group counts as suspect after a sign of a loss.
     """
 
     interval: float
     idle_interval: float
     suspect_interval: float = 0.02
-    wait_slice: float = 0.05
-    use_time: float = 1.0
+    max_long_poll: float = 0.05
+    active_time: float = 1.0
     is_poll_only: bool = False
     poll_interval: float = 0.005
     idle_primary_interval: float = 0.4
     background_interval: float = 20.0
-    suspect_time: float = 1.5
+    suspicion_time: float = 1.5
 
 
 def make_probe_policy(lost_after: float) -> ProbePolicy:
-    """Return the usual pace for a group.
+    """Return the default policy for a group whose primary is lost after some silence.
 
-    A longer interval makes no loss be noticed later: a replica is asked again
+    A longer interval does not delay the detection of a loss: a replica is asked again
     at the moment at which it would have lost its primary; see `compute_delay`.
     """
     return ProbePolicy(interval=lost_after / 5, idle_interval=lost_after)
 
 
-def make_wait(
+def make_status_wait(
     item: DatabaseView, received: int | None, tokens: Sequence[LogPosition]
 ) -> StatusWait:
-    """Return the long poll that tells those who wait of a replica's progress.
+    """Return the conditions of a long poll for a replica's progress.
 
     Parameters
     ----------
     item : DatabaseView
         The replica.
     received : int or None
-        Offset whose receipt is waited for, if any.
+        Offset that has to be received, if any.
     tokens : sequence of LogPosition
-        Positions whose application is waited for.
+        Positions that have to be applied.
 
     Returns
     -------
     StatusWait
-        A wait that ends on progress only: an offset that is there already, in
-        another term, would end it at once, again and again.
+        A wait that ends on progress only: an offset that the replica already has,
+        in another term, would end each long poll immediately.
     """
     next_applied = item.applied.offset + 1
     return StatusWait(
@@ -92,13 +94,13 @@
     )
 
 
-def compute_slice(policy: ProbePolicy, until_lost: float) -> float:
-    """Return how long a long poll may hold a replica's control connection.
+def compute_long_poll_timeout(policy: ProbePolicy, until_lost: float) -> float:
+    """Return the timeout of a long poll on a replica's control connection.
 
     Parameters
     ----------
     policy : ProbePolicy
-        The pace.
+        The intervals.
     until_lost : float
         Seconds of silence after which the replica has lost its primary.
 
@@ -106,11 +108,11 @@
     -------
     float
         Seconds. The poll ends when the primary would count as lost, so that
-        its answer tells of the loss and the connection is free for a grant.
+        its answer reports the loss and the connection is free for a grant.
     """
     if until_lost <= 0:
         return policy.suspect_interval
-    return min(policy.wait_slice, until_lost + LIMIT_MARGIN)
+    return min(policy.max_long_poll, until_lost + LIMIT_MARGIN)
 
 
 def compute_delay(
@@ -121,13 +123,13 @@
     Parameters
     ----------
     policy : ProbePolicy
-        The pace.
+        The intervals.
     item : DatabaseView
         The database.
     until_lost : float
         Seconds of silence after which it has lost its primary.
     in_use : bool
-        True if somebody lately asked something of the group.
+        True if the group had a request recently.
 
     Returns
     -------
--- a/beryltrack/groups/positions.py
+++ b/beryltrack/groups/positions.py
@@ -1,9 +1,9 @@
-"""Comparisons of log positions across terms.
+"""Comparisons of log positions across terms, as in Raft or Kafka's leader epochs.
 
-A log is known by its history, the offsets at which its terms begin. An entry
+A log is described by its history, the offsets at which its terms begin. An entry
 ``(term, offset)`` is in a log if that log has the term and the term did not end
-before the offset. An entry that was acknowledged is in the log of every later
-primary, so it also counts as covered by a log that only shows later terms.
+before the offset. An acknowledged entry is in the log of every later primary, so it
+also counts as covered by a log that only has later terms.
 """
 
 from beryltrack.groups.messages import LogPosition, TermStart
@@ -22,7 +22,7 @@
     Returns
     -------
     int or None
-        The offset before the first later term, or None if there is no later one.
+        Last offset before the first later term, or None if there is no later one.
     """
     return next((start.offset for start in history if start.term > term), None)
 
@@ -39,7 +39,7 @@
     end : LogPosition
         The last entry of the log.
     entry : LogPosition
-        The entry that is looked for.
+        The entry to look for.
 
     Returns
     -------
@@ -57,27 +57,27 @@
 def covers(
     history: tuple[TermStart, ...], end: LogPosition, token: LogPosition
 ) -> bool:
-    """Return whether a log holds all that a session's token stands for.
+    """Return whether a log holds all acknowledged writes up to a session's token.
 
     Parameters
     ----------
     history : tuple of TermStart
         The log's terms, oldest first.
     end : LogPosition
-        How far the log is applied.
+        The last entry that is applied.
     token : LogPosition
         A position that was acknowledged to the session.
 
     Returns
     -------
     bool
-        True if every acknowledged write up to the token is applied. What lay
-        beyond the end of the token's term was never acknowledged, so it is
-        not asked for.
+        True if every acknowledged write up to the token is applied. Entries beyond
+        the end of the token's term were never acknowledged, so they are not
+        required.
     """
     if token.offset == 0:
         return True
-    # Nearly all questions are about the present term, where offsets suffice.
+    # Fast path: nearly all calls are about the current term, where offsets suffice.
     if end.term == token.term and end.offset >= token.offset:
         return True
     if end.term < token.term:
--- a/beryltrack/groups/postgres_adapter.py
+++ b/beryltrack/groups/postgres_adapter.py
@@ -1,4 +1,4 @@
-"""Control requests to the databases of a group over the PostgreSQL protocol."""
+"""`DatabaseGroup` adapter: control requests as SQL functions over PostgreSQL."""
 
 import math
 from random import Random
@@ -16,12 +16,12 @@
 from beryltrack.groups.status_rows import parse_flag, parse_status
 from beryltrack.settings.messages import DatabaseSettings, GroupSettings
 
-# Seconds after which a request that does not wait for anything fails.
 REQUEST_TIMEOUT = 1.0
+"""Seconds after which a request fails, beyond the timeout of a long poll."""
 
 
 class PostgresDatabaseGroup:
-    """Control requests as functions that databases offer over PostgreSQL.
+    """Control requests as calls of the databases' ``beryltrack_*`` SQL functions.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     rng : Random
         Source of jitter.
     request_timeout : float
-        Seconds after which a request that does not wait for anything fails.
+        Seconds after which a request fails, beyond the timeout of a long poll.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.set_databases(group_settings.databases)
 
     def set_databases(self, databases: tuple[DatabaseSettings, ...]) -> None:
-        """Take the group's members from new settings."""
+        """Replace the group's members by those of new settings."""
         names = {item.name for item in databases}
         for name in self._connections.keys() - names:
             self._connections.pop(name).close()
@@ -62,14 +62,14 @@
                 self._connections[item.name] = self._make(item)
 
     async def get_status(self, database: str) -> Result[DatabaseStatus, ControlFailure]:
-        """Return what a database says of itself now."""
+        """Return the status that a database reports now."""
         row = await self._call(database, "beryltrack_status()")
         return row.bind(lambda columns: _make_status(database, columns))
 
     async def wait_status(
         self, database: str, wait: StatusWait, timeout: float
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Return the status when `wait` is over, or after `timeout` seconds."""
+        """Return the status when a condition of `wait` holds, or after `timeout` s."""
         milliseconds = math.ceil(timeout * 1000)
         row = await self._call(
             database,
@@ -82,7 +82,7 @@
     async def grant(
         self, database: str, term: int, candidate: str, lost_after: float
     ) -> Result[GrantReply, ControlFailure]:
-        """Ask a database to promise `term` to one candidate alone."""
+        """Ask a database to promise `term` to `candidate` and to no other."""
         milliseconds = math.ceil(lost_after * 1000)
         row = await self._call(
             database,
@@ -110,12 +110,12 @@
     async def stop_writes(
         self, database: str, term: int
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Let the primary of `term` take no more writes for a while."""
+        """Make the primary of `term` refuse writes for a while."""
         row = await self._call(database, f"beryltrack_stop_writes({term})")
         return row.bind(lambda columns: _make_status(database, columns))
 
     async def release(self, database: str) -> Result[DatabaseStatus, ControlFailure]:
-        """Return the status: these databases follow the highest term by themselves."""
+        """Return the status: these databases follow the highest term on their own."""
         return await self.get_status(database)
 
     def close(self) -> None:
@@ -126,14 +126,14 @@
     async def _call(
         self, database: str, call: str, wait: float = 0.0
     ) -> Result[Row, ControlFailure]:
-        """Return the one row that a function gives."""
+        """Return the row that a function call returns."""
         connection = self._connections[database]
         rows = await connection.query(f"SELECT * FROM {call}", self._timeout + wait)
         return rows.bind(
             lambda found: (
                 Success(found[0])
                 if found
-                else Failure(ControlFailure(database, "no row"))
+                else Failure(ControlFailure(database, "the answer has no row"))
             )
         )
 
@@ -147,5 +147,5 @@
 
 
 def _quote(text: str) -> str:
-    """Return a text as an SQL literal."""
+    """Return a text as an SQL string literal."""
     return "'" + text.replace("'", "''") + "'"
--- a/beryltrack/groups/restarts.py
+++ b/beryltrack/groups/restarts.py
@@ -1,8 +1,8 @@
-"""Signs that a database has started again and holds nothing of before.
+"""Detection of a database that has restarted with an empty log.
 
-The settings tell of a start as soon as the store does. While that is away, or where no
-settings tell, what the database says of itself is the sign: it falls back behind what
-it has said before.
+Normally new settings from the store announce a restart. While the store is unreachable,
+or where settings do not show it, the sign is a status that falls behind an earlier
+status of the same database.
 """
 
 from typing import NamedTuple
@@ -10,43 +10,45 @@
 from beryltrack.groups.messages import DatabaseStatus
 
 
-class Told(NamedTuple):
-    """What a database has said of itself.
+class ReceivedStatus(NamedTuple):
+    """A status, and when it arrived.
 
     Parameters
     ----------
     status : DatabaseStatus
-        Its words.
+        The status.
     answered_at : float
-        When they came, by the node's clock.
+        Arrival time, by the instance's clock.
     """
 
     status: DatabaseStatus
     answered_at: float
 
 
-def has_fallen_back(told: Told | None, status: DatabaseStatus, sent_at: float) -> bool:
-    """Return whether a status shows that its database has forgotten an earlier one.
+def has_regressed(
+    earlier: ReceivedStatus | None, status: DatabaseStatus, sent_at: float
+) -> bool:
+    """Return whether a status shows that its database lost the data of an earlier one.
 
     Parameters
     ----------
-    told : Told or None
+    earlier : ReceivedStatus or None
         The earlier status; None if there is none.
     status : DatabaseStatus
-        The later one.
+        The later status.
     sent_at : float
-        When it was asked for, by the node's clock.
+        Send time of the request for the later status, by the instance's clock.
 
     Returns
     -------
     bool
         False also where the order of the two is not certain, and where a log may have
         become shorter in another way: a hold was taken back, or a primary of a later
-        term has removed what was not its own.
+        term has truncated entries that its own log lacks.
     """
-    if told is None or told.answered_at > sent_at:
+    if earlier is None or earlier.answered_at > sent_at:
         return False
-    before = told.status
+    before = earlier.status
     if status.incarnation != before.incarnation:
         return True
     if status.is_held or before.is_held:
--- a/beryltrack/groups/samples.py
+++ b/beryltrack/groups/samples.py
@@ -1,9 +1,10 @@
-"""Samples of a primary's position, from which the ages of replicas are proven.
+"""Samples of a primary's position, from which bounds of replicas' ages are proven.
 
-A sample says: every write acknowledged before `sent_at` lies at or before
-`position`. That is known only once a majority of the group's databases said,
-in answer to requests sent at or after `sent_at`, that they were still in the
-sample's term; until then a cut-off primary could have given it.
+A sample states that every write acknowledged before `sent_at` lies at or before
+`position`. It is confirmed once enough of the group's databases (see
+`LeadershipProof`) have reported, in answer to requests sent at or after `sent_at`, that
+they were still in the sample's term; until then it may be that of a partitioned former
+primary.
 """
 
 from typing import NamedTuple
@@ -12,22 +13,22 @@
 from beryltrack.groups.positions import covers
 from beryltrack.groups.view import NEVER
 
-# Samples kept before the old ones are thinned out.
 MAX_SAMPLES = 512
-# Two kept samples are this part of their age apart, so that ages of replicas
-# that are far behind stay known to within it with a bounded number of samples.
+"""Number of samples above which old ones are thinned out."""
 THIN_RATIO = 0.03
+"""Minimum distance of two samples that remain, as a fraction of their age. The age of a
+replica that is far behind is known to within it with a bounded number of samples."""
 
 
 class Sample(NamedTuple):
-    """A position of the primary, and when it was asked for.
+    """A position of the primary, and when it was requested.
 
     Parameters
     ----------
     position : LogPosition
         The last entry in the primary's log.
     sent_at : float
-        Send time of the request, by the node's clock.
+        Send time of the request, by the instance's clock.
     """
 
     position: LogPosition
@@ -35,7 +36,7 @@
 
 
 class SampleLog:
-    """The samples of one group, those that are proven apart from the others."""
+    """The pending and the confirmed samples of one group."""
 
     def __init__(self) -> None:
         self._pending: list[Sample] = []
@@ -50,29 +51,29 @@
         return len(self._pending) + len(self._confirmed)
 
     def add(self, sample: Sample) -> None:
-        """Add a sample; one that is older than the last one is left out."""
+        """Add a pending sample, unless it is older than the last one."""
         if self._pending and sample.sent_at <= self._pending[-1].sent_at:
             return
         self._pending.append(sample)
         del self._pending[:-MAX_SAMPLES]
 
     def confirm(self, term: int, confirmed_until: float) -> bool:
-        """Take over the samples that a majority has proven.
+        """Confirm the pending samples that are now proven.
 
-        Of several confirmed samples of one position only the newest is kept,
-        for it proves the most.
+        Of several confirmed samples of one position only the newest is retained,
+        since it proves the most.
 
         Parameters
         ----------
         term : int
-            The term that a majority was seen in.
+            The term that is proven.
         confirmed_until : float
-            A majority answered in this term to requests sent then or later.
+            Enough databases answered in this term to requests sent then or later.
 
         Returns
         -------
         bool
-            True if there were any.
+            True if a sample was confirmed.
         """
         proven = [
             sample
@@ -83,14 +84,14 @@
             return False
         self._pending = [item for item in self._pending if item not in proven]
         for sample in proven:
-            self._keep(sample)
+            self._append_confirmed(sample)
         return True
 
-    def get_oldest(self, since: float) -> LogPosition | None:
+    def get_position_since(self, since: float) -> LogPosition | None:
         """Return the position of the oldest confirmed sample sent at `since` or later.
 
-        A log that shows this position shows all that was acknowledged before
-        `since`, and no later sample asks for less.
+        A log that has applied this position has applied all that was acknowledged
+        before `since`; no later sample has an earlier position.
         """
         found = None
         for sample in reversed(self._confirmed):
@@ -100,14 +101,14 @@
         return found
 
     def get_fresh_at(self, history: tuple[TermStart, ...], end: LogPosition) -> float:
-        """Return until when a log is proven to hold all acknowledged writes.
+        """Return the time up to which a log is proven to hold all acknowledged writes.
 
         Parameters
         ----------
         history : tuple of TermStart
-            Where each term in the log begins, oldest first.
+            Start of each term in the log, oldest first.
         end : LogPosition
-            How far the log is applied.
+            The last entry that is applied.
 
         Returns
         -------
@@ -124,7 +125,7 @@
             NEVER,
         )
 
-    def _keep(self, sample: Sample) -> None:
+    def _append_confirmed(self, sample: Sample) -> None:
         """Append a confirmed sample in the order of send times."""
         kept = self._confirmed
         if kept and sample.sent_at <= kept[-1].sent_at:
@@ -137,7 +138,7 @@
 
 
 def thin_samples(samples: list[Sample]) -> list[Sample]:
-    """Return fewer samples: the older they are, the wider apart.
+    """Return fewer samples, with gaps that grow with their age.
 
     Parameters
     ----------
@@ -154,5 +155,5 @@
     for sample in reversed(samples[:-1]):
         if kept[-1].sent_at - sample.sent_at >= THIN_RATIO * (now - sample.sent_at):
             kept.append(sample)
-    # Close to `now` the ratio keeps each sample; half of the room is for them.
+    # The ratio retains each sample close to `now`, so that the count needs a limit too.
     return list(reversed(kept[: MAX_SAMPLES // 2]))
--- a/beryltrack/groups/sharing.py
+++ b/beryltrack/groups/sharing.py
@@ -1,9 +1,9 @@
-"""Ties the groups to the peers: who leads what spreads, and who ranks first.
+"""Exchange of group views with the peers: which database is the primary of a group.
 
-A node that does not watch a group, or has just started, learns from its peers
-where the primary is. What it learns is a hint: it proves neither an age nor
-that the primary still leads. The members of the fleet are what the nodes that
-may replace a primary are ranked among.
+An instance that does not watch a group, or has just started, learns the primary from
+its peers. Such a view is a hint: it proves neither an age nor that the primary still
+leads. Each change of the fleet's members also updates the instances among which the
+group's failover candidates are ranked.
 """
 
 import logging
@@ -23,25 +23,25 @@
 
 
 class PeerKnowledge(Protocol):
-    """What is needed of the peers' task."""
+    """What `GroupSharing` needs of the peers' task."""
 
     def publish(self, item: KnowledgeItem) -> None:
-        """Tell all proxies of an item."""
+        """Send an item to all instances."""
 
     def subscribe(self, kind: str, callback: Callable[[KnowledgeItem], None]) -> None:
-        """Call back with each new item of a kind, and with those known already."""
+        """Call back with each new item of a kind, and with those already known."""
 
 
 class GroupSharing:
-    """Shares the views of all groups that run on this node.
+    """Exchanges the views of all groups that run on this instance.
 
     Parameters
     ----------
     peers : PeerKnowledge
-        Spreads items.
+        Distributes items.
     get_nodes : callable
-        Gives the names of the instances that watch a group, this one among
-        them if it does.
+        Returns the names of the instances that watch a group, including this
+        instance if it does.
     """
 
     def __init__(self, peers: PeerKnowledge, get_nodes: GetNodes):
@@ -49,11 +49,11 @@
         self._get_nodes = get_nodes
         self._tasks: dict[str, GroupTask] = {}
         self._hints: dict[str, GroupView] = {}
-        peers.subscribe(VIEW_KIND, self._take_item)
-        peers.subscribe(MEMBER_KIND, self._take_member)
+        peers.subscribe(VIEW_KIND, self._handle_view_item)
+        peers.subscribe(MEMBER_KIND, self._handle_member_item)
 
     def add(self, task: GroupTask) -> None:
-        """Share the view of one more group, and give it what is known."""
+        """Publish the view of a group's task, and pass it the hint received before."""
         group = task.view.group
         self._tasks[group] = task
         task.set_nodes(self._get_nodes(group))
@@ -62,7 +62,7 @@
             task.learn_view(self._hints[group])
 
     def remove(self, task: GroupTask) -> None:
-        """Give a group's task nothing any more."""
+        """Stop passing hints and members to a group's task."""
         if self._tasks.get(task.view.group) is task:
             del self._tasks[task.view.group]
 
@@ -70,29 +70,32 @@
         if view.primary:
             self._peers.publish(make_view_item(view))
 
-    def _take_item(self, item: KnowledgeItem) -> None:
+    def _handle_view_item(self, item: KnowledgeItem) -> None:
         view, findings = parse_view_item(item)
         if view is None:
-            log.warning("groups: %s", "; ".join(map(format_finding, findings)))
+            log.warning(
+                "groups: ignored a malformed view from a peer: %s",
+                "; ".join(map(format_finding, findings)),
+            )
             return
         self._hints[view.group] = view
         task = self._tasks.get(view.group)
         if task is not None:
             task.learn_view(view)
 
-    def _take_member(self, item: KnowledgeItem) -> None:
+    def _handle_member_item(self, item: KnowledgeItem) -> None:
         for group, task in self._tasks.items():
             task.set_nodes(self._get_nodes(group))
 
 
 def make_view_item(view: GroupView) -> KnowledgeItem:
-    """Return the item that tells who leads a group.
+    """Return the item that announces the primary of a group.
 
     Parameters
     ----------
     view : GroupView
-        A view with a primary. A term has one primary only, so two items of one
-        version hold the same value.
+        A view with a primary. A term has at most one primary, so that two items of
+        one version hold the same value.
 
     Returns
     -------
@@ -105,7 +108,7 @@
 def parse_view_item(
     item: KnowledgeItem,
 ) -> tuple[GroupView | None, tuple[Finding, ...]]:
-    """Return the hint that an item carries, or what is wrong with it.
+    """Return the hint that an item contains, or the reasons why it is malformed.
 
     Parameters
     ----------
@@ -115,13 +118,17 @@
     Returns
     -------
     view : GroupView or None
-        A view that names the primary and nothing else.
+        A view with the group, the term and the primary only; None if there are
+        findings.
     findings : tuple of Finding
-        All that is wrong.
+        All defects of the item.
     """
     checks = (
         (len(item.version) == 1, "the version is not a term"),
-        (isinstance(item.value, str) and item.value, "the value is not a name"),
+        (
+            isinstance(item.value, str) and item.value,
+            "the value is not a database name",
+        ),
     )
     findings = tuple(Finding(item.key, "", text) for holds, text in checks if not holds)
     if findings:
--- a/beryltrack/groups/status_rows.py
+++ b/beryltrack/groups/status_rows.py
@@ -1,4 +1,4 @@
-"""The rows in which a database tells its status, turned into typed messages."""
+"""Parser of the rows in which a database reports its status over SQL."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 def parse_position(text: str) -> LogPosition:
-    """Return the position that a text ``TERM/OFFSET`` stands for.
+    """Return the position that a text ``TERM/OFFSET`` denotes.
 
     Raises
     ------
@@ -34,21 +34,21 @@
 def parse_status(
     row: dict[str, str | None], source: str
 ) -> tuple[DatabaseStatus | None, tuple[Finding, ...]]:
-    """Return the status in a row, and what is wrong with the row.
+    """Return the status in a row, or the reasons why the row is malformed.
 
     Parameters
     ----------
     row : dict of str to str or None
         Columns by name.
     source : str
-        The database that was asked; a row must bear its name.
+        The database that was asked; the row must contain its name.
 
     Returns
     -------
     status : DatabaseStatus or None
         None if there are findings.
     findings : tuple of Finding
-        One for each column that cannot be read.
+        One for each malformed column.
     """
     parsers = {
         "name": str,
@@ -74,7 +74,7 @@
     if findings:
         return None, tuple(findings)
     status = DatabaseStatus(*values.values())
-    # Databases of an older version do not tell.
+    # Databases of an older version do not report an incarnation.
     return status._replace(incarnation=row.get("incarnation") or ""), ()
 
 
--- a/beryltrack/groups/view.py
+++ b/beryltrack/groups/view.py
@@ -1,9 +1,9 @@
-"""The view that a node has of one database group.
+"""One instance's view of a database group (a primary and its replicas).
 
-Routing, confirmation and failover all read this view. It is an immutable
-tuple, so that a decision is made on one consistent state, and it carries its
-proofs with it: a replica's age is counted from `fresh_at`, which is only ever
-set from a sample whose term a majority of the group confirmed afterwards.
+Routing, confirmation of commits and failover read this view. It is an immutable tuple,
+so that each decision uses one consistent state. It includes its proofs: a replica's age
+is counted from `fresh_at`, which is set only from a sample whose term was confirmed
+afterwards; see `LeadershipProof`.
 """
 
 import math
@@ -21,51 +21,53 @@
 from beryltrack.groups.positions import covers
 
 NEVER = -math.inf
+"""Time of an event that has not happened."""
 
 
 class DatabaseView(NamedTuple):
-    """What a node knows of one database.
+    """What one instance knows of one database.
 
     Parameters
     ----------
     name : str
         The database's name in its group.
     role : str
-        `PRIMARY` or `REPLICA`, as the database last said.
+        `PRIMARY` or `REPLICA`, as the database last reported.
     term : int
-        The highest term that it was seen in.
+        The highest term that it has reported.
     received : LogPosition
         The last entry in its log.
     applied : LogPosition
         The last entry that its readers can see.
     history : tuple of TermStart
-        Where each term in its log begins, oldest first.
+        Start of each term in its log, oldest first.
     reachable : bool
         True if its last request was answered.
     leaving : bool
-        True if it wants no new work, or an operator drains it.
-    said_leaving : bool
-        True if it said by itself that it wants no new work.
+        True if it accepts no new work, or an operator drains it.
+    reports_leaving : bool
+        True if it reported that it accepts no new work.
     seen_at : float
-        Send time, by the node's clock, of the last status that was answered.
+        Send time, by the instance's clock, of the last status request it answered.
     fresh_at : float
         Its readers see every write that was acknowledged before this time of
-        the node's clock. `NEVER` if nothing is proven.
+        the instance's clock. `NEVER` if nothing is proven.
     heard_age : float
         Seconds since it heard from its primary, as of `seen_at`. Where databases
-        do not tell, seconds since this node heard from that primary.
+        do not report it, seconds of silence of the primary that this instance measured.
     is_held : bool
-        True if `term` is a promise that the candidate can take back.
+        True if `term` is a hold, a promise that the candidate can take back.
     is_role_fenced : bool
-        True if its own word that it leads proves its term.
+        True if its own report that it leads proves its term.
     lag : Lag or None
-        What its refusals of positions that reads asked for say; None without any.
+        Summary of its refusals of reads at positions it had not applied; None if it
+        is not known to be behind.
     recovering_since : float or None
-        When it was known to have started again with nothing of before; None if it
-        has since received what it may have held, or has not started again.
-    needed : LogPosition or None
-        A position up to which it may have received entries before it started again;
-        None until a primary has told of one.
+        Time at which it was found to have restarted empty; None if it has since
+        received what it may have held, or has not restarted.
+    recovery_position : LogPosition or None
+        A position up to which it may have received entries before it restarted;
+        None until a primary has reported one.
     """
 
     name: str
@@ -76,7 +78,7 @@
     history: tuple[TermStart, ...] = ()
     reachable: bool = False
     leaving: bool = False
-    said_leaving: bool = False
+    reports_leaving: bool = False
     seen_at: float = NEVER
     fresh_at: float = NEVER
     heard_age: float = math.inf
@@ -84,11 +86,11 @@
     is_role_fenced: bool = False
     lag: Lag | None = None
     recovering_since: float | None = None
-    needed: LogPosition | None = None
+    recovery_position: LogPosition | None = None
 
 
 class GroupView(NamedTuple):
-    """What a node knows of one database group.
+    """What one instance knows of one database group.
 
     Parameters
     ----------
@@ -100,16 +102,16 @@
         The name of that primary; empty if none is known, or if a majority is
         already known to have moved to a higher term.
     head : LogPosition
-        The furthest position known of that primary's log.
+        The highest known position of that primary's log.
     confirmed_at : float
-        No higher term had a primary before this time of the node's clock.
+        No higher term had a primary before this time of the instance's clock.
     databases : tuple of DatabaseView
         All members, in the order of the settings.
     last_primary : str
-        Who led the newest term that had a primary, also if it leads no more.
+        The primary of the newest term that had one, even if it no longer leads.
     stalled_since : float
-        Since when commits of this node wait and none of them has been received by
-        another database; infinite if none waits.
+        Time since which commits of this instance wait and none of them has been
+        received by another database; infinite if none waits.
     """
 
     group: str
@@ -123,7 +125,7 @@
 
 
 def get_database(view: GroupView, name: str) -> DatabaseView | None:
-    """Return the view of one database, or None if the group has none of the name.
+    """Return the view of one database, or None if the group has no such member.
 
     Parameters
     ----------
@@ -135,7 +137,7 @@
     Returns
     -------
     DatabaseView or None
-        The database's part of the view.
+        The database's entry in the view.
     """
     return next((item for item in view.databases if item.name == name), None)
 
@@ -146,14 +148,14 @@
 
 
 def compute_age(database: DatabaseView, now: float) -> float:
-    """Return a proven upper bound of the age of what a database's readers see.
+    """Return a proven upper bound of the staleness of reads at a database.
 
     Parameters
     ----------
     database : DatabaseView
         The database's view.
     now : float
-        The current time of the node's clock, seconds.
+        The current time of the instance's clock, in seconds.
 
     Returns
     -------
@@ -164,37 +166,37 @@
 
 
 def get_known_primary_term(database: DatabaseView) -> int:
-    """Return the highest term that a database knows a primary of.
+    """Return the highest term whose primary a database knows.
 
-    A promise that a candidate can take back is no such term.
+    A hold, which the candidate can take back, is no such term.
     """
     return database.received.term if database.is_held else database.term
 
 
 def get_recovering(view: GroupView) -> dict[str, LogPosition | None]:
-    """Return what each recovering database may have held, None if that is not known.
+    """Return each recovering database with the position it may have held, if known.
 
-    A database that has started again empty took part in confirming commits. In an
-    election it stands for them only with a candidate that has received all of them.
-    One that holds nothing beside others that hold something is taken for such a one:
-    an instance that has started since was not told.
+    A database that restarted empty had confirmed commits. In an election its vote
+    counts only for a candidate that has received all of them. A database with an empty
+    log beside others with entries counts as recovering too, since an instance that was
+    started later did not see the restart.
     """
     longest = max((item.received.offset for item in view.databases), default=0)
     return {
-        item.name: item.needed
+        item.name: item.recovery_position
         for item in view.databases
         if item.recovering_since is not None
-        or (item.reachable and longest and _holds_nothing(item))
+        or (item.reachable and longest and _has_empty_log(item))
     }
 
 
-def _holds_nothing(database: DatabaseView) -> bool:
+def _has_empty_log(database: DatabaseView) -> bool:
     """Return whether a replica has an empty log."""
     return database.role == REPLICA and not database.received.offset
 
 
 def count_eligible_voters(view: GroupView, voters: Collection[DatabaseView]) -> int:
-    """Return how many of some databases count in an election among them.
+    """Return how many of these databases count towards the quorum of an election.
 
     Parameters
     ----------
@@ -206,8 +208,8 @@
     Returns
     -------
     int
-        Those that are not recovering, and those whose losses one of them makes good.
-        Where all members vote nobody else has a log to wait for, so that all count.
+        Number of voters that are not recovering, or whose lost entries another voter
+        has. If all members vote, no other member can have entries, so that all count.
     """
     if len(voters) == len(view.databases):
         return len(voters)
@@ -218,7 +220,7 @@
 
 
 def is_deposed(view: GroupView, database: DatabaseView) -> bool:
-    """Return whether a database still believes to lead a term that is over.
+    """Return whether a database still reports to lead a term that has ended.
 
     Parameters
     ----------
@@ -230,50 +232,50 @@
     Returns
     -------
     bool
-        True if a later term has a primary that this database has not heard of.
+        True if a later term has a primary that this database does not know of.
     """
     return database.role == PRIMARY and database.term < view.term
 
 
 def has_applied(database: DatabaseView, token: LogPosition) -> bool:
-    """Return whether a database's readers see all that a token stands for."""
+    """Return whether a database has applied all acknowledged writes up to a token."""
     return covers(database.history, database.applied, token)
 
 
 def compute_majority(size: int) -> int:
-    """Return how many of a group's databases are a majority."""
+    """Return how many of a group's databases form a majority."""
     return size // 2 + 1
 
 
 def compute_election_quorum(size: int) -> int:
-    """Return how many databases an election needs where an authority is fenced.
+    """Return the quorum of an election where a fenced authority gives the permit.
 
-    An elected database must be chosen from a set that meets each set of databases
-    which can have confirmed a commit, and those are majorities. That no two are
-    elected at once is the authority's concern, so that the set need be no majority
-    itself: of two databases one suffices, since a commit needed both.
+    The voters must intersect each set of databases that can have confirmed a commit,
+    and those sets are majorities. The authority ensures that at most one database is
+    elected, so that the voters need not be a majority themselves: of two databases one
+    suffices, since a commit needed both.
     """
     return size - compute_majority(size) + 1
 
 
 def is_primary(database: DatabaseView) -> bool:
-    """Return whether the database believes that it leads."""
+    """Return whether a database reports to be the primary."""
     return database.role == PRIMARY
 
 
-class GroupOutline(NamedTuple):
-    """The parts of a view whose change others are told of at once.
+class GroupSummary(NamedTuple):
+    """The fields of a view whose changes are reported to subscribers at once.
 
     Parameters
     ----------
     term : int
         The term of the primary.
     primary : str
-        The primary.
+        The primary's name; empty if none is known.
     reachable : tuple of str
         Databases that answer.
     leaving : tuple of str
-        Databases that want no new work.
+        Databases that accept no new work.
     """
 
     term: int
@@ -282,9 +284,9 @@
     leaving: tuple[str, ...]
 
 
-def get_outline(view: GroupView) -> GroupOutline:
-    """Return the outline of a view."""
-    return GroupOutline(
+def get_summary(view: GroupView) -> GroupSummary:
+    """Return the summary of a view."""
+    return GroupSummary(
         view.term,
         view.primary,
         tuple(item.name for item in view.databases if item.reachable),
--- a/beryltrack/groups/waiters.py
+++ b/beryltrack/groups/waiters.py
@@ -1,4 +1,4 @@
-"""Those who wait for something that a group's view will show."""
+"""Requests that wait for a proof, or for a database's progress, in a group's view."""
 
 from collections.abc import Callable, Container
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class ProofWaiter(NamedTuple):
-    """Somebody waits for something that is proven up to a time.
+    """A request that waits for a proof as of a time.
 
     Parameters
     ----------
     called_at : float
-        Only what was asked for at or after this time counts.
+        Only answers to requests sent at or after this time count.
     answer : Deferred
-        Fires with what is proven.
+        Fires with the proof.
     """
 
     called_at: float
@@ -25,7 +25,7 @@
 
 
 class ProofWaiters:
-    """All who wait for one kind of proof, in the order in which they came."""
+    """All requests that wait for one kind of proof, in the order of their calls."""
 
     def __init__(self) -> None:
         self._waiting: list[ProofWaiter] = []
@@ -35,43 +35,43 @@
 
     @property
     def oldest(self) -> float:
-        """Since when the first of them waits."""
+        """Time of the call that has waited longest."""
         return self._waiting[0].called_at
 
     def wait(self, called_at: float) -> Deferred:
-        """Return what fires with a proof of what was asked at or after a time."""
+        """Return a Deferred that fires with a proof as of `called_at` or later."""
         waiter = ProofWaiter(called_at, Deferred())
         self._waiting.append(waiter)
-        return waiter.answer.addBoth(_drop, self._waiting, waiter)
+        return waiter.answer.addBoth(_remove, self._waiting, waiter)
 
-    def wants_after(self, sent_at: float) -> bool:
-        """Return whether a request of a time is too old for somebody who waits."""
+    def needs_request_after(self, sent_at: float) -> bool:
+        """Return whether a status request sent at `sent_at` is too old for a waiter."""
         return any(waiter.called_at > sent_at for waiter in self._waiting)
 
     def answer(self, get_proof: Callable[[float], object | None]) -> None:
-        """Answer those for whose time there is a proof; None says there is none."""
+        """Fire the Deferreds for whose times `get_proof` returns a proof, not None."""
         for waiter in tuple(self._waiting):
             proof = get_proof(waiter.called_at)
             if proof is not None:
                 waiter.answer.callback(proof)
 
     def stop(self) -> None:
-        """Cancel all: they wait in vain."""
+        """Cancel all waiting requests."""
         for waiter in tuple(self._waiting):
             waiter.answer.cancel()
 
 
 class AppliedWaiter(NamedTuple):
-    """Somebody waits until a database has applied what a token stands for.
+    """A request that waits until a database has applied a token's position.
 
     Parameters
     ----------
     database : str
         The database.
     token : LogPosition
-        What it has to show.
+        The position that it has to apply.
     answer : Deferred
-        Fires with True when it does, with False at the timeout.
+        Fires with True when it has, with False at the timeout.
     """
 
     database: str
@@ -80,7 +80,7 @@
 
 
 class ViewWaiters:
-    """All who wait for something that a group's view will show.
+    """All requests that wait for a sample or for the progress of a database.
 
     Parameters
     ----------
@@ -95,62 +95,62 @@
 
     @property
     def has_samples(self) -> bool:
-        """True if somebody waits for a sample of the primary."""
+        """True if a request waits for a sample of the primary."""
         return bool(self._samples)
 
     def wait_sample(self, called_at: float) -> Deferred:
-        """Return what fires with a position sampled at or after a time."""
+        """Return a Deferred of a position sampled at or after `called_at`."""
         return self._samples.wait(called_at)
 
     def wait_applied(
         self, database: str, token: LogPosition, timeout: float
     ) -> Deferred:
-        """Return what fires with whether a database shows a token in time."""
+        """Return a Deferred of whether a database applies a token in time."""
         waiter = AppliedWaiter(
             database, token, make_timed_deferred(self._reactor, timeout, False)
         )
         self._applied.append(waiter)
-        return waiter.answer.addBoth(_drop, self._applied, waiter)
+        return waiter.answer.addBoth(_remove, self._applied, waiter)
 
-    def wants_sample_after(self, sent_at: float) -> bool:
-        """Return whether a request of a time is too old for somebody who waits."""
-        return self._samples.wants_after(sent_at)
+    def needs_sample_after(self, sent_at: float) -> bool:
+        """Return whether a request sent at `sent_at` is too old for a waiter."""
+        return self._samples.needs_request_after(sent_at)
 
     def get_tokens(self, database: str) -> list[LogPosition]:
-        """Return what is waited for at a database."""
+        """Return the tokens that requests wait for at a database."""
         return [each.token for each in self._applied if each.database == database]
 
     def answer_applied(self, view: GroupView) -> None:
-        """Answer those whose database shows what they wait for."""
+        """Fire the Deferreds whose databases have applied their tokens."""
         for waiter in tuple(self._applied):
             item = get_database(view, waiter.database)
             if item is not None and has_applied(item, waiter.token):
                 waiter.answer.callback(True)
 
     def answer_samples(self, get_sample: Callable[[float], LogPosition | None]) -> None:
-        """Answer those for whose time there is a confirmed sample."""
+        """Fire the Deferreds for whose times there is a confirmed sample."""
         self._samples.answer(get_sample)
 
     def keep_databases(self, names: Container[str]) -> None:
-        """Tell those who wait for another database that it will not show it."""
+        """Fire with False the Deferreds of databases other than these."""
         for waiter in tuple(self._applied):
             if waiter.database not in names:
                 waiter.answer.callback(False)
 
     def stop(self) -> None:
-        """Tell all that they wait in vain."""
+        """End all waits: with False for tokens, by cancelling for samples."""
         self.keep_databases(())
         self._samples.stop()
 
 
-def _drop(result: object, waiters: list, waiter: object) -> object:
-    """Take a waiter that was answered or cancelled off its list."""
+def _remove(result: object, waiters: list, waiter: object) -> object:
+    """Remove a waiter that was answered or cancelled, and return the result."""
     waiters.remove(waiter)
     return result
 
 
-def make_timed_deferred(reactor, timeout: float, otherwise: object) -> Deferred:
-    """Return a Deferred that fires with `otherwise` unless it fires before.
+def make_timed_deferred(reactor, timeout: float, timeout_result: object) -> Deferred:
+    """Return a Deferred that fires with `timeout_result` unless it fires before.
 
     Parameters
     ----------
@@ -158,7 +158,7 @@
         Source of timers.
     timeout : float
         Seconds.
-    otherwise : object
+    timeout_result : object
         Its result at the timeout.
 
     Returns
@@ -167,7 +167,7 @@
         Fire it by `callback` at most once, and only while it is not `called`.
     """
     answer: Deferred = Deferred()
-    timer = reactor.callLater(timeout, answer.callback, otherwise)
+    timer = reactor.callLater(timeout, answer.callback, timeout_result)
 
     def cancel_timer(result: object) -> object:
         if timer.active():
--- a/beryltrack/groups/watch.py
+++ b/beryltrack/groups/watch.py
@@ -1,8 +1,8 @@
-"""One database's watch: a loop that asks for its status, one request at a time.
+"""The watch of one database: a loop that requests its status, one request at a time.
 
-While somebody waits for the database, the request is a long poll for just
-that. Otherwise it is a plain probe at a settable pace, so that an idle control
-connection is free at once for a grant or for a new wait.
+While a request waits for the database's progress, the watch sends a long poll for it.
+Otherwise it sends short probes at the interval that the owner returns, so that the idle
+control connection is free at once for a grant or a new long poll.
 """
 
 import logging
@@ -19,13 +19,13 @@
 StatusResult = Result[DatabaseStatus, ControlFailure]
 
 
-class WatchWait(NamedTuple):
-    """A long poll to make.
+class LongPoll(NamedTuple):
+    """A long poll for a status.
 
     Parameters
     ----------
     wait : StatusWait
-        What ends it.
+        The conditions that end it.
     timeout : float
         Seconds after which it ends in any case.
     """
@@ -35,23 +35,25 @@
 
 
 class WatchOwner(Protocol):
-    """What a watch asks of the task that owns it."""
+    """What a watch needs of the group's task."""
 
     def begin_request(self, database: str) -> float:
         """Return the send time of the next request, later than all before it."""
 
-    def get_wait(self, database: str) -> WatchWait | None:
-        """Return the long poll that is wanted of a database, if any."""
+    def get_long_poll(self, database: str) -> LongPoll | None:
+        """Return the long poll to send to a database; None for a short probe."""
 
     def get_delay(self, database: str) -> float:
-        """Return the seconds until the next request to a database."""
+        """Return the seconds between a result and the next request to a database."""
 
-    def take_result(self, database: str, result: StatusResult, sent_at: float) -> None:
-        """Take in the result of a request sent at the time `sent_at`."""
+    def handle_result(
+        self, database: str, result: StatusResult, sent_at: float
+    ) -> None:
+        """Handle the result of a request that was sent at `sent_at`."""
 
 
 class DatabaseWatch:
-    """Asks one database for its status, again and again.
+    """Requests the status of one database repeatedly.
 
     Parameters
     ----------
@@ -60,9 +62,9 @@
     database : str
         The database's name.
     adapter : DatabaseGroup
-        Carries the requests.
+        Sends the requests.
     owner : WatchOwner
-        Says what to ask when, and takes the results.
+        Decides on the next request and handles the results.
     """
 
     def __init__(
@@ -77,18 +79,18 @@
         self._loop: Deferred | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the loop."""
         self._loop = Deferred.fromCoroutine(self._run())
         self._loop.addErrback(lambda failure: failure.trap(CancelledError))
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop the loop and cancel a running request."""
         loop, self._loop = self._loop, None
         if loop is not None:
             loop.cancel()
 
     def wake(self) -> None:
-        """Make the next request now, or as soon as the present one is answered."""
+        """Send the next request now, or as soon as the current one is answered."""
         self._woken = True
         if self._pause is not None:
             self._pause.callback(None)
@@ -98,18 +100,21 @@
             self._woken = False
             sent_at = self._owner.begin_request(self._database)
             result = await self._ask()
-            self._give_result(result, sent_at)
+            self._deliver_result(result, sent_at)
             await self._wait_for_next()
 
-    def _give_result(self, result: StatusResult, sent_at: float) -> None:
-        """Give a result to the owner; a defect there must not end the watch."""
+    def _deliver_result(self, result: StatusResult, sent_at: float) -> None:
+        """Pass a result to the owner; an exception there must not end the loop."""
         try:
-            self._owner.take_result(self._database, result, sent_at)
+            self._owner.handle_result(self._database, result, sent_at)
         except Exception:
-            log.exception("groups: a status of %s met a defect.", self._database)
+            log.exception(
+                "groups: handling a status of %s failed; its watch continues.",
+                self._database,
+            )
 
     async def _ask(self) -> StatusResult:
-        request = self._owner.get_wait(self._database)
+        request = self._owner.get_long_poll(self._database)
         if request is None:
             return await self._adapter.get_status(self._database)
         return await self._adapter.wait_status(
@@ -117,7 +122,7 @@
         )
 
     async def _wait_for_next(self) -> None:
-        """Pause until the next request is due or somebody wakes the watch."""
+        """Pause until the next request is due or `wake` is called."""
         delay = 0.0 if self._woken else self._owner.get_delay(self._database)
         self._pause = Deferred()
         timer = self._reactor.callLater(delay, self.wake)
--- a/beryltrack/groups/watches.py
+++ b/beryltrack/groups/watches.py
@@ -1,4 +1,4 @@
-"""The watches of a group's databases, and when each database was last asked."""
+"""The watches of all databases of a group, with the send times of their requests."""
 
 from collections.abc import Iterable
 
@@ -16,9 +16,9 @@
     reactor : IReactorTime
         Source of timers.
     adapter : DatabaseGroup
-        Carries the requests.
+        Sends the requests.
     owner : WatchOwner
-        Says what to ask when, and takes the results.
+        Decides on the next request and handles the results.
     names : iterable of str
         The members.
     """
@@ -35,19 +35,19 @@
         self.set_databases(tuple(names))
 
     def start(self) -> None:
-        """Begin to ask all members."""
+        """Start the watches of all members."""
         self._is_running = True
         for watch in self._watches.values():
             watch.start()
 
     def stop(self) -> None:
-        """Ask nobody any more."""
+        """Stop all watches."""
         self._is_running = False
         for watch in self._watches.values():
             watch.stop()
 
     def set_databases(self, names: tuple[str, ...]) -> None:
-        """Take the members from new settings; those that stay are asked on."""
+        """Replace the members; the watches of those that remain go on."""
         self._sent_at = {name: self._sent_at.get(name, 0.0) for name in names}
         for name in self._watches.keys() - set(names):
             self._watches.pop(name).stop()
@@ -63,25 +63,25 @@
         return database in self._watches
 
     def get_sent_at(self, database: str) -> float:
-        """Return when a database was last asked."""
+        """Return the send time of the last request to a database; 0.0 if none."""
         return self._sent_at.get(database, 0.0)
 
-    def note_sent(self, database: str, sent_at: float) -> None:
-        """Note when a database was asked."""
+    def record_sent(self, database: str, sent_at: float) -> None:
+        """Record the send time of a request to a database."""
         self._sent_at[database] = sent_at
 
     def wake(self, database: str) -> None:
-        """Ask a database now, if it is still a member."""
+        """Request a database's status now, if it is still a member."""
         if database in self._watches:
             self._watches[database].wake()
 
     def wake_all(self) -> None:
-        """Ask all members now."""
+        """Request the status of all members now."""
         for watch in self._watches.values():
             watch.wake()
 
     def wake_replicas(self, view: GroupView) -> None:
-        """Ask all members now that do not say that they lead."""
+        """Request the status of all members that do not report to be primary."""
         for item in view.databases:
             if item.role != PRIMARY:
                 self.wake(item.name)
--- a/tests/groups/test_confirmations.py
+++ b/tests/groups/test_confirmations.py
@@ -70,11 +70,11 @@
 def test_whoever_comes_after_the_question_has_it_asked_again():
     owner = Owner()
     owner.waits.wait()
-    assert not owner.waits.wants("b")
+    assert not owner.waits.needs_request("b")
     owner.clock.advance(0.001)
     owner.waits.wait()
     owner.sent_at["b"] = 1.0
-    assert owner.waits.wants("b") and not owner.waits.wants("c")
+    assert owner.waits.needs_request("b") and not owner.waits.needs_request("c")
 
 
 def test_without_a_replica_at_work_all_are_asked():
--- a/tests/groups/test_fallen_back.py
+++ b/tests/groups/test_fallen_back.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from beryltrack.groups.messages import REPLICA, DatabaseStatus, LogPosition
-from beryltrack.groups.restarts import Told, has_fallen_back
+from beryltrack.groups.restarts import ReceivedStatus, has_regressed
 from beryltrack.groups.status_rows import parse_status
 from beryltrack_standins.database.control_calls import STATUS_COLUMNS, _get_status_row
 from beryltrack_standins.database.database import Database
@@ -40,12 +40,12 @@
     ],
 )
 def test_a_status_that_falls_back_is_a_sign(before, after, is_sign):
-    assert has_fallen_back(Told(before, 1.0), after, 1.5) is is_sign
+    assert has_regressed(ReceivedStatus(before, 1.0), after, 1.5) is is_sign
 
 
 def test_no_status_is_one_that_was_asked_for_before_the_other_came():
-    assert not has_fallen_back(Told(TOLD, 2.0), make_status(0, (0, 0)), 1.5)
-    assert not has_fallen_back(None, make_status(0, (0, 0)), 1.5)
+    assert not has_regressed(ReceivedStatus(TOLD, 2.0), make_status(0, (0, 0)), 1.5)
+    assert not has_regressed(None, make_status(0, (0, 0)), 1.5)
 
 
 def test_a_database_of_the_postgresql_side_tells_its_incarnation():
@@ -61,7 +61,7 @@
 
     before = ask()
     database.start_again_empty()
-    assert has_fallen_back(Told(before, 1.0), ask(), 1.5)
+    assert has_regressed(ReceivedStatus(before, 1.0), ask(), 1.5)
 
 
 def test_one_of_an_older_version_does_not_tell():
--- a/tests/groups/test_plain_pace.py
+++ b/tests/groups/test_plain_pace.py
@@ -43,11 +43,11 @@
 
 def test_a_suspicion_ends_with_an_answer_from_after_it():
     pace = PollSchedule(POLICY)
-    assert pace.note_suspicion(10.0) and not pace.note_suspicion(10.1)
+    assert pace.record_suspicion(10.0) and not pace.record_suspicion(10.1)
     assert compute(pace, now=10.2) == POLICY.suspect_interval
-    pace.note_primary_status(9.9)
+    pace.record_primary_status(9.9)
     assert compute(pace, now=10.2) == POLICY.suspect_interval
-    pace.note_primary_status(10.1)
+    pace.record_primary_status(10.1)
     assert compute(pace, now=10.2) == POLICY.background_interval
 
 
@@ -56,11 +56,11 @@
     pace.begin_confirming(10.0)
     assert compute(pace, facts=facts, now=10.0) == POLICY.poll_interval
     assert 0.049 < compute(pace, facts=facts, now=10.2) < 0.051
-    assert not pace.turns_to_all(10.0 + WITNESS_TIMEOUT / 2)
-    assert pace.turns_to_all(10.0 + WITNESS_TIMEOUT * 2)
-    assert not pace.turns_to_all(10.0 + WITNESS_TIMEOUT * 3)
+    assert not pace.escalate_to_all(10.0 + WITNESS_TIMEOUT / 2)
+    assert pace.escalate_to_all(10.0 + WITNESS_TIMEOUT * 2)
+    assert not pace.escalate_to_all(10.0 + WITNESS_TIMEOUT * 3)
     pace.end_confirming()
-    assert not pace.asks_all
+    assert not pace.polls_all
 
 
 def test_a_group_without_a_primary_is_watched_closely():
--- a/tests/groups/test_witnesses.py
+++ b/tests/groups/test_witnesses.py
@@ -59,7 +59,7 @@
 
 def test_a_read_at_the_primary_is_a_sample_once_others_confirm_its_term():
     group = Group()
-    group.decider.observe_shown("a", LogPosition(1, 8), 2.0)
+    group.decider.observe_read_position("a", LogPosition(1, 8), 2.0)
     group.observe("c", 2.5)
     assert group.decider.get_needed_position(1.5) == LogPosition(1, 8)
 
