--- a/tests/groups/test_adapter.py
+++ b/tests/groups/test_adapter.py
@@ -1,4 +1,4 @@
-"""Control requests to the stand-in databases over real sockets."""
+"""The PostgreSQL adapter against stand-in databases over real sockets."""
 
 from random import Random
 
@@ -89,7 +89,7 @@
     assert places >= {"name", "role", "term", "received", "applied", "history"}
 
 
-def test_a_row_is_read():
+def test_a_row_is_parsed():
     row = {
         "name": "a",
         "role": "replica",
--- a/tests/groups/test_confirmations.py
+++ b/tests/groups/test_confirmations.py
@@ -1,4 +1,4 @@
-"""Who is asked for the proof that no later term has a primary."""
+"""Which databases are asked for the proof that no later term has a primary."""
 
 from twisted.internet.task import Clock
 
@@ -9,7 +9,7 @@
 
 
 class Owner:
-    """A group of three: ``a`` leads, ``b`` has received more than ``c``."""
+    """A group of three: ``a`` is the primary, ``b`` has received more than ``c``."""
 
     witness_count = 1
 
@@ -60,14 +60,14 @@
     assert owner.asked == ["b", "c"]
 
 
-def test_a_proof_of_before_does_not_count():
+def test_an_earlier_proof_does_not_count():
     owner = Owner()
     waiting = owner.waits.wait()
     owner.waits.answer(0.9)
     assert not waiting.called
 
 
-def test_whoever_comes_after_the_question_has_it_asked_again():
+def test_a_later_call_needs_another_request():
     owner = Owner()
     owner.waits.wait()
     assert not owner.waits.needs_request("b")
@@ -77,14 +77,14 @@
     assert owner.waits.needs_request("b") and not owner.waits.needs_request("c")
 
 
-def test_without_a_replica_at_work_all_are_asked():
+def test_without_a_reachable_replica_all_are_asked():
     owner = Owner()
     owner.view = owner.view._replace(databases=owner.view.databases[:1])
     owner.waits.wait()
     assert owner.asked == ["a"]
 
 
-def test_one_that_gives_up_is_forgotten():
+def test_a_cancelled_call_is_removed():
     owner = Owner()
     waiting = owner.waits.wait()
     waiting.addErrback(lambda failure: None)
--- a/tests/groups/test_control_calls.py
+++ b/tests/groups/test_control_calls.py
@@ -1,4 +1,4 @@
-"""Control requests over connections that the pool has free, or over one's own."""
+"""Control requests over idle connections of a pool, or over dedicated ones."""
 
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
@@ -47,7 +47,7 @@
 
 
 class Pool:
-    """Has one connection that may be free."""
+    """A pool of at most one connection."""
 
     def __init__(self, connection):
         self.free = connection
@@ -66,10 +66,10 @@
 class Site:
     """Control calls to one database."""
 
-    def __init__(self, spare=None, is_silent=False):
+    def __init__(self, has_pooled=None, is_silent=False):
         self.clock = Clock()
         self.opened = []
-        self.pool = Pool(Connection(self.clock, is_silent) if spare else None)
+        self.pool = Pool(Connection(self.clock, is_silent) if has_pooled else None)
         self.calls = ControlCalls(
             self.clock,
             self.open,
@@ -90,22 +90,22 @@
         return Deferred.fromCoroutine(self.calls.call("db-1", b"STATUS"))
 
 
-def test_a_free_connection_of_the_pool_is_used_and_given_back():
-    site = Site(spare=True)
+def test_an_idle_pooled_connection_is_used_and_released():
+    site = Site(has_pooled=True)
     assert site.call().result.end is END
     assert site.opened == [] and site.pool.returned == [True]
 
 
-def test_one_of_its_own_is_opened_while_the_pool_has_none_free():
+def test_a_dedicated_connection_is_opened_while_the_pool_has_none_idle():
     site = Site()
     assert site.call().result.end is END
     assert site.call().result.end is END
     assert len(site.opened) == 1 and site.opened[0].requests == 2
-    # With one of its own it does not wait.
+    # With a dedicated connection it does not wait for the pool.
     assert site.pool.patience == 0.0
 
 
-def test_one_of_its_own_is_closed_when_nothing_needs_it():
+def test_an_unused_dedicated_connection_is_closed():
     site = Site()
     site.call()
     site.clock.advance(IDLE_TIME / 2)
@@ -116,40 +116,40 @@
     assert site.opened[0].has_ended
 
 
-def test_a_pooled_connection_that_is_silent_costs_no_answer():
-    site = Site(spare=True, is_silent=True)
+def test_a_silent_pooled_connection_is_not_reusable():
+    site = Site(has_pooled=True, is_silent=True)
     calling = site.call()
     site.clock.advance(0.2)
-    # The connection breaks: whoever ran something on it is told so.
+    # The connection breaks, which fails the call.
     site.clock.advance(0.2)
     calling.addErrback(lambda failure: None)
     assert site.pool.returned == [False]
 
 
-def test_an_answer_that_came_during_a_pause_is_no_silence():
-    """Guards against healthy connections that are closed as the process wakes."""
-    site = Site(spare=True, is_silent=True)
-    awake = get_pause_aware_clock(site.clock)
-    awake.start_detection()
+def test_an_answer_during_a_pause_of_the_process_counts():
+    """Guards against closing healthy connections after a pause of the process."""
+    site = Site(has_pooled=True, is_silent=True)
+    clock = get_pause_aware_clock(site.clock)
+    clock.start_detection()
     connection = site.pool.free
     calling = site.call()
     site.clock.advance(3.0)
-    # It is read after the timers of the turn in which the process woke.
+    # The answer is read after the timers of the first turn after the pause.
     connection.answer()
     assert calling.result.end is END
     assert site.pool.returned == [True] and site.opened == []
 
 
-def test_a_connection_that_is_silent_after_a_pause_is_given_up_in_its_time():
+def test_a_connection_that_is_silent_after_a_pause_is_replaced():
     """Guards against a pause that hides a silent connection."""
-    site = Site(spare=True, is_silent=True)
-    awake = get_pause_aware_clock(site.clock)
-    awake.start_detection()
+    site = Site(has_pooled=True, is_silent=True)
+    clock = get_pause_aware_clock(site.clock)
+    clock.start_detection()
     calling = site.call()
     site.clock.advance(3.0)
     for _ in range(4):
         site.clock.advance(0.1)
-        awake.record_tick()
+        clock.record_tick()
     # A new connection has answered in place of the silent one.
     assert calling.result.end is END
     assert site.pool.returned == [False] and len(site.opened) == 1
--- a/tests/groups/test_fallen_back.py
+++ b/tests/groups/test_fallen_back.py
@@ -1,4 +1,4 @@
-"""Signs that a database has started again and holds nothing of before."""
+"""Detection of databases that have restarted empty, from their statuses."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -18,37 +18,37 @@
     return status._replace(incarnation=incarnation)
 
 
-TOLD = make_status(2, (2, 112))
+EARLIER = make_status(2, (2, 112))
 
 
 @pytest.mark.parametrize(
     ("before", "after", "is_sign"),
     [
-        (TOLD, make_status(2, (2, 112)), False),
-        (TOLD, make_status(0, (0, 0)), True),
-        (TOLD, make_status(2, (2, 50)), True),
-        # A primary of a later term has removed what was not its own.
-        (TOLD, make_status(3, (2, 110)), False),
-        # Nothing of its term was there yet, so that an older end may have gone.
+        (EARLIER, make_status(2, (2, 112)), False),
+        (EARLIER, make_status(0, (0, 0)), True),
+        (EARLIER, make_status(2, (2, 50)), True),
+        # A primary of a later term has truncated entries that its own log lacks.
+        (EARLIER, make_status(3, (2, 110)), False),
+        # It had no entries of its term yet, so that older ones may have been truncated.
         (make_status(3, (2, 112)), make_status(3, (2, 110)), False),
-        # It is held for a later term, or no more.
-        (TOLD, make_status(2, (2, 112), held=3), False),
-        (make_status(2, (2, 112), held=3), TOLD, False),
-        (TOLD, make_status(0, (0, 0), held=3), True),
+        # A hold for a later term begins or ends.
+        (EARLIER, make_status(2, (2, 112), held=3), False),
+        (make_status(2, (2, 112), held=3), EARLIER, False),
+        (EARLIER, make_status(0, (0, 0), held=3), True),
         (make_status(2, (2, 112), held=3), make_status(0, (0, 0)), True),
-        (TOLD._replace(incarnation="1"), TOLD._replace(incarnation="2"), True),
+        (EARLIER._replace(incarnation="1"), EARLIER._replace(incarnation="2"), True),
     ],
 )
-def test_a_status_that_falls_back_is_a_sign(before, after, is_sign):
+def test_a_status_that_regresses_shows_a_restart(before, after, is_sign):
     assert has_regressed(ReceivedStatus(before, 1.0), after, 1.5) is is_sign
 
 
-def test_no_status_is_one_that_was_asked_for_before_the_other_came():
-    assert not has_regressed(ReceivedStatus(TOLD, 2.0), make_status(0, (0, 0)), 1.5)
+def test_statuses_without_a_certain_order_show_nothing():
+    assert not has_regressed(ReceivedStatus(EARLIER, 2.0), make_status(0, (0, 0)), 1.5)
     assert not has_regressed(None, make_status(0, (0, 0)), 1.5)
 
 
-def test_a_database_of_the_postgresql_side_tells_its_incarnation():
+def test_a_postgresql_database_reports_its_incarnation():
     database = Database(Clock(), "a")
 
     def ask():
@@ -64,7 +64,7 @@
     assert has_regressed(ReceivedStatus(before, 1.0), ask(), 1.5)
 
 
-def test_one_of_an_older_version_does_not_tell():
+def test_a_status_of_an_older_version_has_no_incarnation():
     row = dict(
         zip(
             STATUS_COLUMNS[:-1],
--- a/tests/groups/test_plain.py
+++ b/tests/groups/test_plain.py
@@ -1,4 +1,4 @@
-"""A group whose databases answer at once and tell nothing of what they hear."""
+"""The group's task with poll-only databases, which report no contact with a primary."""
 
 import random
 
@@ -39,8 +39,8 @@
     return GroupSettings("main", "", databases, "", "", 0.0, 0.5)
 
 
-class PlainDatabases:
-    """Databases that answer after a delay, unless they are silent or refuse."""
+class PollOnlyDatabases:
+    """Poll-only databases that answer after a delay unless they are silent."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -110,7 +110,7 @@
 
 def start_group():
     clock = Clock()
-    databases = PlainDatabases(clock)
+    databases = PollOnlyDatabases(clock)
     task = GroupTask(clock, make_group(), databases, "node", random.Random(1), POLICY)
     get_pause_aware_clock(clock).start_detection()
     task.start()
@@ -119,22 +119,22 @@
 
 
 def run(clock, task, seconds):
-    """Let time pass, with the turns by which a pause of the process is noticed."""
+    """Advance the time, with the turns by which pauses of the process are detected."""
     for _ in range(round(seconds / 0.01)):
         get_pause_aware_clock(clock).record_tick()
         clock.advance(0.01)
 
 
-def test_databases_at_rest_are_asked_seldom():
+def test_idle_databases_are_asked_seldom():
     clock, databases, task = start_group()
     before = dict(databases.asked)
     run(clock, task, 5.0)
     assert databases.asked["b"] == before["b"] and databases.asked["c"] == before["c"]
-    # The first in rank guards the primary.
+    # The first-ranked instance probes the primary.
     assert 8 <= databases.asked["a"] - before["a"] <= 14
 
 
-def test_a_commit_is_confirmed_by_one_question():
+def test_a_commit_is_confirmed_by_one_request():
     clock, databases, task = start_group()
     databases.received = dict.fromkeys(NAMES, 6)
     before = databases.asked["b"] + databases.asked["c"]
@@ -183,7 +183,7 @@
 
 
 def test_pauses_one_after_the_other_do_not_hide_a_lost_primary():
-    """Guards against pauses that forgive a silence each time, and so for good.
+    """Guards against a series of pauses that resets the measured silence each time.
 
     A primary is lost after 0.5 s of silence in which the process ran.
     """
@@ -198,7 +198,7 @@
         assert pauses < 8
 
 
-def test_a_new_primary_is_seen_while_the_databases_rest():
+def test_a_new_primary_is_seen_while_the_databases_are_idle():
     clock, databases, task = start_group()
     databases.roles |= {"a": REPLICA, "b": PRIMARY}
     databases.terms = dict.fromkeys(NAMES, 2)
@@ -207,7 +207,7 @@
     assert task.view.primary == "b" and task.view.term == 2
 
 
-def test_a_primary_that_others_elected_is_seen_though_nothing_is_asked():
+def test_a_primary_that_others_elected_is_seen_without_traffic():
     clock, databases, task = start_group()
     databases.silent.add("a")
     run(clock, task, 3.0)
@@ -218,7 +218,7 @@
     assert task.view.primary == "b"
 
 
-def test_a_hold_that_was_taken_back_does_not_hide_the_database():
+def test_a_term_falls_back_when_a_hold_is_taken_back():
     clock, databases, task = start_group()
     databases.held = {"b", "c"}
     task.suspect("a", task.get_time())
@@ -229,7 +229,7 @@
     assert [item.term for item in task.view.databases] == [1, 1, 1]
 
 
-def test_replicas_that_a_lost_promoter_has_held_are_freed_by_an_election():
+def test_holds_of_a_lost_candidate_end_by_an_election():
     clock, databases, task = start_group()
     databases.held = {"b", "c"}
     task.suspect("a", task.get_time())
@@ -239,7 +239,7 @@
     assert task.view.primary in ("b", "c")
 
 
-def test_members_come_and_go():
+def test_members_are_added_and_removed():
     clock, databases, task = start_group()
     for table, value in (
         (databases.roles, REPLICA),
@@ -254,7 +254,7 @@
     assert databases.asked["d"] >= 1 and task.view.primary == "a"
 
 
-def test_a_slow_statement_at_a_primary_that_answers_costs_one_round():
+def test_a_slow_statement_at_a_healthy_primary_costs_one_round():
     clock, databases, task = start_group()
     before = dict(databases.asked)
     task.suspect("a", task.get_time())
@@ -262,7 +262,7 @@
     assert all(databases.asked[name] - before[name] <= 2 for name in NAMES)
 
 
-def test_a_statement_is_no_sign_if_the_primary_has_answered_later_ones():
+def test_an_unanswered_statement_older_than_an_answer_raises_no_suspicion():
     clock, databases, task = start_group()
     sent_at = task.get_time()
     run(clock, task, 0.02)
@@ -273,7 +273,7 @@
     assert databases.asked == before
 
 
-def test_a_database_that_answers_statements_is_not_lost_for_want_of_a_status():
+def test_a_database_that_answers_statements_stays_reachable_without_a_status():
     clock, databases, task = start_group()
     databases.silent.add("b")
     task.suspect("b", task.get_time())
--- a/tests/groups/test_plain_pace.py
+++ b/tests/groups/test_plain_pace.py
@@ -1,4 +1,4 @@
-"""How often databases are asked that tell little, on literal times."""
+"""The schedule of status requests to poll-only databases, at literal times."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 from beryltrack.groups.view import DatabaseView, GroupView
 
 POLICY = ProbePolicy(0.25, 0.25, suspect_interval=0.1, is_poll_only=True)
-CALM = PollContext(False, False, False, 0.0)
+IDLE = PollContext(False, False, False, 0.0)
 
 
 def make_item(name, role=REPLICA, received=5, **fields):
@@ -27,40 +27,40 @@
 )
 
 
-def compute(pace, item=VIEW.databases[1], facts=CALM, now=10.0, view=VIEW):
-    return pace.compute_delay(view, item, facts, now)
+def compute(schedule, item=VIEW.databases[1], context=IDLE, now=10.0, view=VIEW):
+    return schedule.compute_delay(view, item, context, now)
 
 
-def test_a_database_at_rest_is_asked_seldom():
+def test_an_idle_database_is_asked_seldom():
     assert compute(PollSchedule(POLICY)) == POLICY.background_interval
 
 
-def test_the_first_instance_guards_a_primary_that_it_does_not_hear():
-    facts = CALM._replace(is_first=True, heard_at=9.9)
-    delay = compute(PollSchedule(POLICY), LEADER, facts)
+def test_the_first_ranked_instance_probes_a_silent_primary():
+    context = IDLE._replace(is_first=True, heard_at=9.9)
+    delay = compute(PollSchedule(POLICY), LEADER, context)
     assert delay == pytest.approx(POLICY.idle_primary_interval - 0.1)
 
 
 def test_a_suspicion_ends_with_an_answer_from_after_it():
-    pace = PollSchedule(POLICY)
-    assert pace.record_suspicion(10.0) and not pace.record_suspicion(10.1)
-    assert compute(pace, now=10.2) == POLICY.suspect_interval
-    pace.record_primary_status(9.9)
-    assert compute(pace, now=10.2) == POLICY.suspect_interval
-    pace.record_primary_status(10.1)
-    assert compute(pace, now=10.2) == POLICY.background_interval
-
-
-def test_a_receipt_is_asked_for_ever_more_seldom_and_then_of_all():
-    pace, facts = PollSchedule(POLICY), CALM._replace(is_awaited=True)
-    pace.begin_confirming(10.0)
-    assert compute(pace, facts=facts, now=10.0) == POLICY.poll_interval
-    assert 0.049 < compute(pace, facts=facts, now=10.2) < 0.051
-    assert not pace.escalate_to_all(10.0 + WITNESS_TIMEOUT / 2)
-    assert pace.escalate_to_all(10.0 + WITNESS_TIMEOUT * 2)
-    assert not pace.escalate_to_all(10.0 + WITNESS_TIMEOUT * 3)
-    pace.end_confirming()
-    assert not pace.polls_all
+    schedule = PollSchedule(POLICY)
+    assert schedule.record_suspicion(10.0) and not schedule.record_suspicion(10.1)
+    assert compute(schedule, now=10.2) == POLICY.suspect_interval
+    schedule.record_primary_status(9.9)
+    assert compute(schedule, now=10.2) == POLICY.suspect_interval
+    schedule.record_primary_status(10.1)
+    assert compute(schedule, now=10.2) == POLICY.background_interval
+
+
+def test_polls_for_a_commit_slow_down_and_then_go_to_all_replicas():
+    schedule, context = PollSchedule(POLICY), IDLE._replace(is_awaited=True)
+    schedule.begin_confirming(10.0)
+    assert compute(schedule, context=context, now=10.0) == POLICY.poll_interval
+    assert 0.049 < compute(schedule, context=context, now=10.2) < 0.051
+    assert not schedule.escalate_to_all(10.0 + WITNESS_TIMEOUT / 2)
+    assert schedule.escalate_to_all(10.0 + WITNESS_TIMEOUT * 2)
+    assert not schedule.escalate_to_all(10.0 + WITNESS_TIMEOUT * 3)
+    schedule.end_confirming()
+    assert not schedule.polls_all
 
 
 def test_a_group_without_a_primary_is_watched_closely():
--- a/tests/groups/test_policy.py
+++ b/tests/groups/test_policy.py
@@ -1,4 +1,4 @@
-"""The pace of probes and what a long poll waits for."""
+"""Intervals of probes, and conditions and timeouts of long polls."""
 
 import pytest
 
--- a/tests/groups/test_restarts.py
+++ b/tests/groups/test_restarts.py
@@ -1,9 +1,9 @@
-"""Databases that start again empty, under the identifier that they had.
+"""Databases that restart empty under their former identifier.
 
-What was known of such a database is not true of it any more: the position that it had
-received, the term that it had promised, the term that it led. Commits are acknowledged
-by a majority that received them, and a primary is elected by a majority: one that
-forgets belongs to both, and the two must still meet.
+Such a database has lost the entries that it received, the term that it promised and the
+term that it led. Majorities confirm commits and elect primaries, and any two of them
+must intersect in a database that still has its data. If the empty database counted in
+both, acknowledged commits could be lost.
 """
 
 import random
@@ -24,27 +24,27 @@
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import get_database
 from beryltrack.transactions.decider import CommitOutcome
-from tests.groups.test_plain import POLICY, PlainDatabases, make_group, run
+from tests.groups.test_plain import POLICY, PollOnlyDatabases, make_group, run
 
 
-class ForgetfulDatabases(PlainDatabases):
-    """Databases that can start again with nothing; each name is one start."""
+class RestartingDatabases(PollOnlyDatabases):
+    """Databases that can restart empty; each name stands for one incarnation."""
 
     def __init__(self, clock):
         super().__init__(clock)
         self.promoted = []
 
-    def restart_empty(self, name, again=None):
-        """Start a database again, under another name if the store tells of it."""
-        again = again or name
+    def restart_empty(self, name, later=None):
+        """Restart a database empty, under a new name if the settings announce it."""
+        later = later or name
         for table in (self.roles, self.terms, self.received, self.asked):
-            table[again] = table.pop(name)
-        self.roles[again], self.terms[again], self.received[again] = REPLICA, 0, 0
+            table[later] = table.pop(name)
+        self.roles[later], self.terms[later], self.received[later] = REPLICA, 0, 0
         self.held.discard(name)
         self.silent.discard(name)
 
     def lead(self, offset):
-        """Let the primary commit up to an offset and all that hear it receive."""
+        """Commit up to an offset, received by all databases that hear the primary."""
         primary = next(name for name, role in self.roles.items() if role == PRIMARY)
         for name in self.received:
             if name not in self.silent | self.held:
@@ -108,16 +108,16 @@
 
 
 class Site:
-    """One instance, the first in rank, and its group of three."""
+    """One instance, which ranks first, and its group of three."""
 
     def __init__(self):
         self.clock = Clock()
-        self.databases = ForgetfulDatabases(self.clock)
+        self.databases = RestartingDatabases(self.clock)
         self.task = None
         self.start()
 
     def start(self, seconds=1.0):
-        """Start the instance, which knows nothing of before, and let it look."""
+        """Start the instance without earlier state, and run it for some seconds."""
         if self.task is not None:
             self.task.stop()
         self.task = GroupTask(
@@ -147,8 +147,8 @@
         self.run(0.6)
         return answer.result
 
-    def tell(self, *names):
-        """Let the store tell who the members are."""
+    def apply_settings(self, *names):
+        """Apply settings with these members."""
         self.task.set_databases(make_group(names))
         self.run(0.05)
 
@@ -161,7 +161,7 @@
         return self.databases.promoted
 
 
-def test_a_position_that_falls_back_is_taken_in():
+def test_a_position_that_regresses_is_recorded():
     site = Site()
     site.ask("c")
     site.databases.restart_empty("c")
@@ -181,12 +181,12 @@
     assert site.confirm(8) is CommitOutcome.CONFIRMED
 
 
-def test_nor_after_the_store_has_told_of_the_start():
+def test_a_commit_is_not_confirmed_by_a_member_that_the_settings_replaced():
     site = Site()
     site.databases.received |= {"a": 9, "c": 9}
     site.ask("a", "c")
     site.databases.restart_empty("c", "c@2")
-    site.tell("a", "b", "c@2")
+    site.apply_settings("a", "b", "c@2")
     assert site.confirm(8) is CommitOutcome.UNKNOWN
 
 
@@ -200,7 +200,7 @@
     assert site.confirm(8) is CommitOutcome.CONFIRMED
 
 
-def test_a_primary_that_comes_back_empty_leads_no_more():
+def test_a_primary_that_restarts_empty_is_replaced():
     site = Site()
     site.ask("a", "b", "c")
     site.databases.restart_empty("a")
@@ -209,14 +209,14 @@
     assert site.view.primary == site.promoted[0]
 
 
-def test_nobody_is_elected_beside_an_empty_member_without_what_it_had():
-    """It may have been the only one beside the primary that had received a commit."""
+def test_no_election_with_an_empty_member_and_without_its_lost_entries():
+    """The empty one may have been the only replica that had received a commit."""
     site = Site()
     site.databases.received |= {"a": 9, "c": 9}
     site.ask("a", "b", "c")
     site.databases.silent.add("a")
     site.databases.restart_empty("c", "c@2")
-    site.tell("a", "b", "c@2")
+    site.apply_settings("a", "b", "c@2")
     site.run(5.0)
     assert site.promoted == []
     # The primary comes back with its log.
@@ -225,77 +225,77 @@
     assert site.view.primary == "a"
 
 
-def test_one_that_has_received_all_is_elected_beside_an_empty_member():
+def test_a_replica_with_all_entries_is_elected_with_an_empty_member():
     site = Site()
     site.databases.restart_empty("c", "c@2")
-    site.tell("a", "b", "c@2")
+    site.apply_settings("a", "b", "c@2")
     site.ask("a", "b")
     site.databases.silent.add("a")
     site.run(3.0)
     assert site.promoted == ["b"]
 
 
-def test_the_longest_is_elected_once_the_primary_is_a_member_no_more():
+def test_the_longest_log_is_elected_once_the_primary_is_removed():
     site = Site()
     site.databases.received |= {"a": 9, "c": 9}
     site.ask("a", "b", "c")
     site.databases.silent.add("a")
     site.databases.restart_empty("c", "c@2")
-    site.tell("a", "b", "c@2")
+    site.apply_settings("a", "b", "c@2")
     site.run(3.0)
     assert site.promoted == []
-    site.tell("b", "c@2")
+    site.apply_settings("b", "c@2")
     site.run(3.0)
     assert site.promoted == ["b"]
 
 
 @pytest.mark.parametrize("silent", ["b", "c@2"])
-def test_but_not_while_a_member_is_silent(silent):
+def test_two_empty_members_elect_no_primary_while_a_member_is_silent(silent):
     site = Site()
     site.ask("a", "b", "c")
     site.databases.restart_empty("c", "c@2")
     site.databases.restart_empty("a", "a@2")
     site.databases.silent.add(silent)
-    site.tell("a@2", "b", "c@2")
+    site.apply_settings("a@2", "b", "c@2")
     site.run(4.0)
     assert site.promoted == []
 
 
-def test_two_empty_members_elect_nobody_while_the_primary_may_come_back():
+def test_two_empty_members_elect_no_primary_while_the_old_one_may_return():
     site = Site()
     site.ask("a", "b", "c")
     site.databases.silent.add("a")
     site.databases.restart_empty("b", "b@2")
     site.databases.restart_empty("c", "c@2")
-    site.tell("a", "b@2", "c@2")
+    site.apply_settings("a", "b@2", "c@2")
     site.run(5.0)
     assert site.promoted == []
 
 
-def test_a_group_that_is_empty_as_a_whole_gets_a_primary():
+def test_a_group_of_empty_members_elects_a_primary():
     site = Site()
     site.ask("a", "b", "c")
     for name in "abc":
         site.databases.restart_empty(name, f"{name}@2")
-    site.tell("a@2", "b@2", "c@2")
+    site.apply_settings("a@2", "b@2", "c@2")
     site.run(3.0)
     assert len(site.promoted) == 1
 
 
-def test_a_group_gets_a_primary_that_no_instance_has_seen_led():
-    """All instances started while its primary was down, which came back empty."""
+def test_a_group_whose_primary_no_instance_has_seen_elects_one():
+    """All instances started while the primary was down, and it came back empty."""
     site = Site()
     site.databases.restart_empty("a")
     site.start(0.1)
     for name in "bc":
         site.databases.restart_empty(name, f"{name}@2")
-    site.tell("a", "b@2", "c@2")
+    site.apply_settings("a", "b@2", "c@2")
     site.run(3.0)
     assert len(site.promoted) == 1
 
 
-def test_an_instance_that_started_since_elects_nobody_beside_an_empty_member():
-    """It was not told of the start; the third member may have what was lost."""
+def test_a_new_instance_does_not_elect_with_an_empty_member():
+    """It did not see the restart; the third member may have the lost entries."""
     site = Site()
     site.databases.received |= {"a": 9, "c": 9}
     site.databases.silent.add("a")
@@ -307,7 +307,7 @@
     assert site.view.primary == "a"
 
 
-def test_one_that_started_again_since_it_was_chosen_is_not_promoted():
+def test_a_candidate_database_that_restarted_is_not_promoted():
     site = Site()
     site.ask("a", "b", "c")
     site.databases.received |= {"b": 9}
@@ -321,11 +321,11 @@
     assert "b" not in site.promoted and "b@2" not in site.promoted
 
 
-def test_what_is_late_of_an_earlier_incarnation_says_nothing():
+def test_late_answers_of_an_earlier_incarnation_are_ignored():
     site = Site()
     site.ask("a", "b", "c")
     site.databases.restart_empty("a", "a@2")
-    site.tell("a@2", "b", "c")
+    site.apply_settings("a@2", "b", "c")
     site.task.observe_position("a", LogPosition(1, 9), 0.5)
     site.task.observe_leadership("a", LogPosition(1, 9), 0.5)
     site.task.suspect("a", 0.0)
--- a/tests/groups/test_samples.py
+++ b/tests/groups/test_samples.py
@@ -1,4 +1,4 @@
-"""Samples of a primary's position."""
+"""Samples of a primary's position: confirmation, freshness and thinning."""
 
 from beryltrack.groups.messages import LogPosition, TermStart
 from beryltrack.groups.samples import MAX_SAMPLES, THIN_RATIO, Sample, SampleLog
@@ -49,7 +49,7 @@
     assert len(log) == 2
 
 
-def test_a_late_answer_does_not_go_back():
+def test_a_late_sample_is_ignored():
     log = make_log((3, 8.0), (2, 7.0))
     assert len(log) == 1
 
--- a/tests/groups/test_sharing.py
+++ b/tests/groups/test_sharing.py
@@ -1,4 +1,4 @@
-"""Views that spread over the peers."""
+"""Exchange of group views with the peers."""
 
 from beryltrack.groups.messages import LogPosition
 from beryltrack.groups.sharing import GroupSharing, parse_view_item
@@ -10,7 +10,7 @@
 
 
 class FakePeers:
-    """Spreads items at once."""
+    """Records published items and subscribers."""
 
     def __init__(self):
         self.published = []
@@ -24,7 +24,7 @@
 
 
 class FakeTask:
-    """Remembers what it is given."""
+    """Records the instances and hints that it receives."""
 
     def __init__(self):
         self.view = GroupView("g")
@@ -35,7 +35,7 @@
         self.nodes = nodes
 
     def subscribe(self, callback):
-        self.tell = callback
+        self.report_view = callback
 
     def learn_view(self, view):
         self.hints.append(view)
@@ -50,12 +50,12 @@
 def test_a_new_primary_is_published_under_its_term():
     sharing, peers, task, _ = share()
     sharing.add(task)
-    task.tell(GroupView("g", 3, ""))
-    task.tell(GroupView("g", 3, "b", head=LogPosition(3, 9)))
+    task.report_view(GroupView("g", 3, ""))
+    task.report_view(GroupView("g", 3, "b", head=LogPosition(3, 9)))
     assert peers.published == [KnowledgeItem("group", "g", (3,), "b")]
 
 
-def test_what_was_known_before_a_group_started_is_given_to_it():
+def test_a_hint_from_before_a_task_was_added_is_passed_to_it():
     sharing, peers, task, _ = share()
     peers.callbacks["group"](KnowledgeItem("group", "g", (3,), "b"))
     peers.callbacks["group"](KnowledgeItem("group", "other", (9,), "x"))
@@ -66,7 +66,7 @@
     assert len(task.hints) == 1
 
 
-def test_the_members_are_ranked_anew_when_they_change():
+def test_changed_members_are_passed_to_the_tasks():
     sharing, peers, task, nodes = share()
     sharing.add(task)
     assert task.nodes == NODES
@@ -75,7 +75,7 @@
     assert task.nodes == (*NODES, "proxy-3")
 
 
-def test_a_malformed_item_harms_nothing():
+def test_a_malformed_item_is_ignored():
     sharing, peers, task, _ = share()
     sharing.add(task)
     peers.callbacks["group"](KnowledgeItem("group", "g", (1, 2), 7))
--- a/tests/groups/test_stalled.py
+++ b/tests/groups/test_stalled.py
@@ -1,4 +1,4 @@
-"""A primary that answers, and whose commits reach no other database."""
+"""A stalled primary: it answers, but no replica receives its commits."""
 
 import random
 
@@ -8,14 +8,14 @@
 from beryltrack.failover.decider import FailoverPolicy
 from beryltrack.groups.messages import LogPosition
 from beryltrack.groups.task import GroupTask
-from tests.groups.test_plain import POLICY, PlainDatabases, make_group, run
+from tests.groups.test_plain import POLICY, PollOnlyDatabases, make_group, run
 
 STALLED_AFTER = 0.5
 
 
 def start_group():
     clock = Clock()
-    databases = PlainDatabases(clock)
+    databases = PollOnlyDatabases(clock)
     task = GroupTask(
         clock,
         make_group(),
@@ -36,7 +36,7 @@
     task.confirm(LogPosition(1, offset), 0.8, "a")
 
 
-def test_it_is_replaced_while_callers_still_wait():
+def test_a_stalled_primary_is_replaced_while_callers_still_wait():
     clock, databases, task = start_group()
     commit(databases, task, 6)
     run(clock, task, 0.4)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("receiver", ["b", "c"])
-def test_one_replica_that_receives_is_enough(receiver):
+def test_a_primary_with_one_receiving_replica_is_not_stalled(receiver):
     clock, databases, task = start_group()
     for offset in range(6, 16):
         commit(databases, task, offset, receiver)
@@ -55,7 +55,7 @@
     assert databases.grants == []
 
 
-def test_replicas_that_do_not_answer_prove_nothing():
+def test_silent_replicas_do_not_prove_a_stall():
     clock, databases, task = start_group()
     databases.silent = {"c"}
     commit(databases, task, 6)
@@ -63,7 +63,7 @@
     assert databases.grants == []
 
 
-def test_a_commit_that_was_received_late_ends_it():
+def test_a_late_receipt_ends_the_stall():
     clock, databases, task = start_group()
     commit(databases, task, 6)
     run(clock, task, 0.3)
@@ -76,9 +76,9 @@
     assert databases.grants == []
 
 
-def test_without_the_policy_it_goes_on():
+def test_a_stalled_primary_stays_without_the_policy():
     clock = Clock()
-    databases = PlainDatabases(clock)
+    databases = PollOnlyDatabases(clock)
     task = GroupTask(clock, make_group(), databases, "node", random.Random(1), POLICY)
     task.start()
     run(clock, task, 1.0)
--- a/tests/groups/test_task.py
+++ b/tests/groups/test_task.py
@@ -1,4 +1,4 @@
-"""A group's task before a fake group: samples, ages, waits and commits."""
+"""A group's task with a fake group: samples, ages, waits and commits."""
 
 from beryltrack.groups.messages import LogPosition
 from beryltrack.groups.policy import ProbePolicy
@@ -36,7 +36,7 @@
 def test_a_sample_does_not_wait_for_the_next_probe():
     site = GroupSite(policy=ProbePolicy(0.1, 0.1))
     for step in range(40):
-        # The calls come just before, during and after a probe of the primary.
+        # The calls are made just before, during and after a probe of the primary.
         site.run(0.079 + step * 0.0001)
         assert site.get_result(site.task.sample_primary(), 0.02) is not None
 
@@ -95,7 +95,7 @@
     assert site.get_result(answer, 4.0) is CommitOutcome.CONFIRMED
 
 
-def test_a_position_of_a_term_that_another_database_leads_tells_nothing():
+def test_a_commit_is_unknown_if_another_database_leads_its_term():
     site = GroupSite()
     answer = site.task.confirm(LogPosition(1, 1), 1.0, "group-2")
     assert site.get_result(answer, 0.0) is CommitOutcome.UNKNOWN
@@ -130,7 +130,7 @@
     assert get_database(view, "group-3") == get_database(before, "group-3")
 
 
-def test_stopping_answers_all_who_wait():
+def test_stopping_ends_all_waits():
     site = GroupSite()
     commit = site.task.confirm(LogPosition(1, 99), 9.0)
     applied = site.task.wait_applied("group-2", LogPosition(1, 99), 9.0)
@@ -163,14 +163,14 @@
     assert site.site.clock.seconds() - lost_at < 0.52
 
 
-def test_a_replica_that_is_cut_off_for_long_is_asked_at_the_usual_pace():
+def test_a_replica_that_is_cut_off_for_long_is_asked_at_the_usual_interval():
     site = GroupSite()
     site.group.isolate("group-3")
     site.run(3.0)
     assert count_probes(site, 5.0) <= 40
 
 
-def test_a_proof_of_another_instance_is_as_good_as_a_sample():
+def test_a_proof_of_another_instance_replaces_a_sample():
     site = GroupSite(policy=ProbePolicy(10.0, 10.0))
     now = site.task.get_time()
     site.task.observe_proof(Sample(LogPosition(1, 7), now))
@@ -179,7 +179,7 @@
     assert site.task.get_proof() == Sample(LogPosition(1, 7), now)
 
 
-def test_a_proof_of_a_term_that_is_not_known_makes_the_node_look():
+def test_a_proof_of_an_unknown_term_triggers_a_probe():
     site = GroupSite(policy=ProbePolicy(10.0, 10.0))
     confirmed_at = site.task.view.confirmed_at
     asked = site.task.view.databases[0].seen_at
--- a/tests/groups/test_witnesses.py
+++ b/tests/groups/test_witnesses.py
@@ -1,4 +1,4 @@
-"""A term that others than the primary prove, as a replaced primary goes on."""
+"""Proof of a term by witnesses, where a replaced primary continues for a while."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 
 class Group:
-    """A decider that is told of statuses; the first one leads term 1."""
+    """A decider that observes statuses; the first database leads term 1."""
 
     def __init__(self, names=NAMES):
         self.decider = GroupDecider("main", names, proof=LeadershipProof.WITNESSES)
@@ -40,14 +40,14 @@
         return self.decider.view.confirmed_at
 
 
-def test_the_word_of_a_primary_proves_nothing():
+def test_the_report_of_a_primary_proves_nothing():
     group = Group()
     group.decider.observe_leadership("a", LogPosition(1, 6), 2.0, 2.0)
     assert group.confirmed_at == NEVER
     assert group.decider.get_needed_position(1.5) is None
 
 
-def test_one_other_of_three_proves_it_up_to_when_it_was_asked():
+def test_one_witness_of_three_proves_the_term_up_to_its_request():
     group = Group()
     group.decider.observe_leadership("a", LogPosition(1, 6), 2.0, 2.0)
     group.decider.observe_leadership("a", LogPosition(1, 7), 4.0, 4.0)
@@ -64,7 +64,7 @@
     assert group.decider.get_needed_position(1.5) == LogPosition(1, 8)
 
 
-def test_one_that_is_held_for_the_next_term_proves_nothing():
+def test_a_replica_held_for_the_next_term_proves_nothing():
     group = Group()
     group.observe("b", 2.0, held=2)
     assert group.confirmed_at == NEVER
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(("size", "needed"), [(2, 1), (4, 2), (5, 2)])
-def test_so_many_others_that_they_meet_any_that_an_election_holds(size, needed):
+def test_the_witnesses_intersect_each_election_quorum(size, needed):
     names = tuple("abcde"[:size])
     group = Group(names)
     for count, name in enumerate(names[1:], 1):
