--- a/beryltrack/clock.py
+++ b/beryltrack/clock.py
@@ -1,7 +1,7 @@
-"""The time of a node: seconds that never go back.
+"""The monotonic time of a node, in seconds.
 
-Ages and timeouts are proven by this time, so it must not follow corrections
-of the wall clock, which the reactor's own `seconds` does.
+Ages, timeouts and leases are measured by it, so it must not follow corrections of the
+wall clock, as the reactor's own `seconds` does.
 """
 
 import time
@@ -11,7 +11,7 @@
 
 
 def get_monotonic_clock(reactor: object) -> Callable[[], float]:
-    """Return the function that tells the time of a node.
+    """Return the function that returns the node's monotonic time in seconds.
 
     Parameters
     ----------
@@ -29,9 +29,9 @@
 
 
 def use_monotonic_time(reactor) -> None:
-    """Let the reactor's timers follow a clock that never goes back.
+    """Make the reactor's timers follow the monotonic clock.
 
-    Twisted's timers follow the wall clock, so that a correction of it by some
-    seconds would hold back every heartbeat and probe of the process.
+    Twisted's timers follow the wall clock: if that is set back by some seconds, every
+    heartbeat and probe of the process is delayed by as much.
     """
     reactor.seconds = time.monotonic
--- a/beryltrack/errors.py
+++ b/beryltrack/errors.py
@@ -1,9 +1,8 @@
-"""Errors as callers see them: SQLSTATEs that say truthfully what happened.
+"""Errors that callers receive, with SQLSTATEs that state the request's outcome.
 
-A caller decides by the SQLSTATE whether to send its request again, so each
-error says one of three things: the request was not run, it was rolled back, or
-its outcome is unknown. The functions below are the only places that choose
-these SQLSTATEs.
+A caller decides by the SQLSTATE whether to repeat its request, so each error says one
+of three things: the request was not run, it was rolled back, or its outcome is unknown.
+Only the functions below choose these SQLSTATEs.
 """
 
 import re
@@ -12,7 +11,7 @@
 ERROR = "ERROR"
 FATAL = "FATAL"
 
-# SQLSTATEs by the names that PostgreSQL's documentation gives them.
+# SQLSTATEs, named as in PostgreSQL's documentation.
 TRANSACTION_RESOLUTION_UNKNOWN = "08007"
 PROTOCOL_VIOLATION = "08P01"
 FEATURE_NOT_SUPPORTED = "0A000"
@@ -36,28 +35,28 @@
 NOT_RUN_SQLSTATES = frozenset(
     {CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS, CONFIGURATION_LIMIT_EXCEEDED}
 )
+"""SQLSTATEs which state that a request was not run."""
 
-
-_HINTED = re.compile(r"(.*?)\.? ?(Try again in (\d{1,6}\.\d\d) seconds\.)")
+_TEXT_WITH_HINT = re.compile(r"(.*?)\.? ?(Try again in (\d{1,6}\.\d\d) seconds\.)")
 
 
 class SqlError(NamedTuple):
-    """One error in the form that the PostgreSQL protocol carries.
+    """One error, with the fields of a PostgreSQL ErrorResponse message.
 
     Parameters
     ----------
     sqlstate : str
-        Five characters that say what kind of error it is.
+        Five characters that identify the kind of error.
     message : str
-        One sentence for people.
+        One human-readable sentence.
     detail : str
-        More about the cause; empty for none.
+        Details of the cause or the consequence; empty for none.
     hint : str
-        What to do about it; empty for none.
+        What the caller can do; empty for none.
     severity : str
-        `ERROR` if the connection stays, `FATAL` if it ends.
+        `ERROR` if the connection stays open, `FATAL` if it is closed.
     retry_after : float
-        Seconds after which to come back, as the hint says; 0 if it says nothing.
+        Seconds after which to retry, as in the hint; 0 if the hint names none.
     """
 
     sqlstate: str
@@ -69,7 +68,7 @@
 
 
 class SqlException(Exception):
-    """An exception that carries the error to tell the caller.
+    """An exception that carries the error to send to the caller.
 
     Parameters
     ----------
@@ -83,23 +82,23 @@
 
 
 def make_not_run_error(message: str, sqlstate: str = CANNOT_CONNECT_NOW) -> SqlError:
-    """Return the error of a request that was not run and never will be."""
+    """Return the error for a request that was not run and never will be."""
     return SqlError(sqlstate, message, detail="The request was not run.")
 
 
 def make_refusal(
     message: str, retry_after: float, sqlstate: str = CANNOT_CONNECT_NOW
 ) -> SqlError:
-    """Return the error of a request that was not run, with when to come back.
+    """Return the error for a request that was not run, with a time to retry after.
 
     Parameters
     ----------
     message : str
-        Why it was not run.
+        Why the request was not run.
     retry_after : float
         Seconds after which a new attempt has a fair chance.
     sqlstate : str
-        A SQLSTATE that means that the request was not run.
+        A member of `NOT_RUN_SQLSTATES`, or another that means "not run".
 
     Returns
     -------
@@ -107,20 +106,22 @@
         The error.
     """
     hint = f"Try again in {retry_after:.2f} seconds."
-    told = round(retry_after, 2)
-    return make_not_run_error(message, sqlstate)._replace(hint=hint, retry_after=told)
+    rounded = round(retry_after, 2)
+    return make_not_run_error(message, sqlstate)._replace(
+        hint=hint, retry_after=rounded
+    )
 
 
 def split_refusal(text: str) -> tuple[str, str, float]:
-    """Return the message and the hint of a refusal that stand in one text.
+    """Split a refusal's text, as another process sent it, into message and hint.
 
     Returns
     -------
     tuple
-        The message, the hint and the seconds that it names; an empty hint and zero if
-        the text has none.
+        The message, the hint and the hint's seconds; the whole text, an empty hint and
+        zero if the text has no hint.
     """
-    match = _HINTED.fullmatch(text)
+    match = _TEXT_WITH_HINT.fullmatch(text)
     if match is None:
         return text, "", 0.0
     message, hint, seconds = match.groups()
@@ -128,34 +129,34 @@
 
 
 def make_rolled_back_error(message: str) -> SqlError:
-    """Return the error of a transaction that was rolled back as a whole."""
+    """Return the error for a transaction that was rolled back as a whole."""
     return SqlError(
         SERIALIZATION_FAILURE, message, detail="The transaction was rolled back."
     )
 
 
 def make_outcome_unknown_error(message: str) -> SqlError:
-    """Return the error of a request that may or may not have taken effect."""
+    """Return the error for a request that may or may not have taken effect."""
     return SqlError(
         TRANSACTION_RESOLUTION_UNKNOWN,
         message,
         detail="The request may have been run.",
-        hint="Mark the request with beryltrack.request_id to repeat it safely.",
+        hint="Set beryltrack.request_id for the request to repeat it safely.",
     )
 
 
 def make_unsupported_error(message: str, hint: str = "") -> SqlError:
-    """Return the error of a feature that the proxy does not offer."""
+    """Return the error for a feature that the proxy does not support."""
     return SqlError(FEATURE_NOT_SUPPORTED, message, hint=hint)
 
 
 def make_malformed_setting_error(name: str, text: str) -> SqlError:
-    """Return the error of a session setting whose value cannot be used."""
+    """Return the error for a session setting whose value is invalid."""
     return SqlError(
         INVALID_PARAMETER_VALUE, f'invalid value for parameter "{name}"', detail=text
     )
 
 
 def make_fatal_error(sqlstate: str, message: str, detail: str = "") -> SqlError:
-    """Return an error after which the connection is closed."""
+    """Return an error of severity `FATAL`, which closes the connection."""
     return SqlError(sqlstate, message, detail, severity=FATAL)
--- a/beryltrack/json_form.py
+++ b/beryltrack/json_form.py
@@ -1,7 +1,7 @@
-"""Turns typed tuples into JSON objects and back, by `cattrs`.
+"""Converts named tuples to JSON values and back, with `cattrs`.
 
-Between processes of different releases only the JSON form is shared, so tuples
-become objects with named fields rather than arrays.
+Processes of different releases exchange the JSON form, so named tuples become objects
+with named fields rather than arrays.
 """
 
 from typing import TypeVar
@@ -17,7 +17,7 @@
 
 
 def _build_converter() -> cattrs.Converter:
-    """Return a converter that turns named tuples into JSON objects."""
+    """Return a converter between named tuples and JSON objects."""
     converter = cattrs.Converter()
     converter.register_unstructure_hook_factory(
         is_namedtuple, lambda kind: namedtuple_dict_unstructure_factory(kind, converter)
@@ -37,12 +37,12 @@
 
 
 def from_json(value: object, kind: type[T]) -> T:
-    """Return a typed value from its JSON form.
+    """Return a value of type `kind` from its JSON form.
 
     Raises
     ------
     ValueError
-        If a field is missing or of another type.
+        If a field is missing or has another type.
     """
     try:
         return _CONVERTER.structure(value, kind)
--- a/beryltrack/pause_aware_clock.py
+++ b/beryltrack/pause_aware_clock.py
@@ -1,12 +1,12 @@
-"""The time in which this process ran, without the pauses in which it was stopped.
+"""A clock that counts the time in which this process ran, without its pauses.
 
-A process is stopped for a while by a signal, by the migration of its machine, or by a
-host that has no processor time. When it wakes, the timers that ran out meanwhile fire
-before anything is read, so that all who answered during the pause would be taken for
-silent. Whoever concludes something from the silence of others goes by this clock.
+A process is paused by a signal, by a live migration of its machine, or by a host that
+has no processor time to give. After a pause the timers that are due fire before the
+event loop reads any input, so that peers that answered during the pause would be taken
+for silent. Code that concludes a failure from missing answers uses this clock.
 
-What others were promised, such as leases, permits and proofs of freshness, ends by the
-node's own time, `clock.get_seconds`: it does not live longer by a pause.
+Promises to others (leases, permits, proofs of freshness) end by the node's monotonic
+time, `clock.get_monotonic_clock`: a pause does not extend them.
 """
 
 import math
@@ -20,20 +20,21 @@
 from beryltrack.clock import get_monotonic_clock
 
 TICK_PERIOD = 0.1
-"""Most seconds between two turns of a process that runs; of a pause, as much counts as
-time in which it ran, so that pauses one after the other hide no silence for good."""
+"""Maximum seconds between two ticks of a running process. Of each pause, as much counts
+as running time, so that repeated pauses do not hide a silence forever."""
 
 PAUSE_LIMIT = 0.4
-"""Seconds without a turn after which the process was paused: longer than a collection
-of garbage or a quota of the processor stops it, and no longer than the shortest silence
-that counts as a loss."""
+"""Seconds without a tick after which the process counts as paused: longer than a
+garbage collection or a CPU quota stops it, and no longer than the shortest silence that
+counts as a loss."""
 
 RESUME_GRACE = 0.1
-"""Seconds after a pause for which nothing counts as silent: what has come meanwhile is
-read first."""
+"""Seconds after a pause during which no peer counts as silent, so that the input that
+arrived during the pause is read first."""
 
 MAX_PAUSES = 64
-"""Pauses that are remembered; what is measured began after the oldest of them."""
+"""Pauses that are retained; a time given to `get_paused_time` is later than the oldest
+of them."""
 
 
 class Pause(NamedTuple):
@@ -42,11 +43,11 @@
     Parameters
     ----------
     resumed_at : float
-        When it was noticed, by the node's time in seconds.
+        When the pause was detected, by the node's monotonic time in seconds.
     length : float
-        Seconds that do not count as time in which the process ran.
+        Seconds that do not count as running time.
     ran_for : float
-        Seconds for which it ran since the pause before.
+        Seconds for which the process ran since the previous pause.
     """
 
     resumed_at: float
@@ -58,18 +59,18 @@
 
 
 class PauseAwareCall:
-    """A call that is due once the process has run for some time.
+    """A delayed call that is due after some running time of the process.
 
-    It can be cancelled like an `IDelayedCall`, but not moved.
+    It can be cancelled like an `IDelayedCall`, but not rescheduled.
 
     Parameters
     ----------
-    clock : AwakeClock
-        The clock that made it.
+    clock : PauseAwareClock
+        The clock that created it.
     reactor : IReactorTime
         Source of timers.
     delay : float
-        Seconds.
+        Seconds of running time.
     function : callable
         Called without arguments.
     """
@@ -85,23 +86,23 @@
         self._reactor = reactor
         self._function = function
         self._due = clock.seconds() + delay
-        self._pauses = clock.pause_count
+        self._pause_count = clock.pause_count
         self._call = reactor.callLater(delay, self._fire)
 
     def active(self) -> bool:
-        """Return whether the call is still to be made."""
+        """Return whether the call is pending."""
         return self._call is not None and self._call.active()
 
     def cancel(self) -> None:
-        """Make no call."""
+        """Cancel the call."""
         self._call.cancel()
 
     def _fire(self) -> None:
-        """Make the call, unless a pause has used up its time."""
+        """Call the function, or reschedule if a pause has consumed the delay."""
         left = self._due - self._clock.seconds()
-        if left <= 0.0 and self._clock.pause_count > self._pauses:
-            # Only once, so that pauses one after the other do not put it off for good.
-            self._pauses = math.inf
+        if left <= 0.0 and self._clock.pause_count > self._pause_count:
+            # Only once, so that repeated pauses do not postpone the call forever.
+            self._pause_count = math.inf
             left = RESUME_GRACE if self._clock.is_resuming else 0.0
         if left > 0.0:
             self._call = self._reactor.callLater(left, self._fire)
@@ -111,10 +112,10 @@
 
 
 class PauseAwareClock:
-    """Measures for how long this process ran.
+    """Measures the running time of this process.
 
-    It counts each second until `start_detection` is called. Its caller has to call
-    `record_tick` at least once each `TICK_PERIOD`.
+    Without pause detection it counts every second. While detection is on, the user that
+    started it has to call `record_tick` at least once each `TICK_PERIOD`.
 
     Parameters
     ----------
@@ -124,75 +125,81 @@
     Attributes
     ----------
     pause_count : int
-        Pauses so far.
+        Pauses detected so far.
     """
 
     def __init__(self, reactor: IReactorTime):
         self._reactor = reactor
         self._seconds = get_monotonic_clock(reactor)
         self.pause_count = 0
-        self._users = 0
-        self._turn_at: float | None = None
-        self._slept = 0.0
+        self._user_count = 0
+        self._tick_at: float | None = None
+        self._paused_time = 0.0
         self._pauses: deque[Pause] = deque(maxlen=MAX_PAUSES)
         self._callbacks: list[PauseCallback] = []
 
     @property
     def is_resuming(self) -> bool:
-        """True if a pause was over less than `RESUME_GRACE` ago."""
+        """True if a pause ended less than `RESUME_GRACE` ago."""
         self.record_tick()
         is_known = bool(self._pauses)
         return is_known and self._seconds() - self._pauses[-1].resumed_at < RESUME_GRACE
 
     def start_detection(self) -> None:
-        """Notice pauses until `stop_detection` has been called as often."""
-        self._users += 1
-        if self._turn_at is None:
-            self._turn_at = self._seconds()
+        """Detect pauses until `stop_detection` has been called as often as this."""
+        self._user_count += 1
+        if self._tick_at is None:
+            self._tick_at = self._seconds()
 
     def stop_detection(self) -> None:
-        """Notice no pauses for the sake of one who began."""
-        self._users -= 1
-        if not self._users:
-            self._turn_at = None
+        """Stop detecting pauses for one user; the last one turns detection off."""
+        self._user_count -= 1
+        if not self._user_count:
+            self._tick_at = None
 
     def subscribe(self, callback: PauseCallback) -> None:
-        """Call back after each pause, before anything else is concluded."""
+        """Call `callback` after each pause, before anything is concluded from it."""
         self._callbacks.append(callback)
 
     def unsubscribe(self, callback: PauseCallback) -> None:
-        """Call back no more."""
+        """Remove a callback."""
         self._callbacks.remove(callback)
 
     def record_tick(self) -> None:
-        """Take in that the process runs."""
-        if self._turn_at is None:
+        """Record that the process runs now; detect a pause since the last tick."""
+        if self._tick_at is None:
             return
         now = self._seconds()
-        gap, self._turn_at = now - self._turn_at, now
+        gap, self._tick_at = now - self._tick_at, now
         if gap > PAUSE_LIMIT:
             before = self._pauses[-1].resumed_at if self._pauses else -math.inf
             pause = Pause(now, gap - TICK_PERIOD, now - gap - before)
             self.pause_count += 1
-            self._slept += pause.length
+            self._paused_time += pause.length
             self._pauses.append(pause)
             for callback in tuple(self._callbacks):
                 callback(pause)
 
     def seconds(self) -> float:
-        """Return the time, without all pauses."""
+        """Return the running time in seconds: the monotonic time less all pauses."""
         self.record_tick()
-        return self._seconds() - self._slept
+        return self._seconds() - self._paused_time
 
     def get_paused_time(self, since: float) -> float:
-        """Return for how long the process was paused after a time of the node."""
+        """Return for how many seconds the process was paused after `since`.
+
+        Parameters
+        ----------
+        since : float
+            A monotonic time of the node, in seconds.
+        """
         self.record_tick()
         return sum(each.length for each in self._pauses if each.resumed_at > since)
 
     def callLater(  # noqa: N802
         self, delay: float, function: Callable, *arguments, **options
     ) -> PauseAwareCall:
-        """Call a function once the process has run for `delay` seconds."""
+        """Call a function after `delay` seconds of running time."""
 
         def call() -> None:
             function(*arguments, **options)
@@ -200,12 +207,13 @@
         return PauseAwareCall(self, self._reactor, delay, call)
 
 
-# By the reactor's identity, which a clock that is in use keeps from being given again.
+# Keyed by the reactor's id. A clock refers to its reactor, so that the id cannot be
+# reused while the clock is alive.
 _clocks: WeakValueDictionary[int, PauseAwareClock] = WeakValueDictionary()
 
 
 def get_pause_aware_clock(reactor: IReactorTime) -> PauseAwareClock:
-    """Return the one clock of a reactor that leaves out the pauses of its process."""
+    """Return the one pause-aware clock of a reactor."""
     clock = _clocks.get(id(reactor))
     if clock is None:
         clock = _clocks[id(reactor)] = PauseAwareClock(reactor)
--- a/beryltrack/ranks.py
+++ b/beryltrack/ranks.py
@@ -1,7 +1,7 @@
-"""Ranks by rendezvous hashing: what instances work out alike without a message.
+"""Ranks by rendezvous (highest-random-weight) hashing.
 
-Every instance that knows the same names gives them the same order for a role. A name
-that comes or goes changes the place of no two others.
+Instances that know the same names order them alike for a role, without a message. A
+name that is added or removed does not change the order of the others.
 """
 
 from functools import lru_cache
@@ -9,8 +9,8 @@
 import xxhash
 
 
-# Ranks are asked for again at each change of the fleet.
+# Ranks of the same names are computed again at each change of the fleet.
 @lru_cache(maxsize=16384)
 def compute_rank(role: str, name: str) -> int:
-    """Return the rank of a name for a role: a hash that all decide by."""
+    """Return the rank of a name for a role: a 64-bit hash, alike on all instances."""
     return xxhash.xxh64_intdigest(f"{role}\0{name}".encode())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and over no others."""
+"""Tolerates failures of the tests that KNOWN-RED.txt lists, and of no others."""
 
 from pathlib import Path
 
@@ -17,7 +17,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Run the listed tests all the same; they may fail."""
+    """Mark the listed tests as expected failures; they still run."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
--- a/tests/group_site.py
+++ b/tests/group_site.py
@@ -1,4 +1,4 @@
-"""A fake group with proxies that watch it, for the tests of several slices."""
+"""A fake group with proxies that follow it, for the tests of several folders."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 class GroupSite:
-    """A fake group of three databases and some proxies, one second old."""
+    """A fake group of three databases and its proxies, after one second of run time."""
 
     def __init__(self, proxies=1, seed=1, policy=None):
         deployment = load_deployment("lectora")
@@ -58,7 +58,7 @@
         return found[0]
 
     def get_result(self, answer, seconds):
-        """Return what a Deferred fires with within some seconds, else None."""
+        """Return the result of a Deferred within some seconds, None without one."""
         found = []
         answer.addBoth(found.append)
         self.run(seconds)
--- a/tests/local_proxies.py
+++ b/tests/local_proxies.py
@@ -1,4 +1,4 @@
-"""A local site with its proxies in the reactor's thread, for tests with psycopg."""
+"""A local site with proxies in the reactor's thread, for tests that use psycopg."""
 
 import contextlib
 
@@ -14,7 +14,7 @@
 def run_proxies(count=2, options=None, seats=0, era=None):
     """Run stand-ins and proxies; yield the `LocalProxies`.
 
-    With an era the answers of the store tell it.
+    With an era, the store's answers contain it.
     """
     site = LocalSite(reactor, options or SiteOptions())
     site.platform.store.era = era
@@ -27,7 +27,7 @@
 
 
 def connect(proxy, token=None, **options):
-    """Return a psycopg connection to a proxy, with a session's token if given."""
+    """Return a psycopg connection to a proxy, with a session token if given."""
     if token is not None:
         options["options"] = f"-c beryltrack.session={token}"
     return psycopg.connect(
@@ -41,18 +41,18 @@
 
 
 def get_token(connection):
-    """Return the token of a connection's session."""
+    """Return the session token of a connection."""
     return connection.info.parameter_status("beryltrack.session")
 
 
 def get_primary(local):
-    """Return the server of the database that leads, None between two terms."""
+    """Return the primary's server, None while no database is primary."""
     servers = local.site.servers
-    leading = [s for s in servers.values() if s.database.status.role == "primary"]
-    return max(leading, key=lambda s: s.database.status.term, default=None)
+    primaries = [s for s in servers.values() if s.database.status.role == "primary"]
+    return max(primaries, key=lambda s: s.database.status.term, default=None)
 
 
 def set_request_id(connection, request_id):
-    """Mark the next request of a connection as one that runs at most once."""
+    """Set the identifier of a connection's next request, so it runs at most once."""
     connection.execute(f"SET beryltrack.request_id = '{request_id}'")
     connection.execute("SET beryltrack.idempotent = off")
--- a/tests/reactor_thread.py
+++ b/tests/reactor_thread.py
@@ -1,7 +1,7 @@
 """One reactor in a background thread, for tests with real sockets.
 
-A test calls blocking clients (psycopg, urllib) in its own thread and everything of
-Twisted by `run`. The reactor starts at the first call and ends with the process.
+A test calls blocking clients (psycopg, urllib) in its own thread and Twisted code by
+`run`. The reactor starts at the first call and ends with the process.
 """
 
 import functools
@@ -21,8 +21,8 @@
     Parameters
     ----------
     function : callable
-        May return a value, a Deferred or a coroutine. Whatever it raises, or its
-        Deferred fails with, is raised here.
+        May return a value, a Deferred or a coroutine. Its exception, or its Deferred's
+        failure, is raised here.
     """
     start_reactor()
 
