--- a/beryltrack/accounts/__init__.py
+++ b/beryltrack/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Client accounts: their keys, and how much each may ask of the whole fleet."""
+"""Client accounts: their keys, and the limit of each over the whole fleet."""
--- a/beryltrack/accounts/index.py
+++ b/beryltrack/accounts/index.py
@@ -1,8 +1,8 @@
-"""Which account a caller's key stands for.
+"""Index of the accounts in force, by name and by key digest.
 
-Settings are written by people and by other programs. A key that two accounts hold
-stands for neither: whichever were served might be the wrong one. Of two accounts with
-one name neither is served either, for databases would take them for one.
+Settings are written by people and by other programs, so they may contradict themselves.
+A key that two accounts hold identifies neither, as either might be the wrong one. Two
+accounts with the same name are both left out, as databases could not tell them apart.
 """
 
 from collections import Counter
@@ -16,14 +16,14 @@
 
 
 class AccountIndex(NamedTuple):
-    """The accounts in force.
+    """The accounts in force, as read-only mappings.
 
     Parameters
     ----------
     by_name : mapping of str to AccountSettings
-        The accounts by their names.
+        The accounts by name.
     by_key : mapping of str to AccountSettings
-        The accounts by the digests of their keys.
+        The accounts by the digest of each of their keys.
     """
 
     by_name: Mapping[str, AccountSettings] = MappingProxyType({})
@@ -36,37 +36,44 @@
 def build_account_index(
     accounts: Iterable[AccountSettings], source: str
 ) -> tuple[AccountIndex, list[Finding]]:
-    """Return the accounts that can be told apart, and what is wrong with the others.
+    """Return the index of the unambiguous accounts, and findings for the others.
 
     Parameters
     ----------
     accounts : iterable of AccountSettings
         All accounts of one version of the settings.
     source : str
-        Path of the object that they stand in, for the findings.
+        Settings path of the object that holds them, for the findings.
 
     Returns
     -------
     tuple
-        The book, and a finding for each name or key that stands for two accounts.
+        The index, and a finding for each name or key of more than one account.
     """
     accounts = tuple(accounts)
-    names = Counter(account.name for account in accounts)
-    keys = Counter(chain.from_iterable(account.keys for account in accounts))
-    by_name = {each.name: each for each in accounts if names[each.name] == 1}
+    name_counts = Counter(account.name for account in accounts)
+    key_counts = Counter(chain.from_iterable(account.keys for account in accounts))
+    by_name = {each.name: each for each in accounts if name_counts[each.name] == 1}
     by_key = {
         key: account
         for account in by_name.values()
         for key in account.keys
-        if keys[key] == 1
+        if key_counts[key] == 1
     }
-    doubled = [name for name, count in names.items() if count > 1]
-    shared = sorted(key for key, count in keys.items() if count > 1)
+    duplicate_names = [name for name, count in name_counts.items() if count > 1]
+    shared_keys = sorted(key for key, count in key_counts.items() if count > 1)
     findings = [
-        *(Finding(source, "/accounts", f"{name} is there twice") for name in doubled),
         *(
-            Finding(source, "/accounts", f"two accounts hold the key of digest {key}")
-            for key in shared
+            Finding(source, "/accounts", f"account {name} is defined more than once")
+            for name in duplicate_names
+        ),
+        *(
+            Finding(
+                source,
+                "/accounts",
+                f"more than one account holds the key of digest {key}",
+            )
+            for key in shared_keys
         ),
     ]
     return AccountIndex(by_name, by_key), findings
--- a/beryltrack/accounts/keys.py
+++ b/beryltrack/accounts/keys.py
@@ -1,15 +1,15 @@
-"""Digests of callers' keys.
+"""Digests of account keys (keyed BLAKE2b).
 
 A key is a secret of its account. It is digested where it is read, from a caller or from
-the settings, and nothing else is kept: so it cannot appear in a log, a metric, an error
-or a copy that goes to another instance. All instances make the same digest of a key,
-and compare what they tell each other.
+the settings, and only the digest is retained, so the key cannot appear in a log, a
+metric, an error or a message to another instance. All instances compute the same digest
+of a key, so they can compare digests that they receive from each other.
 """
 
 import hashlib
 
 DIGEST_SIZE = 16
-"""Bytes of a digest: among 10,000 keys two are the same with a chance of 1e-30."""
+"""Bytes of a digest: among 10,000 keys a collision has a probability of 1e-30."""
 
 _PURPOSE = b"beryltrack account key"
 
--- a/beryltrack/accounts/lending.py
+++ b/beryltrack/accounts/lending.py
@@ -1,11 +1,12 @@
-"""To whom this instance lends its part of each account's limit.
-
-For each slot of accounts it lends to the instance to which it sends their operations. A
-slot goes to another instance only once the one that had it has said that it gave it
-back, or once the loan has ended by this instance's clock. The borrower counts the end
-from an earlier moment: from its last answer, which the lender had received before it
-sent the loan; see `link`. So no message that is late, lost or repeated, and no
-pause of either process, lets both use the same part.
+"""Decides to which instances this one lends its quota shares.
+
+A lender lends its share of each account hash slot to the borrower: the instance to
+which it sends the operations of the slot's accounts. It lends a slot to another one
+only after the borrower has acknowledged returning it, or after the loan has expired by
+the lender's clock. The borrower counts the loan from an earlier moment: from its
+previous answer, which the lender had received before it sent the offer; see `link`. So
+neither late, lost or repeated messages nor a pause of either process let two instances
+use the same share.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,28 +15,28 @@
 from beryltrack.accounts.slots import SLOT_COUNT, has_slot, list_slots, make_slot_set
 
 LOAN_TIME = 1.2
-"""Seconds that a loan lasts: after an owner was lost without a sign its accounts have
-no rights for so long. With 2 s, 250 operations were refused in the second after one of
-four owners of 76 accounts had gone."""
+"""Seconds that a loan lasts. After an owner fails without closing its links, its
+accounts have no quota for this long. With 2 s, 250 operations were refused in the
+second after the loss of one of four owners of 76 accounts."""
 
 RENEW_PERIOD = 0.35
-"""Seconds between two messages to each owner. Two may be late before a loan ends; of 67
-instances an owner takes 190 messages a second."""
+"""Seconds between two offers to each owner. Two may be late before a loan expires. With
+67 instances an owner receives 190 offers a second."""
 
 MEMBER_EXPIRY = 60.0
-"""Seconds for which an instance that is no member any more still counts in the even
-parts: one that was only cut off may still spend its own."""
+"""Seconds for which a former member still counts in the even shares: if it was only
+partitioned, it may still spend its own share."""
 
 
 class SlotLoan(NamedTuple):
-    """Who has this instance's part of a slot.
+    """The loan of this instance's share of one slot.
 
     Parameters
     ----------
     holder : str
-        Name of the instance; empty if nobody has it.
+        Name of the borrower; empty if the slot is not lent.
     until : float
-        When the loan has ended, by this instance's clock.
+        When the loan expires, by the lender's clock in seconds.
     """
 
     holder: str
@@ -46,14 +47,14 @@
 
 
 class Offer(NamedTuple):
-    """What one instance is told.
+    """The content of one message to a borrower.
 
     Parameters
     ----------
     slots : int
-        The set of slots that are lent to it from now on; it gives back all others.
+        The set of slots that are lent to it from now on; it returns all others.
     share : float
-        The part of each limit.
+        The lender's share of each limit, from 0 to 1.
     """
 
     slots: int
@@ -61,16 +62,18 @@
 
 
 class LendingDecider:
-    """Keeps to whom each slot is lent.
+    """Keeps the loan of each slot and plans the offers.
 
     Parameters
     ----------
     choose_owner : callable
-        Returns the name of the instance that is to run a slot's accounts, or None.
+        Returns the name of the instance that is to run the operations of a slot's
+        accounts, or None.
     started_at : float
-        When this process started. What it lent before it was restarted it has
-        forgotten. That was to the instance that is the first choice now, as a rule: it
-        lends to another one only when that has given it back, or it must have ended.
+        When this process started. A restarted process does not know its earlier loans.
+        Usually they went to the instance that is chosen first now, so it lends a slot
+        to another one only after the first choice has returned it or ended, or after
+        all earlier loans must have expired.
     is_new : bool
         True if no process of this name has run before.
     """
@@ -82,43 +85,45 @@
         is_new: bool = False,
     ):
         self._choose_owner = choose_owner
-        self._free_at = started_at if is_new else started_at + LOAN_TIME
+        self._earlier_loans_until = started_at if is_new else started_at + LOAN_TIME
         self._loans: list[SlotLoan] = [NOT_LENT] * SLOT_COUNT
-        self._seen: dict[str, float] = {}
-        self._first: dict[int, str] = {}
+        self._member_seen_at: dict[str, float] = {}
+        self._first_choice: dict[int, str] = {}
         self._ended: set[str] = set()
 
     @property
     def share(self) -> float:
-        """The part of each limit that this instance may lend."""
-        return 1.0 / max(1, len(self._seen))
+        """The even share of each limit that this instance may lend, from 0 to 1."""
+        return 1.0 / max(1, len(self._member_seen_at))
 
     def get_holder(self, slot: int) -> str:
-        """Return which instance has this one's part of a slot, empty if none has."""
+        """Return the name of the borrower of a slot, empty if the slot is not lent."""
         return self._loans[slot].holder
 
     def set_members(self, names: Iterable[str], now: float) -> None:
-        """Take in which instances there are."""
-        self._seen |= dict.fromkeys(names, now)
-        self._seen = {
-            name: at for name, at in self._seen.items() if now - at <= MEMBER_EXPIRY
+        """Record the current members."""
+        self._member_seen_at |= dict.fromkeys(names, now)
+        self._member_seen_at = {
+            name: at
+            for name, at in self._member_seen_at.items()
+            if now - at <= MEMBER_EXPIRY
         }
 
     def plan(self, now: float) -> dict[str, Offer]:
-        """Return what to tell whom.
+        """Return the offers to send.
 
         Returns
         -------
         dict of str to Offer
-            By the name of each instance that has, or is to have, slots. What is told
-            has to be sent now, as `observe_sent` counts from then.
+            By the name of each instance that holds, or is to hold, slots. Offers have
+            to be sent at `now`, as `observe_sent` counts loans from then.
         """
         holders: dict[str, list[int]] = {}
         for slot in range(SLOT_COUNT):
             wanted = self._choose_owner(slot)
             loan = self._loans[slot]
             if loan.holder and now < loan.until and loan.holder != wanted:
-                # Told to give it back, by an offer without it.
+                # An offer without the slot makes the borrower return it.
                 holders.setdefault(loan.holder, [])
             elif wanted is not None and self._may_lend(slot, wanted, now):
                 holders.setdefault(wanted, []).append(slot)
@@ -128,17 +133,17 @@
         }
 
     def observe_sent(self, name: str, offer: Offer, now: float) -> None:
-        """Take in that an offer was sent at a time; it binds from then on."""
+        """Record that an offer is sent; its loans are binding from `now` on."""
         for slot in list_slots(offer.slots):
             self._loans[slot] = SlotLoan(name, now + LOAN_TIME)
 
     def observe_accepted(self, name: str, offer: Offer) -> bool:
-        """Take in that an instance has an offer: what was not in it, it gave back.
+        """Record that a borrower accepted an offer and so returned all other slots.
 
         Returns
         -------
         bool
-            True if it gave something back, which may go to another instance now.
+            True if it returned slots, which may be lent to another instance now.
         """
         returned = [
             slot
@@ -152,16 +157,20 @@
         return bool(returned)
 
     def observe_ended(self, name: str) -> None:
-        """Take in that an instance has ended, or given back all that it had."""
+        """Record that a borrower's process ended, or that it returned all slots."""
         self._ended.add(name)
         self._loans = [
             NOT_LENT if each.holder == name else each for each in self._loans
         ]
 
     def _may_lend(self, slot: int, wanted: str, now: float) -> bool:
-        """Return whether a slot may go to an instance now."""
+        """Return whether a slot may be lent to an instance now."""
         loan = self._loans[slot]
         if loan.holder == wanted or now < loan.until:
             return loan.holder == wanted
-        first = self._first.setdefault(slot, wanted)
-        return now >= self._free_at or wanted == first or first in self._ended
+        first_choice = self._first_choice.setdefault(slot, wanted)
+        return (
+            now >= self._earlier_loans_until
+            or wanted == first_choice
+            or first_choice in self._ended
+        )
--- a/beryltrack/accounts/link.py
+++ b/beryltrack/accounts/link.py
@@ -1,10 +1,10 @@
-"""The link over which an instance lends its rights to one that owns connections.
+"""The connection over which an instance lends its quota shares to an owner.
 
-Frames of CBOR. The lender says which slots it lends, and the borrower answers that it
-has them. A lender sends its next message only when the last one is answered. So when a
-message comes, the lender had sent it after the borrower's last answer, and the borrower
-counts the loan from that answer: no clocks are compared, and a message that was on its
-way for long is no longer loan. The first message of a link lends nothing.
+Messages are length-prefixed frames of CBOR. The lender sends which slots it lends, and
+the borrower acknowledges them. A lender sends its next offer only after the previous
+one is answered. So an offer that arrives was sent after the borrower's previous answer,
+and the borrower counts the loan from that answer: no clocks are compared, and a delayed
+offer does not lengthen a loan. The first offer of a link lends nothing.
 """
 
 from collections.abc import Callable
@@ -21,25 +21,25 @@
 from beryltrack.accounts.slots import ALL_SLOTS
 
 MAX_FRAME_BYTES = 1024
-"""Largest frame: a name, a set of slots and three numbers."""
+"""Maximum bytes of a frame: a name, a set of slots and three numbers."""
 
-TAKEN = cbor2.dumps(True)
-"""The borrower's answer."""
+ACCEPTED = cbor2.dumps(True)
+"""The borrower's answer: it has accepted the offer."""
 
-MALFORMED = (cbor2.CBORDecodeError, ValueError, TypeError, KeyError, OverflowError)
+_DECODE_ERRORS = (cbor2.CBORDecodeError, ValueError, TypeError, KeyError, OverflowError)
 
 
 class OfferFrame(NamedTuple):
-    """What a lender sends.
+    """The fields of an offer, in their order on the wire.
 
     Parameters
     ----------
     lender : str
-        Its name.
+        The lender's name.
     slots : int
         The set of slots that it lends.
     share : float
-        Its part of each limit.
+        The lender's share of each limit, from 0 to 1.
     """
 
     lender: str
@@ -48,28 +48,31 @@
 
 
 def decode_offer(data: bytes) -> OfferFrame:
-    """Return what a frame says.
+    """Decode an offer.
 
     Raises
     ------
     ValueError
-        If it is malformed.
+        If the frame is malformed.
     """
     try:
         fields = cbor2.loads(data)
-    except MALFORMED as error:
-        raise ValueError(f"no offer: {error!r}") from error
+    except _DECODE_ERRORS as error:
+        raise ValueError(f"malformed offer: {error!r}") from error
     match fields:
         case [str() as lender, int() as slots, float() as share]:
             if lender and 0 <= slots <= ALL_SLOTS and 0.0 <= share <= 1.0:
                 return OfferFrame(lender, slots, share)
-    raise ValueError("an offer is malformed")
+    raise ValueError("malformed offer: a field has a wrong type or is out of range")
 
 
 class LoanBorrower(Int32StringReceiver):
     """The borrower's side of a link.
 
-    `answered_at` is when it last answered, by the node's clock; None before.
+    Attributes
+    ----------
+    answered_at : float or None
+        When it last answered, by the node's monotonic clock; None before.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -79,34 +82,34 @@
         self._lender = ""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Keep the link."""
+        """Disable Nagle's algorithm on the new link."""
         self.transport.setTcpNoDelay(True)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take an offer and answer it."""
+        """Handle an offer and answer it; abort the link if it is malformed."""
         try:
             frame = decode_offer(string)
         except ValueError:
             self.transport.abortConnection()
             return
         self._lender = frame.lender
-        self.answered_at = self.factory.take(self, frame)
-        self.sendString(TAKEN)
+        self.answered_at = self.factory.accept_offer(self, frame)
+        self.sendString(ACCEPTED)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Give back what was lent over this link."""
-        self.factory.lose(self, self._lender)
+        """Drop the loan of this link."""
+        self.factory.drop_link(self, self._lender)
 
 
 class LoanBorrowerFactory(Factory):
-    """Takes the links of lenders.
+    """Accepts the links of lenders.
 
     Parameters
     ----------
     shares : RightsLedger
-        Keeps what they lend.
+        Holds their loans.
     seconds : callable
-        The node's time.
+        The node's monotonic clock.
     """
 
     noisy = False
@@ -119,17 +122,17 @@
         self._is_leaving = False
 
     def buildProtocol(self, addr) -> LoanBorrower | None:  # noqa: N802
-        """Return a link; none once this instance leaves, as it is to be passed over."""
+        """Return a link; None, which closes the connection, while leaving."""
         return None if self._is_leaving else super().buildProtocol(addr)
 
     def leave(self) -> None:
-        """Give back all that was lent, and take no more."""
+        """Return all loans by closing their links, and accept no new links."""
         self._is_leaving = True
         for link in tuple(self._links.values()):
             link.transport.loseConnection()
 
-    def take(self, link: LoanBorrower, frame: OfferFrame) -> float:
-        """Take an offer; return the time at which it is answered."""
+    def accept_offer(self, link: LoanBorrower, frame: OfferFrame) -> float:
+        """Apply an offer; return the time of the answer by the node's clock."""
         now = self._seconds()
         if self._is_leaving:
             link.transport.loseConnection()
@@ -141,8 +144,8 @@
             )
         return now
 
-    def lose(self, link: LoanBorrower, lender: str) -> None:
-        """Give back what an instance lent, unless it lends over another link now."""
+    def drop_link(self, link: LoanBorrower, lender: str) -> None:
+        """Drop a lender's loan, unless it lends over another link now."""
         if self._links.get(lender) is link:
             del self._links[lender]
             self._shares.drop_loan(lender, self._seconds())
@@ -151,48 +154,52 @@
 class LoanLender(Int32StringReceiver):
     """The lender's side of a link.
 
-    `is_new` is True until the first message is answered. `is_over` fires once the link
-    has ended: with True if the other side ended it, and so has nothing any more, with
-    False if this side gave it up.
+    Attributes
+    ----------
+    is_unanswered : bool
+        True until the first offer is answered.
+    ended : Deferred of bool
+        Fires once the link is closed: with True if the borrower closed it, and so holds
+        no loan any more, with False if this side aborted it.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self):
-        self.is_new = True
-        self.is_over: Deferred[bool] = Deferred()
+        self.is_unanswered = True
+        self.ended: Deferred[bool] = Deferred()
         self._answer: Deferred[None] | None = None
-        self._is_given_up = False
+        self._is_aborted = False
 
     @property
     def is_waiting(self) -> bool:
-        """True while a message is not answered."""
+        """True while an offer is not answered."""
         return self._answer is not None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Keep the link."""
+        """Disable Nagle's algorithm on the new link."""
         self.transport.setTcpNoDelay(True)
 
-    def tell(self, lender: str, offer: Offer) -> Deferred[None]:
-        """Send an offer; fires when the borrower has it."""
+    def send_offer(self, lender: str, offer: Offer) -> Deferred[None]:
+        """Send an offer; the result fires when the borrower has accepted it."""
         self._answer = Deferred()
         self.sendString(cbor2.dumps([lender, offer.slots, offer.share]))
         return self._answer
 
-    def give_up(self) -> None:
-        """End the link; what was lent over it lasts until its end."""
-        self._is_given_up = True
+    def abort(self) -> None:
+        """Abort the link; loans made over it last until they expire."""
+        self._is_aborted = True
         self.transport.abortConnection()
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take an answer."""
-        if string != TAKEN or self._answer is None:
-            self.give_up()
+        """Handle an answer; abort the link on an unexpected one."""
+        if string != ACCEPTED or self._answer is None:
+            self.abort()
             return
-        self.is_new = False
+        self.is_unanswered = False
         answer, self._answer = self._answer, None
         answer.callback(None)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell that the link has ended."""
-        self.is_over.callback(not self._is_given_up)
+        """Fire `ended`."""
+        self.ended.callback(not self._is_aborted)
--- a/beryltrack/accounts/messages.py
+++ b/beryltrack/accounts/messages.py
@@ -1,4 +1,4 @@
-"""What operators say of a client account."""
+"""Settings of a client account."""
 
 import math
 from typing import NamedTuple
@@ -10,13 +10,13 @@
     Parameters
     ----------
     name : str
-        Its name, which databases are told.
+        Its name, which is passed on to databases.
     keys : frozenset of str
-        Digests of the keys that its callers may present; see `digest_key`.
+        Digests of the keys that its callers may present; see `keys.digest_key`.
     rate : float
-        Operations a second that it may run, on average, over all instances.
+        Average operations per second that it may run over all instances.
     burst : float
-        Operations that it may save up while it asks for less.
+        Operations that it may save up while it runs below its rate (bucket size).
     """
 
     name: str
--- a/beryltrack/accounts/quota.py
+++ b/beryltrack/accounts/quota.py
@@ -1,14 +1,14 @@
-"""Whether an account may run one more operation now.
+"""Rate limiting of accounts by token buckets.
 
-An account may run its rate times a window of some seconds, and its burst, in any such
-window. One token bucket for each account, at the instance that runs its operations,
-holds to that: it fills at the account's rate times the part of it that instances have
-lent to this one (`shares`), and holds the account's burst times that part. What is
-refused is told when its token will be there; each one that is refused is told a later
-time, so that they do not all come back at once.
+In any window of some seconds an account may run its rate times the window, plus its
+burst. The instance that runs its operations enforces this by one token bucket per
+account: it fills at the account's rate times the quota share that instances have lent
+to this one (`shares`), and holds the account's burst times that share. A refused
+operation gets the delay until its token is available; each further refusal gets a later
+time, so that they do not all retry at once.
 
-An operation beyond a limit is refused before it takes a connection, a slot of a
-database or a place in a queue. An open transaction is not touched.
+An operation beyond a limit is refused before it takes a connection, a concurrency slot
+of a database or a place in a queue. Open transactions are not limited.
 """
 
 import math
@@ -20,33 +20,36 @@
 from beryltrack.accounts.slots import get_slot
 
 INITIAL_TOKENS = 1.0
-"""Operations that an instance runs for an account before it knows of any rights, so
-that a caller is served at once after a start. They are spent once for each start and
-instance that owns connections, of which there are few."""
+"""Operations that an instance runs for an account before it holds any share, so that
+callers are served at once after a start. They are spent once per start and instance
+that owns connections, of which there are few."""
 
-OVERAGE_PART = 0.5
-"""Part of the tolerated excess of the rate that accounts are given. The rest is for
-members that come and go, which instances learn of at different times."""
+OVERAGE_FRACTION = 0.5
+"""Fraction of the tolerated excess of the rate that accounts get. The rest covers
+changes of the members, which instances learn of at different times."""
 
-BURST_SLACK, RATE_SLACK = 0.25, 0.5
-"""Parts of the tolerated operations that accounts are given: what buckets hold beside
-the burst, and what comes in each window beside the rate. The rest is for first tokens.
-A small account, whose limit is few operations, would else be refused what its limit's
-window has room for: 291 of 11,219 operations of a calm day of 76 accounts."""
+BURST_SLACK_FRACTION, RATE_SLACK_FRACTION = 0.25, 0.5
+"""Fractions of the tolerated extra operations that accounts get: what a bucket holds
+beyond the burst, and what it gains per window beyond the rate. The rest covers initial
+tokens. Without them a small account, whose limit is a few operations, is refused
+operations that fit into its limit's window: 291 of 11,219 operations of 76 accounts in
+24 hours of normal load."""
 
-KEPT_PART = 0.9
-"""Part of a slot above which a loss changes nothing for accounts that come later: one
-instance of ten or more that leaves. They could run a tenth of a burst too much."""
+MIN_RETAINED_SHARE = 0.9
+"""Remaining share of a slot from which on a decrease does not reset what accounts
+without a bucket have saved up: the loss of one instance of ten or more. They can exceed
+their burst by a tenth."""
 
-WHOLE = 1.0 - 1e-9
-"""Tokens of one operation, less what sums of fractions are rounded by."""
+ONE_TOKEN = 1.0 - 1e-9
+"""Tokens of one operation, less the rounding error of sums of fractions."""
 
-UNKNOWN_WAIT = 0.1
-"""Seconds after which to ask again for an account that the settings here do not have:
-another instance has them already, so that they are on their way."""
+UNKNOWN_ACCOUNT_WAIT = 0.1
+"""Seconds after which to retry for an account that this instance's settings lack: the
+instance that passed the operation on has newer settings, which arrive here soon."""
 
 MAX_WAIT = 5.0
-"""Longest time to come back, seconds: limits are stated over a few seconds."""
+"""Maximum retry delay in seconds, as limits are defined over windows of a few
+seconds."""
 
 
 class Tolerance(NamedTuple):
@@ -55,11 +58,11 @@
     Parameters
     ----------
     overage : float
-        Part of the rate.
+        Fraction of the limit.
     slack : float
-        Operations, in any window.
+        Extra operations in any window.
     window : float
-        Seconds of a window.
+        Length of a window in seconds.
     """
 
     overage: float = 0.0
@@ -68,25 +71,25 @@
 
 
 class OperationCounts(NamedTuple):
-    """How many operations of an account ran here, and how many were refused."""
+    """Numbers of operations of an account that ran and that were refused here."""
 
     run: int = 0
     refused: int = 0
 
 
 class RefusalSummary(NamedTuple):
-    """What was refused of an account for some time, and what that rested on.
+    """The refusals of an account over a period, with the limit behind them.
 
     Parameters
     ----------
     account : str
-        Its name.
+        Name of the account.
     refused, run : int
-        Operations that were refused, and that ran.
+        Numbers of operations that were refused, and that ran.
     rate, burst : float
-        Its limit in the whole fleet, by the settings.
+        Its limit over the whole fleet, by the settings.
     share : float
-        The part of it that this instance has.
+        This instance's share of the limit, from 0 to 1.
     """
 
     account: str
@@ -98,18 +101,22 @@
 
 
 class _Bucket:
-    """The tokens of one account."""
+    """The token bucket of one account.
 
-    __slots__ = ("free_at", "integral", "tokens")
+    `integral` is the share's integral up to which tokens were added, `retry_at` the
+    latest time that a refused operation was given to retry at.
+    """
+
+    __slots__ = ("integral", "retry_at", "tokens")
 
     def __init__(self, integral: float):
         self.tokens = INITIAL_TOKENS
         self.integral = integral
-        self.free_at = 0.0
+        self.retry_at = 0.0
 
 
 class QuotaDecider:
-    """Counts the operations of accounts.
+    """Limits the operations of accounts.
 
     Parameters
     ----------
@@ -128,10 +135,10 @@
         self._tolerance = tolerance
         self._buckets: dict[str, _Bucket] = {}
         self._by_slot: dict[int, set[str]] = {}
-        self._lost_at: dict[int, float] = {}
+        self._integral_at_loss: dict[int, float] = {}
         self.counts: dict[str, OperationCounts] = {}
-        self._told: dict[str, OperationCounts] = {}
-        self.shares = QuotaShareLedger(self._observe_loss)
+        self._reported_counts: dict[str, OperationCounts] = {}
+        self.shares = QuotaShareLedger(self._handle_decrease)
 
     def spend(self, name: str, now: float) -> float:
         """Count one operation of an account.
@@ -139,36 +146,36 @@
         Returns
         -------
         float
-            0 if it may run; else the seconds after which to come back.
+            0 if it may run; else the seconds after which to retry.
         """
         account = self._get_account(name)
         if account is None:
-            return UNKNOWN_WAIT
+            return UNKNOWN_ACCOUNT_WAIT
         wait = 0.0 if math.isinf(account.rate) else self._take_token(account, now)
         run, refused = self.counts.get(name, OperationCounts())
         self.counts[name] = OperationCounts(run + (not wait), refused + (wait > 0.0))
         return wait
 
     def _take_token(self, account: AccountSettings, now: float) -> float:
-        """Take a token of an account; return how long until there is one."""
+        """Take a token; return 0, or the seconds until one is available."""
         slot = get_slot(account.name)
         bucket = self._fill(account, slot, now)
-        if bucket.tokens >= WHOLE:
+        if bucket.tokens >= ONE_TOKEN:
             bucket.tokens -= 1.0
-            bucket.free_at = now
+            bucket.retry_at = now
             return 0.0
         share = self.shares.get_share(slot, now)
-        return self._promise(bucket, self._get_rate(account) * share, now)
+        return self._compute_retry_delay(bucket, self._get_rate(account) * share, now)
 
     def refund(self, name: str) -> None:
-        """Take in that a counted operation did not run."""
+        """Return the token of a counted operation that did not run."""
         bucket = self._buckets.get(name)
         if bucket is not None:
             bucket.tokens += 1.0
 
     def take_refusals(self, now: float) -> list[RefusalSummary]:
-        """Return of which accounts something was refused since the last call."""
-        before, self._told = self._told, dict(self.counts)
+        """Return a summary for each account with refusals since the last call."""
+        before, self._reported_counts = self._reported_counts, dict(self.counts)
         return [
             RefusalSummary(
                 name,
@@ -184,59 +191,59 @@
         ]
 
     def drop_removed_accounts(self) -> None:
-        """Forget the accounts that the settings have no more."""
+        """Drop the state of accounts that the settings no longer contain."""
         for name in [each for each in self._buckets if not self._get_account(each)]:
             del self._buckets[name]
             del self.counts[name]
             self._by_slot[get_slot(name)].discard(name)
 
     def _fill(self, account: AccountSettings, slot: int, now: float) -> _Bucket:
-        """Return an account's bucket with the tokens that it has now."""
+        """Return an account's bucket, filled up to now."""
         integral = self.shares.get_integral(slot, now)
         bucket = self._buckets.get(account.name)
         if bucket is None:
-            # An account that asks for the first time has saved up what it may.
-            lost_at = self._lost_at.get(slot, 0.0)
-            bucket = self._buckets[account.name] = _Bucket(lost_at)
+            # A new account starts with what it could save up since the last decrease.
+            integral_at_loss = self._integral_at_loss.get(slot, 0.0)
+            bucket = self._buckets[account.name] = _Bucket(integral_at_loss)
             self._by_slot.setdefault(slot, set()).add(account.name)
         earned = max(0.0, integral - bucket.integral) * self._get_rate(account)
         bucket.integral = integral
         share = self.shares.get_share(slot, now)
-        bucket.tokens = min(bucket.tokens + earned, self._get_most(account, share))
+        bucket.tokens = min(bucket.tokens + earned, self._get_capacity(account, share))
         return bucket
 
-    def _get_most(self, account: AccountSettings, share: float) -> float:
-        """Return how many tokens a part of an account's limit may save up.
+    def _get_capacity(self, account: AccountSettings, share: float) -> float:
+        """Return the bucket's capacity in tokens for a share of an account's limit.
 
-        First tokens are kept until rights come.
+        At least the initial tokens are retained until a share is lent.
         """
-        size = account.burst + self._tolerance.slack * BURST_SLACK
+        size = account.burst + self._tolerance.slack * BURST_SLACK_FRACTION
         return max(size * share, INITIAL_TOKENS)
 
     def _get_rate(self, account: AccountSettings) -> float:
-        """Return how many tokens a second an account gets in the whole fleet."""
+        """Return the tokens per second of an account over the whole fleet."""
         overage, slack, window = self._tolerance
-        extra = overage * OVERAGE_PART * (account.rate + account.burst / window)
-        return account.rate + extra + slack * RATE_SLACK / window
+        extra = overage * OVERAGE_FRACTION * (account.rate + account.burst / window)
+        return account.rate + extra + slack * RATE_SLACK_FRACTION / window
 
-    def _observe_loss(self, slot: int, share: float, integral: float) -> None:
-        """Hold no more tokens than the part of a slot that is left.
+    def _handle_decrease(self, slot: int, share: float, integral: float) -> None:
+        """Reduce buckets to the capacity for the remaining share of a slot.
 
-        Whoever has that part now saves up tokens of its own: without this two
-        instances could spend a burst each. Accounts that come later have saved up
-        nothing from before.
+        The instance that gets the lost share saves up tokens by it; without the
+        reduction two instances could spend a burst each. For the same reason an account
+        without a bucket has saved up nothing from before a larger decrease.
         """
-        if share < KEPT_PART:
-            self._lost_at[slot] = integral
+        if share < MIN_RETAINED_SHARE:
+            self._integral_at_loss[slot] = integral
         for name in self._by_slot.get(slot, ()):
             account, bucket = self._get_account(name), self._buckets[name]
             if account is not None:
-                bucket.tokens = min(bucket.tokens, self._get_most(account, share))
+                bucket.tokens = min(bucket.tokens, self._get_capacity(account, share))
 
-    def _promise(self, bucket: _Bucket, rate: float, now: float) -> float:
-        """Return when an operation that is refused may come back."""
+    def _compute_retry_delay(self, bucket: _Bucket, rate: float, now: float) -> float:
+        """Return the seconds after which a refused operation may retry."""
         if rate <= 0.0:
             return MAX_WAIT / 10
         first = now + (1.0 - bucket.tokens) / rate
-        bucket.free_at = max(first, bucket.free_at + 1.0 / rate)
-        return min(MAX_WAIT, bucket.free_at - now)
+        bucket.retry_at = max(first, bucket.retry_at + 1.0 / rate)
+        return min(MAX_WAIT, bucket.retry_at - now)
--- a/beryltrack/accounts/shares.py
+++ b/beryltrack/accounts/shares.py
@@ -1,13 +1,14 @@
-"""What part of each account's limit this instance may spend.
+"""Ledger of the quota shares that instances have lent to this one.
 
-Every instance has an even part of each limit, one of N for N instances, without asking
-anybody. It lends that part to the instance that runs the account's operations, so that
-one instance counts for all. A loan names slots of accounts and has an end on the clock
-of the instance that took it, which comes before the end that its lender counts with. So
-at any time the parts of all instances add up to one at most, whoever is cut off from
-whom, and no message is needed for an operation.
+A quota share is an instance's part of an account's limit. With N instances each has an
+even share of 1/N of every limit, without any message. It lends this share to the
+instance that runs the account's operations, the borrower, so that one instance counts
+for all. A loan is a lease on one lender's share of the limits of some account hash
+slots. It expires on the borrower's clock before it expires on the lender's. So at any
+time the shares in use add up to one at most, under any network partition, and an
+operation needs no message.
 
-docs/notes/quota.md has the argument; no clock is read here.
+docs/notes/quota.md has the proof. Callers pass the time; no clock is read here.
 """
 
 from collections.abc import Callable
@@ -15,20 +16,20 @@
 
 from beryltrack.accounts.slots import SLOT_COUNT, has_slot, list_slots
 
-OnLoss = Callable[[int, float, float], None]
+OnDecrease = Callable[[int, float, float], None]
 
 
 class Loan(NamedTuple):
-    """One instance's part of some accounts' limits.
+    """A lease on one instance's share of some accounts' limits.
 
     Parameters
     ----------
     slots : int
         The set of the accounts' slots.
     share : float
-        The part of each limit, from 0 to 1.
+        The share of each limit, from 0 to 1.
     until : float
-        When it ends, by the clock of the instance that has it.
+        When it expires, by the borrower's clock in seconds.
     """
 
     slots: int
@@ -36,8 +37,8 @@
     until: float
 
 
-class _Sum:
-    """The parts that were lent of one slot, and their integral over time."""
+class _SlotTotal:
+    """The sum of the shares lent of one slot, and its integral over time."""
 
     __slots__ = ("at", "integral", "share")
 
@@ -47,26 +48,26 @@
         self.at = 0.0
 
     def advance(self, now: float) -> None:
-        """Take in the time that has passed."""
+        """Add the time since the last call to the integral."""
         if now > self.at:
             self.integral += min(1.0, self.share) * (now - self.at)
             self.at = now
 
 
 class QuotaShareLedger:
-    """The loans that this instance has.
+    """The loans that this instance holds as a borrower.
 
     Parameters
     ----------
-    on_loss : callable
-        Called with a slot, the part that is left of it, and its integral until then,
-        after it shrank.
+    on_decrease : callable
+        Called after a slot's share has decreased, with the slot, the remaining share
+        and the share's integral until then.
     """
 
-    def __init__(self, on_loss: OnLoss = lambda slot, share, integral: None):
-        self._on_loss = on_loss
+    def __init__(self, on_decrease: OnDecrease = lambda slot, share, integral: None):
+        self._on_decrease = on_decrease
         self._loans: dict[str, Loan] = {}
-        self._sums = tuple(_Sum() for _ in range(SLOT_COUNT))
+        self._totals = tuple(_SlotTotal() for _ in range(SLOT_COUNT))
         self._next_end = float("inf")
 
     @property
@@ -75,7 +76,7 @@
         return tuple(self._loans)
 
     def set_loan(self, lender: str, loan: Loan, now: float) -> None:
-        """Take a loan in place of what this lender has lent before."""
+        """Replace the loan of a lender."""
         self._expire(now)
         before = self._loans.get(lender, Loan(0, 0.0, now))
         self._loans[lender] = loan
@@ -86,49 +87,49 @@
                 self._change(slot, change, now)
 
     def drop_loan(self, lender: str, now: float) -> None:
-        """Give back what an instance has lent."""
+        """End the loan of a lender, if there is one."""
         loan = self._loans.pop(lender, None)
         if loan is not None:
             self._end(loan, now)
 
     def get_share(self, slot: int, now: float) -> float:
-        """Return the part of a slot's limits that may be spent now."""
+        """Return the share of a slot's limits that may be spent now, from 0 to 1."""
         self._expire(now)
-        return min(1.0, self._sums[slot].share)
+        return min(1.0, self._totals[slot].share)
 
     def get_integral(self, slot: int, now: float) -> float:
-        """Return the integral of that part over the time until now, seconds."""
+        """Return the integral of a slot's share over the time until now, in seconds."""
         self._expire(now)
-        self._sums[slot].advance(now)
-        return self._sums[slot].integral
+        self._totals[slot].advance(now)
+        return self._totals[slot].integral
 
     def _change(self, slot: int, change: float, now: float) -> None:
-        """Add to the part of a slot, or take from it."""
-        total = self._sums[slot]
+        """Add `change`, which may be negative, to the share of a slot."""
+        total = self._totals[slot]
         total.advance(now)
         total.share = max(0.0, total.share + change)
         if change < 0.0:
-            self._on_loss(slot, min(1.0, total.share), total.integral)
+            self._on_decrease(slot, min(1.0, total.share), total.integral)
 
     def _expire(self, now: float) -> None:
-        """End the loans whose time is over."""
+        """End the loans that have expired."""
         if now < self._next_end:
             return
-        over = [name for name, loan in self._loans.items() if loan.until <= now]
-        for name in over:
+        expired = [name for name, loan in self._loans.items() if loan.until <= now]
+        for name in expired:
             self._end(self._loans.pop(name), now)
         ends = (loan.until for loan in self._loans.values())
         self._next_end = min(ends, default=float("inf"))
 
     def _end(self, loan: Loan, now: float) -> None:
-        """Take a loan away from the sums, from its end on if that has passed."""
-        late = max(0.0, now - loan.until)
+        """Subtract a loan from the totals, from its expiry on if that has passed."""
+        overrun = max(0.0, now - loan.until)
         for slot in list_slots(loan.slots):
-            self._sums[slot].advance(now)
-            self._sums[slot].integral -= loan.share * late
+            self._totals[slot].advance(now)
+            self._totals[slot].integral -= loan.share * overrun
             self._change(slot, -loan.share, now)
 
 
 def _get_share(loan: Loan, slot: int) -> float:
-    """Return the part of a slot that a loan gives."""
+    """Return the share of a slot that a loan gives."""
     return loan.share if has_slot(loan.slots, slot) else 0.0
--- a/beryltrack/accounts/slots.py
+++ b/beryltrack/accounts/slots.py
@@ -1,7 +1,8 @@
-"""Accounts in a fixed number of slots, so that instances can speak of many at once.
+"""Account hash slots: a fixed number of buckets that account names are hashed into.
 
-An instance that lends its rights to another one names slots instead of accounts: the
-message has the same size for ten accounts and for ten thousand, and needs no names.
+Instances that lend quota shares name slots instead of accounts, so a message has the
+same size for ten accounts and for ten thousand, and contains no names. A set of slots
+is an integer with one bit per slot.
 """
 
 from collections.abc import Iterable, Iterator
@@ -9,11 +10,11 @@
 from beryltrack.ranks import compute_rank
 
 SLOT_COUNT = 64
-"""Slots of accounts: more than the instances that own connections, so that each of
-those has some, and few enough for one number of a message."""
+"""Number of slots: more than the instances that own connections, so that each of those
+gets some, and few enough for a set of slots to fit into one integer of a message."""
 
 ALL_SLOTS = (1 << SLOT_COUNT) - 1
-"""The set of all slots; a set of slots is a number with a bit for each."""
+"""The set of all slots."""
 
 
 def get_slot(account: str) -> int:
@@ -22,7 +23,7 @@
 
 
 def make_slot_set(slots: Iterable[int]) -> int:
-    """Return the set of some slots."""
+    """Return the set of some slots as a bit mask."""
     return sum(1 << slot for slot in set(slots))
 
 
@@ -32,5 +33,5 @@
 
 
 def list_slots(slots: int) -> Iterator[int]:
-    """Return the slots of a set, the lowest first."""
+    """Return the slots of a set in ascending order."""
     return (slot for slot in range(SLOT_COUNT) if has_slot(slots, slot))
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -98,12 +98,12 @@
             self._reactor, endpoint.host, endpoint.port, PROBE_TIMEOUT
         )
         link = await connectProtocol(client, LoanLender())
-        answer = link.tell(self._name, EMPTY_OFFER)
-        link.is_over.addCallback(lambda _: answer.called or answer.cancel())
+        answer = link.send_offer(self._name, EMPTY_OFFER)
+        link.ended.addCallback(lambda _: answer.called or answer.cancel())
         try:
             await answer.addTimeout(PROBE_TIMEOUT, self._awake)
         finally:
-            link.give_up()
+            link.abort()
 
     def _observe_answer(self, _: None, name: str) -> None:
         """Record that an instance answered its probe."""
--- a/tests/accounts/test_lost_owner.py
+++ b/tests/accounts/test_lost_owner.py
@@ -90,7 +90,7 @@
     name = next(iter(network.instances))
     one, avoided = network.instances[name], []
     one.directory.avoid = lambda *args: avoided.append(args)
-    one.accounts._task._observe_lost = one.directory.avoid
+    one.accounts._task._on_owner_lost = one.directory.avoid
     for _ in range(5):
         one.paused_until = network.now + 1.1
         network.run(3.0)
