--- a/tests/accounts/network.py
+++ b/tests/accounts/network.py
@@ -1,8 +1,8 @@
-"""Instances of a fleet that lend rights over sockets in memory, in simulated time.
+"""A fleet that lends quota shares over in-memory connections, in simulated time.
 
-Each instance has a clock of its own, so that it can be paused. One that has lost power
-answers nothing and closes nothing; a paused one takes connections and bytes, and sees
-them once it goes on.
+Each instance has its own clock, so that it can be paused. A lost instance, as after a
+power failure, neither answers nor closes connections; a paused one accepts connections
+and bytes, and handles them once it resumes.
 """
 
 import random
@@ -24,8 +24,8 @@
 STEP = 0.01
 LATENCY = 0.002
 RELAY_CONNECT = 0.3
-LEAST_CONNECTIONS = 62
-"""Six owners, one or two in each of three zones."""
+MIN_CONNECTIONS = 62
+"""Connections for six owners, so that each of three zones has one or two."""
 
 
 class Wire:
@@ -53,7 +53,7 @@
     def loseConnection(self):  # noqa: N802
         if self.is_open:
             self.is_open = False
-            self.network.send(self.owner, self.owner, self.tell_end)
+            self.network.send(self.owner, self.owner, self.report_end)
             self.network.send(self.owner, self.other, self.far.end)
 
     abortConnection = loseConnection  # noqa: N815
@@ -61,9 +61,9 @@
     def end(self):
         if self.is_open:
             self.is_open = False
-            self.tell_end()
+            self.report_end()
 
-    def tell_end(self):
+    def report_end(self):
         self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
@@ -103,7 +103,7 @@
 
 
 class Instance:
-    """One instance as far as it chooses owners and lends to them."""
+    """The part of an instance that chooses owners and lends to them."""
 
     def __init__(self, network, own, is_new=True):
         self.network, self.name = network, own.name
@@ -123,7 +123,7 @@
     def start(self):
         peers = self.network.peers
         self.directory.set_peers(peers)
-        self.directory.set_accounts(LEAST_CONNECTIONS)
+        self.directory.set_accounts(MIN_CONNECTIONS)
         self.accounts.set_members(peers)
         self.accounts.set_accounts(self.network.settings)
         self.accounts.start()
@@ -135,21 +135,21 @@
         return self.accounts.quota.shares.get_share(slot, self.reactor.seconds())
 
     def ask(self, slot):
-        """Send a request to a slot's owner; pass over one that takes no connection."""
+        """Send a request to a slot's owner; avoid the owner if it cannot be reached."""
         owner = self.directory.choose_slot_owner(slot).name
-        ways = (self.name, owner), (owner, self.name)
-        if not all(self.network.reaches(*way) for way in ways):
+        paths = (self.name, owner), (owner, self.name)
+        if not all(self.network.reaches(*path) for path in paths):
             self.reactor.callLater(RELAY_CONNECT, self.directory.avoid, owner)
 
 
 class Network:
-    """A fleet, and what is on its way between its instances."""
+    """A fleet, and the messages in flight between its instances."""
 
     def __init__(self, count=12, rate=400.0, burst=60.0, seed=1, probes=True):
         self.rng = random.Random(seed)
         self.now, self.probes = 0.0, probes
-        self.mail = []
-        self.cut = set()
+        self.in_flight = []
+        self.cut_paths = set()
         self.settings = (AccountSettings("hot", frozenset({"k"}), rate, burst),)
         self.peers = tuple(make_peer(number) for number in range(count))
         self.instances = {peer.name: Instance(self, peer) for peer in self.peers}
@@ -161,12 +161,12 @@
         return not (
             self.instances[source].is_lost
             or self.instances[target].is_lost
-            or (source, target) in self.cut
+            or (source, target) in self.cut_paths
         )
 
-    def send(self, source, target, carry_out, *args):
+    def send(self, source, target, action, *args):
         if self.reaches(source, target):
-            self.mail.append((self.now + LATENCY, target, carry_out, args))
+            self.in_flight.append((self.now + LATENCY, target, action, args))
 
     def run(self, seconds, act=lambda: None):
         for _ in range(round(seconds / STEP)):
@@ -179,17 +179,17 @@
             act()
 
     def deliver(self):
-        due = [each for each in self.mail if each[0] <= self.now]
-        self.mail = [each for each in self.mail if each[0] > self.now]
-        for at, target, carry_out, args in due:
+        due = [each for each in self.in_flight if each[0] <= self.now]
+        self.in_flight = [each for each in self.in_flight if each[0] > self.now]
+        for at, target, action, args in due:
             instance = self.instances[target]
             if self.now < instance.paused_until:
-                self.mail.append((at, target, carry_out, args))
+                self.in_flight.append((at, target, action, args))
             elif not instance.is_lost:
-                carry_out(*args)
+                action(*args)
 
     def get_shares(self, slots):
-        """Return the largest part of each slot that a single instance has."""
+        """Return the largest share of each slot that one live instance holds."""
         live = [
             each
             for each in self.instances.values()
@@ -198,15 +198,15 @@
         return {slot: max(each.get_share(slot) for each in live) for slot in slots}
 
     def list_owners(self):
-        """Return the owners and their slots, those with most first."""
-        one = next(iter(self.instances.values())).directory
+        """Return pairs of owner and slots, the owner with the most slots first."""
+        directory = next(iter(self.instances.values())).directory
         by_owner = {}
         for slot in range(SLOT_COUNT):
-            by_owner.setdefault(one.choose_slot_owner(slot).name, []).append(slot)
+            by_owner.setdefault(directory.choose_slot_owner(slot).name, []).append(slot)
         return sorted(by_owner.items(), key=lambda each: -len(each[1]))
 
 
 def make_peer(number):
     name = f"n{number}"
-    places = (Endpoint(name, 1), Endpoint(name, 2), Endpoint(name, 3))
-    return Peer(name, f"z{number % 3}", *places)
+    endpoints = (Endpoint(name, 1), Endpoint(name, 2), Endpoint(name, 3))
+    return Peer(name, f"z{number % 3}", *endpoints)
--- a/tests/accounts/test_link_turns.py
+++ b/tests/accounts/test_link_turns.py
@@ -1,4 +1,4 @@
-"""How often an instance opens its links to owners, in simulated time."""
+"""How often a lender opens links to an owner that closes them, in simulated time."""
 
 import random
 
@@ -18,26 +18,26 @@
 
 
 class Wire(StringTransport):
-    """A connection that is open."""
+    """An open connection."""
 
     def setTcpNoDelay(self, enabled):  # noqa: N802
         pass
 
 
 class Lender:
-    """An instance that lends to the only owner of all accounts."""
+    """An instance that lends to the one owner of all accounts."""
 
     def __init__(self):
         self.reactor = MemoryReactorClock()
         lending = LendingDecider(lambda slot: "owner", 0.0, True)
         lending.set_members(("own", "owner"), 0.0)
-        place = Endpoint("10.0.0.1", 3)
+        endpoint = Endpoint("10.0.0.1", 3)
         self.task = LendingTask(
             self.reactor,
             "own",
             QuotaDecider(lambda name: None),
             lending,
-            lambda name: place,
+            lambda name: endpoint,
             self.reactor.seconds,
             random.Random(1),
         )
@@ -47,14 +47,14 @@
     def opened(self):
         return len(self.reactor.tcpClients)
 
-    def take_link(self):
-        """Have the owner's side take the last link; return this side's end."""
+    def accept_link(self):
+        """Accept the last link on the owner's side; return the lender's end."""
         link = self.reactor.tcpClients[-1][2].buildProtocol(None)
         link.makeConnection(Wire())
         return link
 
     def answer(self, link):
-        """Have the owner answer the first message."""
+        """Have the owner answer the first offer."""
         far = LoanBorrowerFactory(
             QuotaShareLedger(), self.reactor.seconds
         ).buildProtocol(None)
@@ -72,19 +72,19 @@
     link.connectionLost(Failure(ConnectionDone()))
 
 
-def test_an_owner_that_ends_each_link_at_once_is_asked_once_a_turn(lender):
-    """One that leaves and is the only owner: there is no other to go on with."""
+def test_an_owner_that_closes_each_link_at_once_is_retried_once_a_tick(lender):
+    """For example the only owner while it leaves: there is no other one to lend to."""
     ended = 0
     for _ in range(round(10 * RENEW_PERIOD / STEP)):
         if lender.opened > ended:
             ended += 1
-            end(lender.take_link())
+            end(lender.accept_link())
         lender.reactor.advance(STEP)
     assert 9 <= lender.opened <= 12
 
 
-def test_after_a_link_that_was_answered_the_next_one_is_opened_at_once(lender):
-    link = lender.take_link()
+def test_after_the_end_of_an_answered_link_the_next_one_is_opened_at_once(lender):
+    link = lender.accept_link()
     lender.answer(link)
     end(link)
     lender.reactor.advance(CHANGE_DELAY)
--- a/tests/accounts/test_quota_safety.py
+++ b/tests/accounts/test_quota_safety.py
@@ -1,9 +1,10 @@
 """No order of messages, pauses, cuts and restarts lets an account exceed its limit.
 
-A fleet of instances in simulated time. Each lends its part to the owner that it sends
-the account's operations to, which it chooses anew at any moment; messages are late or
-lost, links end on one side before the other, processes pause and start again. The
-account asks for far more than its limit at all owners. Any five seconds are judged.
+A fleet of instances in simulated time. Each lends its share to the owner to which it
+sends the account's operations, and may choose another owner at any moment. Messages are
+late or lost, links end on one side before the other, processes pause and restart. The
+account asks for far more than its limit at all owners. Each window of five seconds is
+checked.
 """
 
 import math
@@ -26,7 +27,7 @@
 
 
 class Instance(Lender):
-    """One process, which a test may pause or send to another owner."""
+    """One process, which a test may pause or direct to another owner."""
 
     def __init__(self, fleet, name, is_new):
         self.fleet = fleet
@@ -46,48 +47,48 @@
 
 
 class Fleet:
-    """All instances, and what is on its way between them."""
+    """All instances, and the messages in flight between them."""
 
     def __init__(self, seed, count=8, owners=3, counts_from_receipt=False):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.delays, self.next_trouble = (0.002,), 5.0
+        self.delays, self.next_fault_at = (0.002,), 5.0
         self.names = [f"i{number}" for number in range(count)]
         self.owners = self.names[:owners]
         self.counts_from_receipt = counts_from_receipt
-        self.mail = []
+        self.in_flight = []
         self.spent = deque()
-        self.worst = 0
+        self.max_in_window = 0
         self.by_owner = dict.fromkeys(self.owners, 0)
         self.served = 0
-        self.cut = set()
+        self.cut_paths = set()
         self.instances = {name: Instance(self, name, True) for name in self.names}
 
     def get_target(self):
-        """Return whom an instance takes for the owner at its start."""
+        """Return the name of the owner that an instance chooses at its start."""
         return self.rng.choice(self.owners) if self.now else self.owners[0]
 
-    def put(self, source, target, carry_out):
-        """Put a message on its way, to this process and no later one of its name."""
-        if (source, target.name) not in self.cut:
+    def put(self, source, target, action):
+        """Send a message to this process, but to no later process of its name."""
+        if (source, target.name) not in self.cut_paths:
             delay = self.rng.choice(self.delays)
-            self.mail.append((self.now + delay, target, carry_out))
+            self.in_flight.append((self.now + delay, target, action))
 
     def deliver(self):
-        due = [each for each in self.mail if each[0] <= self.now]
-        self.mail = [each for each in self.mail if each[0] > self.now]
-        for _, target, carry_out in sorted(due, key=lambda each: each[0]):
+        due = [each for each in self.in_flight if each[0] <= self.now]
+        self.in_flight = [each for each in self.in_flight if each[0] > self.now]
+        for _, target, action in sorted(due, key=lambda each: each[0]):
             if self.now < target.paused_until:
-                self.mail.append((target.paused_until, target, carry_out))
+                self.in_flight.append((target.paused_until, target, action))
             elif self.instances[target.name] is target:
-                carry_out()
+                action()
 
-    def disturb(self):
-        """Change something every few seconds; calm comes back in between."""
-        if self.now < self.next_trouble:
+    def inject_fault(self):
+        """Inject a fault every few seconds, with recoveries in between."""
+        if self.now < self.next_fault_at:
             return
         rng = self.rng
-        self.next_trouble = self.now + rng.uniform(0.3, 6.0)
+        self.next_fault_at = self.now + rng.uniform(0.3, 6.0)
         some = rng.sample(self.names, rng.randint(1, len(self.names)))
         old, new = rng.sample(self.owners, 2)
         match rng.randrange(7):
@@ -99,26 +100,26 @@
             case 2:
                 self.restart(rng.choice(self.names))
             case 3:
-                self.cut |= {(each, old) for each in some}
+                self.cut_paths |= {(each, old) for each in some}
                 self.move(some, new)
             case 4:
-                self.cut |= {(old, each) for each in some}
+                self.cut_paths |= {(old, each) for each in some}
             case 5:
                 self.delays = (3.0,)
-                self.next_trouble = self.now + rng.uniform(0.3, 1.0)
+                self.next_fault_at = self.now + rng.uniform(0.3, 1.0)
             case 6:
                 self.delays = (0.002,)
-                self.cut.clear()
+                self.cut_paths.clear()
                 self.move(self.names, new)
-                self.next_trouble = self.now + 8.0
+                self.next_fault_at = self.now + 8.0
 
     def move(self, names, owner):
-        """Have some instances send the account's operations to another owner."""
+        """Make some instances send the account's operations to another owner."""
         for name in names:
             self.instances[name].target = owner
 
     def restart(self, name):
-        """Kill a process; those that had lent to it are told by their connections."""
+        """Restart a process; its lenders notice the end of their connections."""
         for each in self.instances.values():
             each.lending.observe_ended(name)
             each.links.pop(name, None)
@@ -127,7 +128,7 @@
 
     def step(self):
         self.now += STEP
-        self.disturb()
+        self.inject_fault()
         self.deliver()
         for instance in self.instances.values():
             if self.now < instance.paused_until:
@@ -137,7 +138,7 @@
             self.spend(self.instances[name])
         while self.spent and self.spent[0] <= self.now - WINDOW:
             self.spent.popleft()
-        self.worst = max(self.worst, len(self.spent))
+        self.max_in_window = max(self.max_in_window, len(self.spent))
 
     def spend(self, owner):
         """Run what the account may run at one owner; it asks for far more."""
@@ -151,10 +152,10 @@
 
 
 class ZonedFleet(Fleet):
-    """Each of three zones has an owner, which its instances use while it is reached.
+    """Each of three zones has an owner, which its instances use while it is reachable.
 
-    Owners are lost, cut off, frozen and woken; the instances of a zone then go to the
-    owner of the next zone, some earlier than others, and come back.
+    Owners are lost, cut off, paused and resumed; the instances of a zone then use
+    the owner of another zone, some earlier than others, and return later.
     """
 
     def __init__(self, seed):
@@ -162,23 +163,23 @@
         self.zones = {
             name: self.owners[number % 3] for number, name in enumerate(self.names)
         }
-        self.go_home(self.names)
+        self.use_own_zone(self.names)
 
-    def go_home(self, names):
-        """Have instances use the owner of their own zone."""
+    def use_own_zone(self, names):
+        """Make instances use the owner of their own zone."""
         for name in names:
             self.instances[name].target = self.zones[name]
 
     def restart(self, name):
         super().restart(name)
-        self.go_home([name])
+        self.use_own_zone([name])
 
-    def disturb(self):
-        """Trouble an owner, or a zone, for some seconds."""
-        if self.now < self.next_trouble:
+    def inject_fault(self):
+        """Inject a fault into an owner or a zone for some seconds."""
+        if self.now < self.next_fault_at:
             return
         rng = self.rng
-        self.next_trouble = self.now + rng.uniform(0.3, 6.0)
+        self.next_fault_at = self.now + rng.uniform(0.3, 6.0)
         lost, other = rng.sample(self.owners, 2)
         zone = [name for name, owner in self.zones.items() if owner == lost]
         some = rng.sample(zone, rng.randint(1, len(zone)))
@@ -189,19 +190,19 @@
                 self.instances[lost].paused_until = self.now + rng.uniform(0.1, 6.0)
                 self.move(some, other)
             case 2:
-                self.cut |= {(each, lost) for each in some}
+                self.cut_paths |= {(each, lost) for each in some}
                 self.move(some, other)
             case 3:
-                self.cut |= {(lost, each) for each in self.names}
+                self.cut_paths |= {(lost, each) for each in self.names}
                 self.move(some, other)
             case 4:
                 self.delays = (rng.uniform(0.3, 3.0),)
-                self.next_trouble = self.now + rng.uniform(0.3, 1.0)
+                self.next_fault_at = self.now + rng.uniform(0.3, 1.0)
             case 5:
                 self.delays = (0.002,)
-                self.cut.clear()
-                self.go_home(self.names)
-                self.next_trouble = self.now + rng.uniform(0.3, 4.0)
+                self.cut_paths.clear()
+                self.use_own_zone(self.names)
+                self.next_fault_at = self.now + rng.uniform(0.3, 4.0)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -209,7 +210,7 @@
     fleet = Fleet(seed)
     for _ in range(int(45 / STEP)):
         fleet.step()
-    assert fleet.worst <= BOUND
+    assert fleet.max_in_window <= BOUND
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -217,34 +218,34 @@
     fleet = ZonedFleet(seed)
     for _ in range(int(45 / STEP)):
         fleet.step()
-    assert fleet.worst <= BOUND
+    assert fleet.max_in_window <= BOUND
     assert all(fleet.by_owner.values())
 
 
-def test_owners_of_the_zones_together_may_run_all_of_a_limit():
-    """Each has the part of its zone's instances: of eight three, three and two."""
+def test_the_owners_of_the_zones_together_may_run_a_whole_limit():
+    """Each has the shares of its zone's instances: three, three and two of eight."""
     fleet = ZonedFleet(1)
-    fleet.disturb = lambda: None
+    fleet.inject_fault = lambda: None
     for _ in range(int(30 / STEP)):
         fleet.step()
     assert fleet.served >= 0.9 * ACCOUNT.rate * 30
-    parts = [each / fleet.served for each in fleet.by_owner.values()]
-    assert parts == pytest.approx([3 / 8, 3 / 8, 2 / 8], abs=0.05)
+    fractions = [each / fleet.served for each in fleet.by_owner.values()]
+    assert fractions == pytest.approx([3 / 8, 3 / 8, 2 / 8], abs=0.05)
 
 
-def test_a_calm_fleet_gives_an_account_all_that_it_may_have():
+def test_without_faults_an_account_gets_its_whole_limit():
     fleet = Fleet(1)
-    fleet.disturb = lambda: None
+    fleet.inject_fault = lambda: None
     for _ in range(int(30 / STEP)):
         fleet.step()
     assert fleet.served >= 0.9 * ACCOUNT.rate * 30
 
 
 @pytest.mark.parametrize("counts_from_receipt", [False, True])
-def test_a_loan_that_is_counted_from_its_receipt_is_found_out(counts_from_receipt):
-    """Offers are on their way for long, and their lenders go on to another owner."""
+def test_a_loan_counted_from_its_receipt_is_detected(counts_from_receipt):
+    """Offers are delayed for long, and their lenders choose another owner meanwhile."""
     fleet = Fleet(1, counts_from_receipt=counts_from_receipt)
-    fleet.disturb = lambda: None
+    fleet.inject_fault = lambda: None
     for step in range(int(20 / STEP)):
         if step == int(10 / STEP):
             fleet.delays = (LOAN_TIME + 0.3,)
@@ -252,25 +253,25 @@
             fleet.delays = (0.002,)
             fleet.move(fleet.names, fleet.owners[1])
         fleet.step()
-    assert (fleet.worst > BOUND) is counts_from_receipt
+    assert (fleet.max_in_window > BOUND) is counts_from_receipt
 
 
-def test_the_slot_of_the_account_is_one_of_many():
+def test_the_slot_of_the_account_is_in_range():
     assert 0 <= get_slot("hot") < 64
 
 
 class SpentNetwork(Network):
     """The product's own tasks, and an account that asks for far more at each instance.
 
-    The store is down: nobody hears of a member that is gone.
+    The store is unavailable, so that the member list does not change after a loss.
     """
 
     def __init__(self, seed):
         super().__init__(rate=ACCOUNT.rate, burst=ACCOUNT.burst, seed=seed)
-        self.spent, self.worst, self.most = deque(), 0, 0.0
+        self.spent, self.max_in_window, self.max_share_sum = deque(), 0, 0.0
 
     def spend(self):
-        """Run what the account may run; note the most, and the sum of all parts."""
+        """Run what the account may run; record the maxima of a window and of shares."""
         slot, total = get_slot("hot"), 0.0
         for each in self.instances.values():
             if each.is_lost or self.now < each.paused_until:
@@ -283,11 +284,11 @@
                 self.spent.append(self.now)
         while self.spent and self.spent[0] <= self.now - WINDOW:
             self.spent.popleft()
-        self.worst = max(self.worst, len(self.spent))
-        self.most = max(self.most, total)
+        self.max_in_window = max(self.max_in_window, len(self.spent))
+        self.max_share_sum = max(self.max_share_sum, total)
 
-    def disturb(self, how):
-        """Take the account's owner away in some way for a while."""
+    def inject_fault(self, how):
+        """Make the account's owner unavailable in some way for a while."""
         one = next(iter(self.instances.values())).directory
         owner = one.choose_account_owner("hot").name
         others = [name for name in self.instances if name != owner]
@@ -297,19 +298,19 @@
         elif how == "frozen":
             self.instances[owner].paused_until = self.now + self.rng.uniform(0.3, 4.0)
         elif how == "cut":
-            self.cut |= {(each, owner) for each in some}
+            self.cut_paths |= {(each, owner) for each in some}
         elif how == "unheard":
-            self.cut |= {(owner, each) for each in some}
+            self.cut_paths |= {(owner, each) for each in some}
 
 
 @pytest.mark.parametrize("how", ["lost", "frozen", "cut", "unheard"])
 @pytest.mark.parametrize("seed", range(3))
-def test_an_owner_that_is_passed_over_lets_no_account_exceed_its_limit(seed, how):
+def test_an_avoided_owner_lets_no_account_exceed_its_limit(seed, how):
     network = SpentNetwork(seed)
     for _ in range(4):
-        network.disturb(how)
+        network.inject_fault(how)
         network.run(network.rng.uniform(0.5, 4.0), network.spend)
-        network.cut.clear()
+        network.cut_paths.clear()
         network.run(network.rng.uniform(0.5, 6.0), network.spend)
-    assert network.worst <= BOUND
-    assert network.most <= 1.0 + 1e-9
+    assert network.max_in_window <= BOUND
+    assert network.max_share_sum <= 1.0 + 1e-9
--- a/tests/accounts/test_rights.py
+++ b/tests/accounts/test_rights.py
@@ -1,4 +1,4 @@
-"""Parts of limits: their sum over time, and who is told what."""
+"""Quota shares: their sum over time, and which slots are lent to which instance."""
 
 import pytest
 
@@ -19,40 +19,40 @@
     assert list(list_slots(make_slot_set([3, 0, 3]))) == [0, 3]
 
 
-def test_parts_add_up_over_time():
-    shares = QuotaShareLedger()
-    shares.set_loan("a", Loan(make_slot_set([1, 2]), 0.25, 10.0), 0.0)
-    shares.set_loan("b", Loan(make_slot_set([1]), 0.5, 10.0), 2.0)
-    assert shares.get_share(1, 3.0) == 0.75 and shares.get_share(2, 3.0) == 0.25
-    assert shares.get_integral(1, 4.0) == pytest.approx(0.25 * 4 + 0.5 * 2)
-    assert shares.get_share(0, 4.0) == 0.0
+def test_shares_add_up_over_time():
+    ledger = QuotaShareLedger()
+    ledger.set_loan("a", Loan(make_slot_set([1, 2]), 0.25, 10.0), 0.0)
+    ledger.set_loan("b", Loan(make_slot_set([1]), 0.5, 10.0), 2.0)
+    assert ledger.get_share(1, 3.0) == 0.75 and ledger.get_share(2, 3.0) == 0.25
+    assert ledger.get_integral(1, 4.0) == pytest.approx(0.25 * 4 + 0.5 * 2)
+    assert ledger.get_share(0, 4.0) == 0.0
 
 
-def test_a_loan_that_has_ended_counts_to_its_end_only():
-    """Also where nobody looked at that moment, for example in a frozen process."""
-    shares = QuotaShareLedger()
-    shares.set_loan("a", Loan(ALL_SLOTS, 0.5, 2.0), 0.0)
-    assert shares.get_share(7, 9.0) == 0.0
-    assert shares.get_integral(7, 9.0) == pytest.approx(1.0)
+def test_an_expired_loan_counts_until_its_expiry_only():
+    """Also without a call at that moment, for example in a paused process."""
+    ledger = QuotaShareLedger()
+    ledger.set_loan("a", Loan(ALL_SLOTS, 0.5, 2.0), 0.0)
+    assert ledger.get_share(7, 9.0) == 0.0
+    assert ledger.get_integral(7, 9.0) == pytest.approx(1.0)
 
 
-def test_a_new_loan_replaces_the_one_before():
-    shares = QuotaShareLedger()
-    shares.set_loan("a", Loan(make_slot_set([1]), 0.5, 2.0), 0.0)
-    shares.set_loan("a", Loan(make_slot_set([2]), 0.5, 3.0), 1.0)
-    assert shares.get_share(1, 1.0) == 0.0 and shares.get_share(2, 1.0) == 0.5
+def test_a_new_loan_replaces_the_previous_one():
+    ledger = QuotaShareLedger()
+    ledger.set_loan("a", Loan(make_slot_set([1]), 0.5, 2.0), 0.0)
+    ledger.set_loan("a", Loan(make_slot_set([2]), 0.5, 3.0), 1.0)
+    assert ledger.get_share(1, 1.0) == 0.0 and ledger.get_share(2, 1.0) == 0.5
 
 
-def test_no_more_than_the_whole_is_had():
-    shares = QuotaShareLedger()
+def test_the_sum_of_shares_is_at_most_one():
+    ledger = QuotaShareLedger()
     for name in "abc":
-        shares.set_loan(name, Loan(ALL_SLOTS, 0.5, 9.0), 0.0)
-    assert shares.get_share(0, 1.0) == 1.0
-    assert shares.get_integral(0, 2.0) == pytest.approx(2.0)
+        ledger.set_loan(name, Loan(ALL_SLOTS, 0.5, 9.0), 0.0)
+    assert ledger.get_share(0, 1.0) == 1.0
+    assert ledger.get_integral(0, 2.0) == pytest.approx(2.0)
 
 
 class Lender:
-    """One instance that sends the accounts of all slots to `owner`."""
+    """One instance that chooses `owner` for all slots."""
 
     def __init__(self, is_new=True):
         self.owner = "first"
@@ -66,7 +66,7 @@
         return {name: offer.slots for name, offer in plan.items()}
 
 
-def test_each_instance_has_an_even_part():
+def test_each_instance_has_an_even_share():
     lender = Lender()
     assert lender.lending.share == 0.25
     lender.lending.set_members(["a", "b"], 1.0)
@@ -75,7 +75,7 @@
     assert lender.lending.share == 0.5
 
 
-def test_a_slot_goes_to_another_only_when_it_came_back():
+def test_a_slot_is_lent_to_another_instance_only_after_its_return():
     lender = Lender()
     assert lender.send(0.0) == {"first": ALL_SLOTS}
     lender.owner = "second"
@@ -85,7 +85,7 @@
     assert lender.send(0.6) == {"second": ALL_SLOTS}
 
 
-def test_without_an_answer_a_slot_comes_back_at_the_end_of_its_loan():
+def test_without_an_answer_a_slot_is_free_at_the_expiry_of_its_loan():
     lender = Lender()
     lender.send(0.0)
     lender.owner = "second"
@@ -93,7 +93,7 @@
     assert lender.send(LOAN_TIME) == {"second": ALL_SLOTS}
 
 
-def test_an_instance_that_has_ended_has_nothing_any_more():
+def test_an_ended_instance_holds_no_slots():
     lender = Lender()
     lender.send(0.0)
     lender.owner = "second"
@@ -101,16 +101,16 @@
     assert lender.send(0.1) == {"second": ALL_SLOTS}
 
 
-def test_an_instance_that_started_again_has_forgotten_what_it_lent():
+def test_a_restarted_lender_waits_until_its_earlier_loans_have_expired():
     lender = Lender(is_new=False)
     lender.lending.plan(0.0)
-    # The first choice could not be told, and may have it still.
+    # The first choice could not be reached, and may hold an earlier loan.
     lender.owner = "second"
     assert lender.send(0.5) == {}
     assert lender.send(LOAN_TIME) == {"second": ALL_SLOTS}
 
 
-def test_where_the_first_choice_has_ended_nothing_is_waited_for():
+def test_a_restarted_lender_does_not_wait_if_the_first_choice_has_ended():
     lender = Lender(is_new=False)
     lender.lending.plan(0.0)
     lender.owner = "second"
