--- a/beryltrack/events/__init__.py
+++ b/beryltrack/events/__init__.py
@@ -1,1 +1,1 @@
-"""One line for each decision that touches a request, within a budget."""
+"""A rate-limited log of the decisions about requests, and a reader of it."""
--- a/beryltrack/events/budget.py
+++ b/beryltrack/events/budget.py
@@ -1,7 +1,7 @@
-"""How many lines of each kind may be logged.
+"""Rate limit of log lines for each kind of event (token buckets).
 
-Each kind of event has a budget of its own, so that a flood of one leaves room for
-the others; what went wrong has more than what went well.
+Each kind has its own budget, so that a flood of one does not suppress the others.
+Failures have a larger budget than successes.
 """
 
 from collections import Counter
@@ -9,31 +9,31 @@
 from beryltrack.events.messages import RequestStep
 
 LINES_PER_SECOND = {RequestStep.SERVED: 1.0}
-"""Lines a second of each kind, on average; others have `OTHER_LINES`. One served
-request a second shows what is usual."""
+"""Average lines per second of each kind; the others have `DEFAULT_LINES_PER_SECOND`.
+One served request per second shows normal operation."""
 
-OTHER_LINES = 20.0
-"""Lines a second of each kind of which something went wrong: a line takes about
-25 us, so that all five kinds together stay under 0.3% of a core."""
+DEFAULT_LINES_PER_SECOND = 20.0
+"""Average lines per second of each kind of failure. A line takes about 25 us, so that
+all five kinds together stay under 0.3% of a core."""
 
-BURST = 3.0
-"""Seconds of a budget that may be used at once, as failures come together."""
+BURST_SECONDS = 3.0
+"""Seconds of a budget that may be used at once, as failures come in bursts."""
 
 
 class LineBudget:
-    """A token bucket for each kind of event."""
+    """A token bucket of log lines for each kind of event."""
 
     def __init__(self):
         self._tokens: dict[RequestStep, float] = {}
         self._filled_at: dict[RequestStep, float] = {}
         self._suppressed: Counter[RequestStep] = Counter()
 
-    def allows(self, step: RequestStep, now: float) -> bool:
-        """Return whether a line may be logged; count it if not."""
-        rate = LINES_PER_SECOND.get(step, OTHER_LINES)
-        most = max(rate * BURST, 1.0)
-        passed = now - self._filled_at.get(step, now)
-        tokens = min(most, self._tokens.get(step, most) + passed * rate)
+    def take_token(self, step: RequestStep, now: float) -> bool:
+        """Take a token and return whether there was one; count the line if not."""
+        rate = LINES_PER_SECOND.get(step, DEFAULT_LINES_PER_SECOND)
+        capacity = max(rate * BURST_SECONDS, 1.0)
+        elapsed = now - self._filled_at.get(step, now)
+        tokens = min(capacity, self._tokens.get(step, capacity) + elapsed * rate)
         self._filled_at[step] = now
         if tokens < 1.0:
             self._tokens[step] = tokens
@@ -43,6 +43,6 @@
         return True
 
     def take_suppressed(self) -> dict[str, int]:
-        """Return how many lines of each kind were left out since the last call."""
+        """Return the number of suppressed lines of each kind since the last call."""
         suppressed, self._suppressed = self._suppressed, Counter()
         return {step.value: count for step, count in suppressed.items()}
--- a/beryltrack/events/explain.py
+++ b/beryltrack/events/explain.py
@@ -1,4 +1,4 @@
-"""Puts together what all instances logged of one request."""
+"""Collects and formats the log lines of all instances about one request."""
 
 import json
 from collections.abc import Iterable
@@ -6,32 +6,32 @@
 
 from beryltrack.events.messages import RequestStep
 
-_FINAL = frozenset(
+_FINAL_STEPS = frozenset(
     step.value for step in RequestStep if step is not RequestStep.RETRIED
 )
 
 REFUSAL_TEXTS = {
-    "admission": "the instance that it came to had no room for more requests",
-    "queue_full": "too many requests waited for the database already",
-    "too_late": "it could not have been done in time",
+    "admission": "the receiving instance had no capacity for more requests",
+    "queue_full": "the queue for the database was full",
+    "too_late": "it could not have completed in time",
     "unreachable": "the database could not be reached",
-    "no_share": "no connection to the database was left for it",
-    "leaving": "the database takes no new work",
-    "over_limit": "its account was over its limit",
-    "owner_full": "an owner of the connections had told that too much waited there",
+    "no_share": "no connection to the database was available to it",
+    "leaving": "the database accepted no new work",
+    "over_limit": "its account had exceeded its limit",
+    "owner_full": "the owner of the connections had reported a full queue",
 }
-"""What the word of a refusal means."""
+"""Explanation of each refusal reason (the field ``verdict``)."""
 
 
 class Explanation(NamedTuple):
-    """What is known of one request.
+    """The log lines about one request.
 
     Parameters
     ----------
     lines : tuple of dict
-        What was logged of it, oldest first.
+        All lines about it, oldest first.
     deciding : dict or None
-        The line that says how it ended.
+        The last line of a final step, which states the outcome; None without one.
     """
 
     lines: tuple[dict, ...]
@@ -39,7 +39,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterable[dict]:
-    """Return the JSON objects among lines of logs; others are passed over."""
+    """Yield the JSON objects in log lines; lines without one are skipped."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -53,37 +53,37 @@
 
 
 def explain_request(request: str, lines: Iterable[dict]) -> Explanation:
-    """Return what was logged of a request, in the order of time.
+    """Return the lines about a request, in chronological order.
 
     Parameters
     ----------
     request : str
         The request's identifier.
     lines : iterable of dict
-        Lines of the logs of any number of instances.
+        Log lines of any number of instances.
 
     Returns
     -------
     Explanation
-        Without lines if nothing was logged of it, for example as the budget had
-        no room or the instance was killed.
+        Without lines if none was logged about it, for example because the budget was
+        used up or the instance was killed.
     """
     found = sorted(
-        (line for line in lines if _tells_of(line, request)),
+        (line for line in lines if _concerns(line, request)),
         key=lambda line: str(line.get("timestamp")),
     )
-    ends = [line for line in found if line.get("step") in _FINAL]
+    ends = [line for line in found if line.get("step") in _FINAL_STEPS]
     return Explanation(tuple(found), ends[-1] if ends else None)
 
 
-def _tells_of(line: dict, request: str) -> bool:
-    """Return whether a line tells of a request, of its transaction, or of many."""
-    own = (line.get("request"), line.get("opened_by"))
-    return request in own or request in line.get("requests", ())
+def _concerns(line: dict, request: str) -> bool:
+    """Return whether a line is about a request, its transaction, or many with it."""
+    identifiers = (line.get("request"), line.get("opened_by"))
+    return request in identifiers or request in line.get("requests", ())
 
 
 def format_line(line: dict) -> str:
-    """Return a line as an engineer reads it."""
+    """Return a log line in human-readable form."""
     if "requests" in line:
         return (
             f"{line.get('timestamp')} {line.get('instance')}: {line.get('step')}"
@@ -98,55 +98,55 @@
     return (
         f"{line.get('timestamp')} {line.get('instance')}: {line.get('step')}"
         f" ({line.get('reason') or 'no trouble'}) after {line.get('elapsed_ms')} ms;"
-        f" target {line.get('target') or 'none'}{_format_way(line)},"
+        f" target {line.get('target') or 'none'}{_format_via(line)},"
         f" attempt {line.get('attempt')};"
         f" {primary} in term {line.get('term')}, {age};"
         f" settings {line.get('settings_version')};"
         f" pool {line.get('pool_busy')} of {line.get('pool_limit')}"
-        f"{_format_priority(line)}{_format_demand(line)}"
+        f"{_format_priority(line)}{_format_latency(line)}"
     )
 
 
 def explain_refusal(line: dict) -> str:
-    """Return why a request was refused, and what that rested on, in one sentence.
+    """Return one sentence on why a request was refused, with the values behind it.
 
-    Empty for a line that refuses nothing, or that tells none of it.
+    Empty for a line of no refusal, or without a known reason.
     """
-    words = REFUSAL_TEXTS.get(line.get("verdict"))
-    if words is None:
+    reason = REFUSAL_TEXTS.get(line.get("verdict"))
+    if reason is None:
         return ""
     wait, left = line.get("wait_expected_ms"), line.get("aim_left_ms")
-    rested_on = [
+    values = [
         "" if wait is None else f"a wait of {wait} ms was expected",
-        "" if left is None else _format_aim(left),
+        "" if left is None else _format_latency_left(left),
     ]
-    known = ", ".join(filter(None, rested_on))
-    return f"It was refused as {words}{f' ({known})' if known else ''}."
+    details = ", ".join(filter(None, values))
+    return f"It was refused because {reason}{f' ({details})' if details else ''}."
 
 
 def _format_priority(line: dict) -> str:
-    """Return the priority of a request, if it is known."""
+    """Return the priority of a request, empty if it is unknown."""
     priority = line.get("priority")
     return "" if priority is None else f"; priority {priority}"
 
 
-def _format_demand(line: dict) -> str:
-    """Return the rest of what a request asked for and found, as far as it is known."""
+def _format_latency(line: dict) -> str:
+    """Return the remaining latency and the expected wait, as far as they are known."""
     wait, left = line.get("wait_expected_ms"), line.get("aim_left_ms")
     parts = (
-        "" if left is None else f", {_format_aim(left)}",
+        "" if left is None else f", {_format_latency_left(left)}",
         "" if wait is None else f", expected wait {wait} ms",
     )
     return "".join(parts)
 
 
-def _format_aim(left: float) -> str:
-    """Return what is left of a target latency."""
+def _format_latency_left(left: float) -> str:
+    """Return how much of a target latency remains, or by how much it is exceeded."""
     if left < 0:
-        return f"its target latency was over for {-left} ms"
-    return f"{left} ms of its target latency were left"
+        return f"its target latency was exceeded by {-left} ms"
+    return f"{left} ms of its target latency remained"
 
 
-def _format_way(line: dict) -> str:
-    """Return through which owner a request went, if through any."""
+def _format_via(line: dict) -> str:
+    """Return the owner through which a request went; empty if it went directly."""
     return f" through {line['way']}" if line.get("way") else ""
--- a/beryltrack/events/messages.py
+++ b/beryltrack/events/messages.py
@@ -1,7 +1,7 @@
-"""What is logged of a request: each decision with the inputs that made it.
+"""Log events of requests: each decision with the inputs that led to it.
 
-A line carries the age or version of what the decision rested on, so that whoever
-reads it later can tell a wrong decision from one on old knowledge.
+A line contains the age or version of the decision's inputs, so that its reader can tell
+a wrong decision from one that was based on stale information.
 """
 
 from enum import Enum
@@ -9,20 +9,20 @@
 
 
 class RequestStep(Enum):
-    """What was decided about a request."""
+    """The decision about a request."""
 
     SERVED = "served"
-    """A target's answer went to the caller."""
+    """A target's answer was sent to the caller."""
     TARGET_ERROR = "target_error"
-    """The answer that went to the caller is an error of the target's own."""
+    """The answer that was sent to the caller is an error of the target itself."""
     RETRIED = "retried"
-    """A run had no effect, and another one follows."""
+    """An attempt had no effect, and another one follows."""
     NOT_RUN = "not_run"
-    """It was refused before it ran."""
+    """The request was refused before it ran."""
     ROLLED_BACK = "rolled_back"
-    """It had no effect and never will."""
+    """The request had no effect and never will."""
     UNKNOWN = "unknown"
-    """Whether it took effect cannot be told."""
+    """It is unknown whether the request took effect."""
 
 
 class RequestEvent(NamedTuple):
@@ -31,49 +31,49 @@
     Parameters
     ----------
     request : str
-        The caller's identifier of it; empty if it has none.
+        The request's identifier, given by the caller; empty without one.
     database : str
         The database name that the caller asked for.
     kind : str
-        What it does, as `StatementKind` says.
+        Kind of the statement, as in `StatementKind`.
     step : RequestStep
         The decision.
     reason : str
-        Why, in a short sentence; empty if nothing went wrong.
+        The cause, in a short sentence; empty if there was no failure.
     target : str
         The target that it ran on; empty if it ran on none.
     attempt : int
-        Number of the attempt; zero if that is not counted.
+        Number of the attempt; zero if attempts are not counted.
     elapsed_ms : float
-        Milliseconds since it arrived.
+        Milliseconds since the request arrived.
     settings_version : int
         Version of the settings in force.
     term : int
         Term of the group's primary as this instance knew it; zero if none.
     primary : str
-        That primary; empty if none was known.
+        Name of that primary; empty if none was known.
     confirmed_ms : float or None
         Milliseconds since that term was last proven; None if it never was.
     pool_busy : int
         Connections of this instance to the primary that were in use.
     pool_limit : int
-        How many it may have.
+        Maximum number of those connections.
     way : str
-        The owner that lent the connection; empty if it is this instance's own.
+        The owner whose connection it ran on; empty for this instance's own.
     opened_by : str
         Identifier of the request that opened its transaction; empty if it opened one
         itself, or ran outside of one.
     priority : int or None
         Its route's priority; None if routes have none. This field and those after it
-        stand in the line only where they are known.
+        are in the line only if they are known.
     aim_left_ms : float or None
-        Milliseconds left of its route's target latency, below zero once it is over;
+        Milliseconds left of its route's target latency, negative once that is exceeded;
         None if the route has none.
     wait_expected_ms : float or None
-        Milliseconds that a request was expected to wait for the database that was
-        chosen; None if nobody could tell.
+        Milliseconds that a request was expected to wait for the chosen database; None
+        if unknown.
     verdict : str
-        Why it was refused before it ran, in one word of few; empty if it was not.
+        The refusal reason, a key of `REFUSAL_TEXTS`; empty if it was not refused.
     """
 
     request: str
@@ -99,39 +99,39 @@
 
 
 OPTIONAL_FIELDS = ("priority", "aim_left_ms", "wait_expected_ms", "verdict")
-"""Fields that are left out of a line where nothing is known."""
+"""Fields that are left out of a line if they are unknown."""
 
 
 class RequestEvents(Protocol):
-    """Takes the decisions about requests."""
+    """Receives the decisions about requests."""
 
     def reserve_line(self, step: RequestStep) -> bool:
-        """Return whether the budget has room for a line; it is used up by that."""
+        """Reserve a line of the budget; return whether there was one left."""
 
     def record(self, event: RequestEvent) -> None:
-        """Log one decision, for which `reserve_line` has said so."""
+        """Log one decision, for which `reserve_line` has returned True."""
 
     def record_shared(self, request: str, shared: "SharedDecision") -> None:
-        """Take a decision for which `reserve_line` had no room."""
+        """Record a decision for which `reserve_line` has returned False."""
 
 
 class SharedDecision(NamedTuple):
-    """What requests have in common that share a line.
+    """The common fields of requests that share a line.
 
     Parameters
     ----------
     step : RequestStep
         The decision.
     reason : str
-        Why, in a short sentence.
+        The cause, in a short sentence.
     term : int
         Term of the group's primary as this instance knew it; zero if none.
     primary : str
-        That primary; empty if none was known.
+        Name of that primary; empty if none was known.
     priority : int or None
-        Their routes' priority; left out of the line if None.
+        Priority of their routes; left out of the line if None.
     verdict : str
-        Why they were refused, in one word of few; left out if empty.
+        Their refusal reason; left out of the line if empty.
     """
 
     step: RequestStep
@@ -143,14 +143,14 @@
 
 
 class NullRequestEvents:
-    """Logs nothing, for instances that nobody reads the logs of."""
+    """Logs nothing, for instances whose log has no reader."""
 
     def reserve_line(self, step: RequestStep) -> bool:
-        """Return False."""
+        """Return False: no line is logged."""
         return False
 
     def record(self, event: RequestEvent) -> None:
-        """Drop a decision."""
+        """Discard a decision."""
 
     def record_shared(self, request: str, shared: SharedDecision) -> None:
-        """Drop a decision."""
+        """Discard a decision."""
--- a/tests/events/test_log.py
+++ b/tests/events/test_log.py
@@ -1,4 +1,4 @@
-"""Lines of decisions: bounded, never blocking, and put together again."""
+"""The event log: its budget, its non-blocking writes, and the reader of its lines."""
 
 import json
 import os
@@ -7,12 +7,12 @@
 
 from beryltrack.command.main import build_application
 from beryltrack.connections.messages import RefusalReason
-from beryltrack.events.budget import BURST, OTHER_LINES, LineBudget
+from beryltrack.events.budget import BURST_SECONDS, DEFAULT_LINES_PER_SECOND, LineBudget
 from beryltrack.events.explain import REFUSAL_TEXTS, explain_request, read_lines
 from beryltrack.events.log import (
-    IDS_A_LINE,
-    MOST_HELD,
-    MOST_NOTED,
+    MAX_BUFFERED_BYTES,
+    MAX_IDS_PER_LINE,
+    MAX_SHARED_IDS,
     EventLog,
     NonBlockingStream,
 )
@@ -25,7 +25,7 @@
 
 
 class Clock:
-    """A time that a test sets."""
+    """A clock that a test sets."""
 
     now = 0.0
 
@@ -59,40 +59,42 @@
     assert line["confirmed_ms"] == 812.3 and line["instance"] == "node-1"
 
 
-def test_a_flood_of_one_kind_leaves_room_for_the_others():
+def test_a_flood_of_one_kind_does_not_suppress_the_others():
     budget = LineBudget()
-    allowed = sum(budget.allows(RequestStep.NOT_RUN, 0.0) for _ in range(1000))
-    assert allowed == OTHER_LINES * BURST
-    assert budget.allows(RequestStep.UNKNOWN, 0.0)
+    allowed = sum(budget.take_token(RequestStep.NOT_RUN, 0.0) for _ in range(1000))
+    assert allowed == DEFAULT_LINES_PER_SECOND * BURST_SECONDS
+    assert budget.take_token(RequestStep.UNKNOWN, 0.0)
     assert budget.take_suppressed() == {"not_run": 1000 - allowed}
 
 
-def test_lines_that_were_left_out_are_counted_in_one():
+def test_suppressed_lines_are_counted_in_one_line():
     log, lines, clock = make_log()
     for _ in range(500):
         record(log, make_event())
     clock.now = 6.0
     record(log, make_event())
     summary = next(json.loads(line) for line in lines if "suppressed" in line)
-    assert summary["lines"] == {"not_run": 500 - OTHER_LINES * BURST}
+    assert summary["lines"] == {
+        "not_run": 500 - DEFAULT_LINES_PER_SECOND * BURST_SECONDS
+    }
 
 
-def test_a_reader_that_never_reads_holds_nothing_up():
+def test_a_reader_that_never_reads_does_not_block_writes():
     reading, writing = os.pipe()
     try:
         stream = NonBlockingStream(writing)
         for _ in range(3000):
             stream.write("x" * 99 + "\n")
-        assert stream.dropped > 0 and len(stream._held) <= MOST_HELD
+        assert stream.dropped > 0 and len(stream._buffer) <= MAX_BUFFERED_BYTES
         assert os.read(reading, 100) == b"x" * 99 + b"\n"
         stream.flush()
-        assert len(stream._held) < MOST_HELD
+        assert len(stream._buffer) < MAX_BUFFERED_BYTES
     finally:
         os.close(reading)
         os.close(writing)
 
 
-def test_a_reader_that_is_gone_costs_nothing():
+def test_a_closed_reader_does_not_fail_writes():
     reading, writing = os.pipe()
     os.close(reading)
     try:
@@ -111,7 +113,7 @@
     return lines
 
 
-def test_the_lines_of_one_request_are_put_together():
+def test_the_lines_of_one_request_are_collected():
     texts = ["no JSON", *("12.5 node-1 " + line for line in make_logs()), "{broken"]
     found = explain_request("r-1", read_lines(texts))
     assert [line["step"] for line in found.lines] == ["retried", "unknown"]
@@ -146,19 +148,19 @@
         assert found.deciding["reason"] == "no primary"
     shared = explain_request("r-999", read_lines(lines)).deciding
     assert shared["primary"] == "db-1" and shared["term"] == 3
-    assert len(shared["requests"]) <= IDS_A_LINE
+    assert len(shared["requests"]) <= MAX_IDS_PER_LINE
 
 
 def test_a_flood_costs_a_bounded_number_of_bytes():
-    texts = flood(MOST_NOTED * 5)
-    assert sum(map(len, texts)) < 60 * 400 + MOST_NOTED * 20 + 2000
+    texts = flood(MAX_SHARED_IDS * 5)
+    assert sum(map(len, texts)) < 60 * 400 + MAX_SHARED_IDS * 20 + 2000
 
 
-def test_what_was_served_shares_no_line():
+def test_served_requests_share_no_line():
     assert not any('"requests": [' in line for line in flood(50, RequestStep.SERVED))
 
 
-def test_the_tool_tells_of_a_shared_line(tmp_path):
+def test_the_tool_shows_a_shared_line(tmp_path):
     file = tmp_path / "node-1.log"
     file.write_text("".join(flood(100)))
     tester = CommandTester(build_application().find("explain"))
@@ -168,8 +170,8 @@
 
 
 def test_a_transaction_is_found_by_the_identifier_that_opened_it():
-    # Callers report a failed transaction by its first request. Of ten failed requests
-    # two had no line, as that of the statement that failed names only itself:
+    # Callers report a failed transaction by its first request. Guards against a line
+    # that names only the failed statement, as of two in ten failed requests:
     #     rolled_back (the connection to the target was lost) after 707.7 ms, kind write
     log, lines, _ = make_log()
     event = make_event("r-7")
@@ -178,7 +180,7 @@
     assert found.deciding["request"] == "r-7"
 
 
-DEMAND = {
+OPTIONAL = {
     "priority": 2,
     "aim_left_ms": -30.04,
     "wait_expected_ms": 120.06,
@@ -186,14 +188,14 @@
 }
 
 
-def test_what_a_request_asked_for_stands_in_its_line_where_it_is_known():
+def test_optional_fields_are_in_a_line_if_they_are_known():
     log, lines, _ = make_log()
     record(log, make_event())
-    record(log, make_event()._replace(**DEMAND))
-    bare, full = map(json.loads, lines)
-    assert not set(DEMAND) & set(bare)
-    told = {name: full[name] for name in DEMAND}
-    assert told == DEMAND | {"aim_left_ms": -30.0, "wait_expected_ms": 120.1}
+    record(log, make_event()._replace(**OPTIONAL))
+    without, full = map(json.loads, lines)
+    assert not set(OPTIONAL) & set(without)
+    told = {name: full[name] for name in OPTIONAL}
+    assert told == OPTIONAL | {"aim_left_ms": -30.0, "wait_expected_ms": 120.1}
 
 
 def explain(tmp_path, event):
@@ -206,26 +208,26 @@
     return tester.io.fetch_output()
 
 
-def test_the_tool_tells_in_words_why_a_request_was_refused(tmp_path):
-    output = explain(tmp_path, make_event()._replace(**DEMAND))
-    assert "; priority 2, its target latency was over for 30.0 ms" in output
+def test_the_tool_explains_why_a_request_was_refused(tmp_path):
+    output = explain(tmp_path, make_event()._replace(**OPTIONAL))
+    assert "; priority 2, its target latency was exceeded by 30.0 ms" in output
     assert (
-        "It was refused as it could not have been done in time (a wait of 120.1 ms was "
-        "expected, its target latency was over for 30.0 ms)." in output
+        "It was refused because it could not have completed in time (a wait of 120.1 "
+        "ms was expected, its target latency was exceeded by 30.0 ms)." in output
     )
 
 
-def test_the_tool_tells_nothing_of_a_demand_that_is_not_known(tmp_path):
+def test_the_tool_shows_no_unknown_optional_field(tmp_path):
     output = explain(tmp_path, make_event()._replace(verdict="other"))
     assert "priority" not in output and "It was refused" not in output
 
 
-def test_each_reason_of_a_refusal_has_words():
-    words = {reason.name.lower() for reason in RefusalReason} | {ADMISSION}
-    assert words == set(REFUSAL_TEXTS)
+def test_each_refusal_reason_has_a_text():
+    reasons = {reason.name.lower() for reason in RefusalReason} | {ADMISSION}
+    assert reasons == set(REFUSAL_TEXTS)
 
 
-def test_requests_that_share_a_line_are_told_apart_by_priority():
+def test_shared_lines_are_separate_by_priority():
     log, lines, clock = make_log()
     for number, priority in enumerate((0, 0, 2, None)):
         shared = SharedDecision(RequestStep.NOT_RUN, "full", 3, "db-1", priority)
@@ -237,7 +239,7 @@
     assert "priority" not in json.loads(lines[2])
 
 
-def test_the_refusal_of_a_request_in_a_shared_line_is_told_in_words(tmp_path):
+def test_the_tool_explains_the_refusal_of_a_request_in_a_shared_line(tmp_path):
     log, lines, clock = make_log()
     for number in range(3):
         shared = SharedDecision(RequestStep.NOT_RUN, "full", 3, "db-1", 1, "queue_full")
@@ -250,4 +252,4 @@
     assert tester.execute(f"r-2 --logs {file}") == 0
     output = tester.io.fetch_output()
     assert "; priority 1" in output
-    assert "It was refused as too many requests waited" in output
+    assert "It was refused because the queue for the database was full" in output
