--- a/beryltrack/metrics/__init__.py
+++ b/beryltrack/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""What is counted and measured, whoever shows it."""
+"""Metrics of an instance: their types, their catalog and their text form."""
--- a/beryltrack/metrics/catalog.py
+++ b/beryltrack/metrics/catalog.py
@@ -1,20 +1,20 @@
-"""What each metric of an instance on the users' platform says, and its kind.
+"""Type and help text of each metric of an instance on the platform.
 
-Scrapers and dashboards show the texts; docs/OPERATIONS.md tells what to do by them.
+Scrapers and dashboards show the texts; docs/OPERATIONS.md says how to act on them.
 """
 
 from typing import NamedTuple
 
 
 class Metric(NamedTuple):
-    """One metric.
+    """Type and help text of one metric.
 
     Parameters
     ----------
     kind : str
-        Its type in the text form of Prometheus.
+        Its type in the Prometheus text format.
     help : str
-        What it says, with its unit.
+        Its meaning, with its unit.
     """
 
     kind: str
@@ -105,8 +105,8 @@
 """All metrics, by name."""
 
 
-def format_head(name: str) -> list[str]:
-    """Return the lines that stand before a metric's values; none if it is unknown."""
+def format_header(name: str) -> list[str]:
+    """Return the HELP and TYPE lines of a metric; none if it is not in the catalog."""
     metric = METRICS.get(name)
     if metric is None:
         return []
--- a/beryltrack/metrics/messages.py
+++ b/beryltrack/metrics/messages.py
@@ -1,7 +1,7 @@
-"""Kinds of counts and the interface by which the slices report them.
+"""Types of metrics, and the interface by which other packages record them.
 
-The slices know only these types, so that a process can carry whichever form of
-metrics its deployment scrapes, and loads no other.
+Other packages depend on these types only, so that a process loads just the format of
+metrics that its deployment scrapes.
 """
 
 import enum
@@ -9,20 +9,20 @@
 
 
 class RequestKind(enum.Enum):
-    """What a request did."""
+    """Whether a request read or wrote."""
 
     READ = "read"
     WRITE = "write"
 
-    # Members are singletons; the hash by name is slow on the path of a statement.
+    # Members are singletons. The default hash by name is slow for each statement.
     __hash__ = object.__hash__
 
 
 class RequestOutcome(enum.Enum):
     """How a request ended.
 
-    DONE was answered by a target, errors of its own included. NOT_RUN,
-    ROLLED_BACK and UNKNOWN are the three kinds of refusal.
+    DONE: a target answered, possibly with an error. NOT_RUN, ROLLED_BACK and UNKNOWN
+    are the three outcomes of the proxy's own errors.
     """
 
     DONE = "done"
@@ -30,23 +30,23 @@
     ROLLED_BACK = "rolled_back"
     UNKNOWN = "unknown"
 
-    # Members are singletons; the hash by name is slow on the path of a statement.
+    # Members are singletons. The default hash by name is slow for each statement.
     __hash__ = object.__hash__
 
 
 class TargetKind(enum.Enum):
-    """Which kind of target served a request; NONE if it was not run."""
+    """Kind of the target that served a request; NONE if it was not run."""
 
     REPLICA = "replica"
     PRIMARY = "primary"
     NONE = "none"
 
-    # Members are singletons; the hash by name is slow on the path of a statement.
+    # Members are singletons. The default hash by name is slow for each statement.
     __hash__ = object.__hash__
 
 
 class PoolUse(NamedTuple):
-    """How far a database's connections are used by this instance.
+    """Use of one instance's connections to a database.
 
     Parameters
     ----------
@@ -57,11 +57,11 @@
     busy : int
         Connections that run a statement or a transaction.
     idle : int
-        Connections that wait for work.
+        Connections that are not in use.
     waiting : int
         Requests that wait for a connection.
     allowed : int
-        Connections that this instance may have now.
+        Maximum number of connections that this instance may have now.
     """
 
     group: str
@@ -109,30 +109,31 @@
 
 
 MetricSample = tuple[str, str, float]
-"""Name, labels in the text form, and value."""
+"""Name, labels in the Prometheus text format, and value."""
 
 
 def format_label(name: str, value: str) -> str:
-    """Return a label in the text form; the value may be any that operators chose."""
+    """Return a label in the Prometheus text format, with its value escaped."""
     escaped = value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
     return f'{name}="{escaped}"'
 
 
 class RequestSummary(NamedTuple):
-    """How a request ended, by what it had asked for.
+    """The end of a request, by its priority and whether it has an account.
 
     Parameters
     ----------
     priority : int
-        Zero is the most urgent.
+        Priority of its route; zero is the most urgent.
     has_account : bool
-        True if a client account asked for it.
+        True if its caller has a client account.
     is_served : bool
         True if a target answered it.
     is_in_aim : bool
-        True if that was within the target latency of its route.
+        True if the answer came within the target latency of its route.
     refused_for : str
-        Why it was refused before it ran, in one word of few; empty if it was not.
+        The refusal reason, as in the log field ``verdict``; empty if it was not
+        refused.
     """
 
     priority: int
@@ -143,23 +144,23 @@
 
 
 class RequestMetrics(Protocol):
-    """Takes what the courses of requests report."""
+    """Receives the metrics that the execution of requests reports."""
 
     def count_request(
         self, kind: RequestKind, outcome: RequestOutcome, target: TargetKind
     ) -> None:
-        """Count one request that ended."""
+        """Count a request that ended, by kind, outcome and target."""
 
-    def count_by_priority(self, end: RequestSummary) -> None:
-        """Count the same request by what it had asked for."""
+    def count_by_priority(self, summary: RequestSummary) -> None:
+        """Count a request that ended, by priority and account class."""
 
     def record_queue_time(self, seconds: float) -> None:
-        """Record how long a request waited for a connection."""
+        """Record how many seconds a request waited for a connection."""
 
     def record_wait_by_priority(
         self, priority: int, has_account: bool, seconds: float
     ) -> None:
-        """Record the same by what it asks for, also if it got no connection."""
+        """Record the same by priority and account class, also without a connection."""
 
     def record_confirm_wait(self, seconds: float) -> None:
-        """Record how long a commit waited for a majority to receive it."""
+        """Record how many seconds a commit waited for a majority to receive it."""
--- a/tests/events/test_log.py
+++ b/tests/events/test_log.py
@@ -192,10 +192,10 @@
     log, lines, _ = make_log()
     record(log, make_event())
     record(log, make_event()._replace(**OPTIONAL))
-    without, full = map(json.loads, lines)
-    assert not set(OPTIONAL) & set(without)
-    told = {name: full[name] for name in OPTIONAL}
-    assert told == OPTIONAL | {"aim_left_ms": -30.0, "wait_expected_ms": 120.1}
+    partial_line, full_line = map(json.loads, lines)
+    assert not set(OPTIONAL) & set(partial_line)
+    logged = {name: full_line[name] for name in OPTIONAL}
+    assert logged == OPTIONAL | {"aim_left_ms": -30.0, "wait_expected_ms": 120.1}
 
 
 def explain(tmp_path, event):
@@ -234,8 +234,10 @@
         log.record_shared(f"r-{number}", shared)
     clock.now = 1.5
     log.reserve_line(RequestStep.NOT_RUN)
-    told = [(line["requests"], line.get("priority")) for line in map(json.loads, lines)]
-    assert told == [(["r-0", "r-1"], 0), (["r-2"], 2), (["r-3"], None)]
+    logged = [
+        (line["requests"], line.get("priority")) for line in map(json.loads, lines)
+    ]
+    assert logged == [(["r-0", "r-1"], 0), (["r-2"], 2), (["r-3"], None)]
     assert "priority" not in json.loads(lines[2])
 
 
--- a/tests/metrics/test_catalog.py
+++ b/tests/metrics/test_catalog.py
@@ -1,4 +1,4 @@
-"""Each metric of an instance has a type and a text."""
+"""Each metric of an instance has a type and a help text, and correct values."""
 
 import re
 from pathlib import Path
@@ -20,7 +20,7 @@
 from tests.accounts.network import Network
 
 ROOT = Path(beryltrack.__file__).parent
-NAME = re.compile(r'yield\s*\(?\s*"(beryltrack_\w+)"')
+SAMPLE_NAME = re.compile(r'yield\s*\(?\s*"(beryltrack_\w+)"')
 GATE = GateStatus(
     "g",
     "db-1",
@@ -59,13 +59,13 @@
     return value
 
 
-def test_each_metric_that_is_shown_stands_in_the_catalog():
+def test_each_exposed_metric_is_in_the_catalog():
     sources = (path.read_text() for path in ROOT.rglob("*.py"))
-    shown = {name for source in sources for name in NAME.findall(source)}
-    assert shown and shown <= set(METRICS)
+    exposed = {name for source in sources for name in SAMPLE_NAME.findall(source)}
+    assert exposed and exposed <= set(METRICS)
 
 
-def test_each_metric_has_a_type_and_a_text_and_stands_in_one_place():
+def test_each_metric_has_a_type_and_a_text_and_is_one_family():
     families = get_families(make_metrics())
     assert all(family.documentation for family in families)
     assert not {family.type for family in families} & {"unknown", "untyped"}
@@ -76,40 +76,40 @@
 def test_requests_are_counted_by_priority_and_account_class():
     metrics = make_metrics()
     urgent = {"priority": "0", "account_class": "account"}
-    late = {"priority": "2", "account_class": "none"}
+    low = {"priority": "2", "account_class": "none"}
     assert get_value(metrics, "beryltrack_priority_requests_total", **urgent) == 2
     assert get_value(metrics, "beryltrack_priority_served_total", **urgent) == 2
     assert get_value(metrics, "beryltrack_priority_in_aim_total", **urgent) == 1
     name = "beryltrack_priority_wait_seconds_total"
     assert get_value(metrics, name, **urgent) == 0.25
     name = "beryltrack_priority_refused_total"
-    assert get_value(metrics, name, **late, reason="too_late") == 1
+    assert get_value(metrics, name, **low, reason="too_late") == 1
 
 
-def test_names_that_operators_chose_break_no_line():
-    odd = 'a"b\\c'
+def test_special_characters_in_names_are_escaped():
+    special = 'a"b\\c'
     metrics = PrometheusMetrics()
     metrics.set_sample_source(
-        lambda: render_gates([GATE._replace(group=odd, database=odd)])
+        lambda: render_gates([GATE._replace(group=special, database=special)])
     )
-    gate = {"group": odd, "database": odd}
+    gate = {"group": special, "database": special}
     assert get_value(metrics, "beryltrack_gate_limit", **gate) == 3
     assert get_value(metrics, "beryltrack_gate_waiting", **gate, priority="1") == 4
 
 
-def test_an_account_is_shown_whatever_its_name():
-    odd = 'a"b\\c'
+def test_special_characters_in_an_account_name_are_escaped():
+    special = 'a"b\\c'
     network = Network(2)
     accounts = next(iter(network.instances.values())).accounts
-    accounts.set_accounts((AccountSettings(odd, frozenset(), 1.0, 0.0),))
-    accounts.quota.spend(odd, 0.0)
+    accounts.set_accounts((AccountSettings(special, frozenset(), 1.0, 0.0),))
+    accounts.quota.spend(special, 0.0)
     metrics = PrometheusMetrics()
     metrics.set_sample_source(accounts.get_gauges)
     name = "beryltrack_account_operations_total"
-    assert get_value(metrics, name, account=odd) == 1
+    assert get_value(metrics, name, account=special) == 1
 
 
-def test_an_owner_s_gates_are_shown_by_database_and_priority():
+def test_gates_are_exposed_by_database_and_priority():
     metrics = make_metrics()
     gate = {"group": "g", "database": "db-1"}
     assert get_value(metrics, "beryltrack_gate_limit", **gate) == 3
--- a/tests/metrics/test_plain.py
+++ b/tests/metrics/test_plain.py
@@ -1,4 +1,4 @@
-"""The plain form of metrics, as a scraper reads it."""
+"""The Prometheus text format of the metrics, as a scraper parses it."""
 
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -15,7 +15,7 @@
     }
 
 
-def test_counts_durations_and_gauges_are_scraped():
+def test_counters_histograms_and_gauges_are_scraped():
     metrics = PrometheusMetrics()
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
