--- a/beryltrack/pause_aware_clock.py
+++ b/beryltrack/pause_aware_clock.py
@@ -33,8 +33,8 @@
 arrived during the pause is read first."""
 
 MAX_PAUSES = 64
-"""Pauses that are retained; a time given to `get_paused_time` is later than the oldest
-of them."""
+"""Number of recent pauses that are retained. `get_paused_time` is exact for times after
+the oldest of them."""
 
 
 class Pause(NamedTuple):
