--- a/beryltrack/accounts/quota.py
+++ b/beryltrack/accounts/quota.py
@@ -33,7 +33,7 @@
 beyond the burst, and what it gains per window beyond the rate. The rest covers initial
 tokens. Without them a small account, whose limit is a few operations, is refused
 operations that fit into its limit's window: 291 of 11,219 operations of 76 accounts in
-24 hours of normal load."""
+a day of normal load."""
 
 MIN_RETAINED_SHARE = 0.9
 """Remaining share of a slot from which on a decrease does not reset what accounts
@@ -44,8 +44,8 @@
 """Tokens of one operation, less the rounding error of sums of fractions."""
 
 UNKNOWN_ACCOUNT_WAIT = 0.1
-"""Seconds after which to retry for an account that this instance's settings lack: the
-instance that passed the operation on has newer settings, which arrive here soon."""
+"""Seconds after which to retry for an account that this instance's settings lack:
+another instance already has them, so they arrive here soon."""
 
 MAX_WAIT = 5.0
 """Maximum retry delay in seconds, as limits are defined over windows of a few
--- a/beryltrack/accounts/task.py
+++ b/beryltrack/accounts/task.py
@@ -22,8 +22,8 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT = 0.5
-"""Seconds to connect a link before its owner counts as unreachable; connecting takes 1
-to 4 ms."""
+"""Seconds to connect a link before its owner counts as unreachable; a reachable one
+answers in 1 to 4 ms."""
 
 ANSWER_TIMEOUT = 0.8
 """Seconds without an answer after which a link is aborted: about two renewal periods,
