--- a/beryltrack/load/__init__.py
+++ b/beryltrack/load/__init__.py
@@ -1,1 +1,1 @@
-"""Decides under load what runs at a database, in which order, where, and what not."""
+"""Overload control: which operations a database runs, when, through whom, or not."""
--- a/beryltrack/load/estimate.py
+++ b/beryltrack/load/estimate.py
@@ -1,23 +1,24 @@
-"""An estimate of a duration that single outliers do not spoil."""
+"""Exponentially weighted mean of a duration that limits the effect of outliers."""
 
 from beryltrack.connections.service_estimate import MEAN_WEIGHT, ServiceEstimate
 
-LEAST_SAMPLES = 16
-"""Samples after which the mean tells what is far out."""
+MIN_SAMPLES = 16
+"""Samples before the mean is used to recognise outliers."""
 
 OUTLIER_FACTOR = 8.0
 """A sample counts as this many times the mean at most: kinds of statements differ
 tenfold among themselves, less from their mean."""
 
-LEAST_BOUND = 0.01
-"""Seconds up to which a sample always counts, so that a mean near zero can rise."""
+MIN_BOUND = 0.01
+"""Seconds up to which a sample always counts in full, so that a mean near zero can
+rise."""
 
 
 class BoundedEstimate(ServiceEstimate):
     """Smoothed mean of a duration, on which one sample has a bounded effect.
 
-    A process that was frozen sees statements that took as long as it was. Three of 5 s
-    would make all that comes look hopeless for the next hundred statements.
+    A process that was suspended measures statements as long as the suspension. Without
+    the bound, three of 5 s would make the next hundred statements look hopeless.
 
     Parameters
     ----------
@@ -36,7 +37,7 @@
         return self._count
 
     def observe(self, duration: float) -> None:
-        """Take in one duration, seconds."""
-        if self._count >= LEAST_SAMPLES:
-            duration = min(duration, max(LEAST_BOUND, OUTLIER_FACTOR * self._mean))
+        """Record one duration, seconds."""
+        if self._count >= MIN_SAMPLES:
+            duration = min(duration, max(MIN_BOUND, OUTLIER_FACTOR * self._mean))
         super().observe(duration)
--- a/beryltrack/load/fair_queue.py
+++ b/beryltrack/load/fair_queue.py
@@ -1,9 +1,9 @@
-"""Turns among accounts: who asks for much waits behind its own.
+"""Round robin among accounts, by start-time fair queueing.
 
-Start-time fair queueing: each account has a tag that goes up by one with each turn, and
-the one with the lowest tag is next. One that comes back is given the tag of the account
-whose turn it was last, so that it cannot save turns up; one that just had many turns
-keeps its tag until the others have had as many, or nobody waits.
+Each account has a tag that rises by one with each of its operations that starts; the
+account with the lowest tag is next. An account that returns gets at least the tag of
+the account served last, so that it cannot save up turns. An account that was just
+served often keeps its higher tag until the others have caught up or the queue is empty.
 """
 
 from bisect import bisect_left, insort
@@ -11,88 +11,89 @@
 
 
 class FairQueue:
-    """Operations that wait, served by turns among accounts, the earliest aim first.
+    """Waiting operations: round robin by account, then the earliest latency deadline.
 
-    All steps take a time that grows with the logarithm of what waits.
+    Each step takes time that grows with the logarithm of the number of operations.
     """
 
     def __init__(self):
-        # Each line is in falling order, so that its first one is taken from the end.
-        self._lines: dict[str, list[tuple[float, int]]] = {}
+        # Each list is in falling order, so that its first operation is taken from the
+        # end.
+        self._by_account: dict[str, list[tuple[float, int]]] = {}
         self._order: list[tuple[float, str]] = []
         self._in_order: set[str] = set()
         self._tags: dict[str, float] = {}
-        self._rested: list[tuple[float, str]] = []
-        self._now = 0.0
+        self._idle: list[tuple[float, str]] = []
+        self._served_tag = 0.0
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def add(self, account: str, aim: float, number: int) -> None:
-        """Add an operation that its caller wants done by the time `aim`."""
-        insort(self._lines.setdefault(account, []), (-aim, -number))
+    def add(self, account: str, latency_deadline: float, number: int) -> None:
+        """Add an operation, with its latency deadline in seconds."""
+        insort(self._by_account.setdefault(account, []), (-latency_deadline, -number))
         self._count += 1
         if account not in self._in_order:
             self._in_order.add(account)
-            tag = max(self._now, self._tags.pop(account, 0.0))
+            tag = max(self._served_tag, self._tags.pop(account, 0.0))
             heappush(self._order, (tag, account))
 
-    def remove(self, account: str, aim: float, number: int) -> None:
-        """Take an operation out; it must wait here."""
-        line = self._lines[account]
-        del line[bisect_left(line, (-aim, -number))]
-        self._note_taken(account)
+    def remove(self, account: str, latency_deadline: float, number: int) -> None:
+        """Remove an operation, which must be in the queue."""
+        operations = self._by_account[account]
+        del operations[bisect_left(operations, (-latency_deadline, -number))]
+        self._count_removed(account)
 
     def pop(self) -> int:
-        """Take out the operation whose turn it is, and return its number."""
+        """Remove the next operation, and return its number."""
         tag, account = heappop(self._order)
-        while account not in self._lines:
-            # Its operations have left meanwhile.
+        while account not in self._by_account:
+            # Its operations have been removed since.
             self._in_order.discard(account)
             tag, account = heappop(self._order)
-        self._now = tag
-        number = -self._lines[account].pop()[1]
-        self._note_taken(account)
-        if account in self._lines:
+        self._served_tag = tag
+        number = -self._by_account[account].pop()[1]
+        self._count_removed(account)
+        if account in self._by_account:
             heappush(self._order, (tag + 1.0, account))
         elif self._count:
-            self._rest(account, tag + 1.0)
+            self._retain_tag(account, tag + 1.0)
         return number
 
     def get_last(self, account: str) -> int | None:
-        """Return the number of an account's last operation, None if none waits."""
-        line = self._lines.get(account)
-        return -line[0][1] if line else None
+        """Return the number of an account's last operation, None if it has none."""
+        operations = self._by_account.get(account)
+        return -operations[0][1] if operations else None
 
     def count_ahead(self, account: str) -> int:
-        """Return how many turns come before a further operation of an account."""
-        accounts = len(self._lines) + (account not in self._lines)
-        own = len(self._lines.get(account, ()))
+        """Return how many operations start before a further one of an account."""
+        accounts = len(self._by_account) + (account not in self._by_account)
+        own = len(self._by_account.get(account, ()))
         return min(self._count, (own + 1) * accounts - 1)
 
-    def _note_taken(self, account: str) -> None:
-        """Count an operation that has left the line of an account."""
+    def _count_removed(self, account: str) -> None:
+        """Count an operation that has been removed from its account's list."""
         self._count -= 1
-        if not self._lines[account]:
-            del self._lines[account]
+        if not self._by_account[account]:
+            del self._by_account[account]
         if not self._count:
-            self._forget()
+            self._reset()
 
-    def _forget(self) -> None:
-        """Begin anew: where nobody waits nobody has had more than others."""
+    def _reset(self) -> None:
+        """Drop all tags: in an empty queue no account is ahead of others."""
         self._order.clear()
         self._in_order.clear()
         self._tags.clear()
-        self._rested.clear()
-        self._now = 0.0
+        self._idle.clear()
+        self._served_tag = 0.0
 
-    def _rest(self, account: str, tag: float) -> None:
-        """Keep the tag of an account of which nothing waits, as long as it matters."""
+    def _retain_tag(self, account: str, tag: float) -> None:
+        """Retain the tag of an account without operations until it has no effect."""
         self._in_order.discard(account)
         self._tags[account] = tag
-        heappush(self._rested, (tag, account))
-        while self._rested and self._rested[0][0] <= self._now:
-            old, name = heappop(self._rested)
+        heappush(self._idle, (tag, account))
+        while self._idle and self._idle[0][0] <= self._served_tag:
+            old, name = heappop(self._idle)
             if self._tags.get(name) == old:
                 del self._tags[name]
--- a/beryltrack/load/gate.py
+++ b/beryltrack/load/gate.py
@@ -1,13 +1,13 @@
-"""Decides what runs at one database, in which order, and what is refused.
+"""Gate of one database at an owner: admission, order and concurrency limit.
 
-Pure: each method takes the time and returns what follows. An operation is let run, and
-then counts while one of its statements runs: an open transaction that rests between two
-statements leaves its room to others, and its next statement runs at once, as what
-its transaction holds at the database would otherwise hold up others for longer.
+Sans-I/O: each method takes the time and returns the actions that follow. An admitted
+operation counts while one of its statements runs. A transaction that is idle between
+two statements leaves its place to others, and its next statement starts at once, as
+the locks that it holds would otherwise delay others for longer.
 
-What cannot be done in time is told so when it comes, by the expected wait at its place.
-What waits is bounded in time: when it would take too long until all have run, the least
-urgent leave. Nothing that has been let run is ever refused or put out.
+An operation that is expected to wait for too long is refused on arrival. When the
+queue would take too long to drain, the least urgent operations are evicted. An
+operation that has been admitted is never refused or evicted.
 """
 
 import math
@@ -27,43 +27,44 @@
 from beryltrack.load.queue import PRIORITIES, OperationQueue, WaitingOperation
 from beryltrack.load.running import RunningStatements
 
-FIRST_TIME = 0.005
-"""Seconds that an operation is expected to take before the first one has ended."""
+INITIAL_TIME = 0.005
+"""Seconds that an operation is assumed to take before the first one has ended."""
 
-LEAST_RETRY_AFTER = 0.05
-"""Seconds after which nobody is told to come back sooner: a round trip and more."""
+MIN_RETRY_AFTER = 0.05
+"""Least time to retry that is given to a caller, seconds: over one round trip."""
 
-MOST_RETRY_AFTER = 5.0
-"""Seconds after which anybody may come back: longer than callers' deadlines."""
+MAX_RETRY_AFTER = 5.0
+"""Longest time to retry, seconds: longer than callers' deadlines."""
 
 RETRY_SPREAD = (1.0, 1.5)
-"""Bounds of the factor on the time to come back, so that what was refused together does
-not come back together. It is never under the time that the queue takes."""
+"""Bounds of the random factor on the time to retry, so that callers that were refused
+together do not retry together. It never goes below the time that the queue takes."""
 
-UNKNOWN_WAIT = 0.6
-"""Seconds that an operation without a known aim waits at most, as in the pools."""
+MAX_WAIT_WITHOUT_TARGET = 0.6
+"""Seconds that an operation without a target latency may wait, as in the pools."""
 
-LATE_PART = 0.25
-"""Part of its time left that an operation waits though its aim is over then: a late
-answer is worth more than none, and the rest is for its run and for another try."""
+MIN_WAIT_FRACTION = 0.25
+"""Fraction of the time to its deadline that an operation may wait even if it then
+misses its latency deadline: a late answer is worth more than none, and the rest is for
+its run and for another attempt."""
 
-MOST_DRAIN = 1.0
-"""Seconds until all that waits has run, at most: a caller with a target latency of
-0.6 s and a deadline of 4 s waits that long. Beyond it the least urgent make room."""
+MAX_DRAIN_TIME = 1.0
+"""Seconds that the queue may take to drain: a caller with a target latency of 0.6 s
+and a deadline of 4 s waits that long. Beyond it the least urgent are evicted."""
 
 SCAN_PERIOD = 0.05
-"""Seconds between two looks at what waits."""
+"""Seconds between two checks of the waiting operations."""
 
 
 class GateDecider:
-    """Decides for one database what runs there through one owner.
+    """Decides what one owner runs at one database.
 
     Parameters
     ----------
     policy : LoadPolicy
-        The figures that steer it.
+        Its parameters.
     rng : random.Random
-        For the spread of the times to come back.
+        Source of the random spread of the times to retry.
     incarnation : int
         Number of this instance's process.
     """
@@ -75,8 +76,9 @@
         self._limit = StatementLimit(policy.per_slot, policy.is_limited)
         self._queue = OperationQueue(policy.floors)
         self._running = RunningStatements()
-        self._spent: dict[int, float] = {}
-        self._time = BoundedEstimate(FIRST_TIME)
+        # Seconds that the statements of each admitted operation have taken.
+        self._time_spent: dict[int, float] = {}
+        self._time = BoundedEstimate(INITIAL_TIME)
 
     @property
     def waiting(self) -> int:
@@ -98,20 +100,20 @@
         """Operations that run."""
         return len(self._running)
 
-    def set_capacity(self, bounds: SharedCapacity, now: float) -> list[GateAction]:
-        """Take in what this instance's part of the database follows from."""
-        self._limit.set_capacity(bounds)
-        return self._fill(now)
+    def set_capacity(self, capacity: SharedCapacity, now: float) -> list[GateAction]:
+        """Set the capacity of the database and how it is shared."""
+        self._limit.set_capacity(capacity)
+        return self._start_waiting(now)
 
     def submit(self, number: int, demand: Demand, now: float) -> list[GateAction]:
-        """Take in an operation; it waits unless an action is about it.
+        """Decide on an operation that arrives; without an action on it, it waits.
 
         Parameters
         ----------
         number : int
             Its number, never used before.
         demand : Demand
-            What it asks for.
+            Its demand.
         now : float
             The current time, seconds.
         """
@@ -119,197 +121,212 @@
             demand = Demand(time_left=demand.time_left)
         operation = WaitingOperation(number, demand, now)
         if demand.time_left <= 0.0:
-            step = self._compute_step(now)
-            return [self._refuse(operation, RefusalReason.TOO_LATE, step)]
-        if not self._queue and self._has_room(now):
-            self._queue.note_unqueued()
-            return [self._run(number, now)]
-        done_at, step = now + self._limit.mean, self._compute_step(now)
-        self._queue.note_late(done_at)
-        operation.is_late = done_at > operation.aim
-        reason = self._judge(operation, demand, step)
+            interval = self._compute_start_interval(now)
+            return [self._refuse(operation, RefusalReason.TOO_LATE, interval)]
+        if not self._queue and self._has_capacity(now):
+            self._queue.record_unqueued()
+            return [self._start(number, now)]
+        done_at, interval = now + self._limit.mean, self._compute_start_interval(now)
+        self._queue.move_late(done_at)
+        operation.is_late = done_at > operation.latency_deadline
+        reason = self._get_refusal_reason(operation, demand, interval)
         if reason is not None:
-            return [self._refuse(operation, reason, step)]
-        put_out = self._make_room(operation, step)
-        if put_out and put_out[0].operation == number:
-            return put_out
+            return [self._refuse(operation, reason, interval)]
+        evicted = self._evict_if_full(operation, interval)
+        if evicted and evicted[0].operation == number:
+            return evicted
         self._queue.add(operation)
-        return put_out + self._fill(now)
+        return evicted + self._start_waiting(now)
 
     def finish(
         self, number: int, seconds: float | None, outcome: Outcome, now: float
     ) -> list[GateAction]:
-        """Take in that an operation has ended.
+        """Record that an operation has ended.
 
         Parameters
         ----------
         number : int
             Its number.
         seconds : float or None
-            How long its last statement took at the database; None if none ran since it
-            rested, or if that tells nothing.
+            How long its last statement took at the database; None if it ran none since
+            it was idle, or if that says nothing.
         outcome : Outcome
-            How that ended.
+            How that statement ended.
         now : float
             The current time, seconds.
         """
         if number in self._running:
             self._record_end(number, seconds, outcome, now)
-        spent = self._spent.pop(number, 0.0)
+        spent = self._time_spent.pop(number, 0.0)
         if spent:
             self._time.observe(spent)
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def end_statement(
         self, number: int, seconds: float | None, outcome: Outcome, now: float
     ) -> list[GateAction]:
-        """Take in that a statement has ended and its operation may go on.
+        """Record that a statement has ended; its operation may run another one.
 
         See `finish` for the parameters.
         """
         if number not in self._running:
             return []
         self._record_end(number, seconds, outcome, now)
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def start_statement(self, number: int, now: float) -> list[GateAction]:
-        """Take in that an operation that rested runs its next statement."""
-        if number in self._spent and number not in self._running:
+        """Record that an idle operation starts its next statement."""
+        if number in self._time_spent and number not in self._running:
             self._running.add(number, self._limit.mean, now)
         return []
 
     def cancel(self, number: int, now: float) -> list[GateAction]:
-        """Forget an operation that is not to run any more, or did not."""
+        """Drop an operation that was given up, or that was admitted and did not run."""
         if number in self._queue:
             self._queue.remove(number)
         self._running.remove(number)
-        self._spent.pop(number, None)
-        return self._fill(now)
+        self._time_spent.pop(number, None)
+        return self._start_waiting(now)
 
     def admit_all(self, now: float) -> list[GateAction]:
-        """Let all run that wait; whoever comes next decides what becomes of them."""
-        return [self._run(self._queue.pop().number, now) for _ in range(self.waiting)]
+        """Admit all waiting operations, whatever the limit; the pool bounds them."""
+        return [self._start(self._queue.pop().number, now) for _ in range(self.waiting)]
 
     def tick(self, now: float) -> list[GateAction]:
-        """Do what is due by time alone."""
-        actions = self._refuse_over(now)
-        step = self._compute_step(now)
-        while self._policy.refuses_early and len(self._queue) * step > MOST_DRAIN:
-            operation = self._queue.pop_least()
-            actions.append(self._refuse(operation, RefusalReason.QUEUE_FULL, step))
-        return actions + self._fill(now)
+        """Refuse, evict and start what is due by time alone."""
+        actions = self._refuse_expired(now)
+        interval = self._compute_start_interval(now)
+        while (
+            self._policy.refuses_early and len(self._queue) * interval > MAX_DRAIN_TIME
+        ):
+            operation = self._queue.pop_least_urgent()
+            actions.append(self._refuse(operation, RefusalReason.QUEUE_FULL, interval))
+        return actions + self._start_waiting(now)
 
     def get_wakeup(self, now: float) -> float | None:
-        """Return when `tick` is next due, or None if nothing waits for time."""
+        """Return when `tick` is next due, None if no operation waits."""
         if not self._queue:
             return None
-        return min(now + SCAN_PERIOD, max(now, self._queue.next_over))
+        return min(now + SCAN_PERIOD, max(now, self._queue.next_deadline))
 
     def get_report(self, now: float) -> DatabaseReport:
-        """Return the load of the database as it is at the time `now`."""
-        step = self._compute_step(now)
-        is_free = self._has_room(now) and not self._queue
+        """Return the load of the database at the time `now`."""
+        interval = self._compute_start_interval(now)
+        is_free = self._has_capacity(now) and not self._queue
         waits = tuple(
-            0.0 if is_free else step * self._count_turns(each) for each in PRIORITIES
+            0.0 if is_free else interval * self._estimate_position(each)
+            for each in PRIORITIES
         )
         return DatabaseReport(
             self.limit, self.running, waits, self._limit.mean, self._incarnation
         )
 
-    def _has_room(self, now: float) -> bool:
+    def _has_capacity(self, now: float) -> bool:
         limit = self._limit
-        return self._running.has_room(limit.value, limit.connections, limit.mean, now)
+        return self._running.has_capacity(
+            limit.value, limit.connections, limit.mean, now
+        )
 
-    def _run(self, number: int, now: float) -> Run:
+    def _start(self, number: int, now: float) -> Run:
         self._running.add(number, self._limit.mean, now)
-        self._spent[number] = 0.0
+        self._time_spent[number] = 0.0
         return Run(number)
 
     def _record_end(
         self, number: int, seconds: float | None, outcome: Outcome, now: float
     ) -> None:
-        """Take in how a statement ended."""
+        """Record how a statement ended."""
         running = len(self._running)
         self._running.remove(number)
         if outcome in (Outcome.ANSWERED, Outcome.FULL):
-            self._running.note_answer(now)
+            self._running.record_answer(now)
         if outcome is not Outcome.FULL:
-            # A refusal takes no slot, and tells nothing of how long operations take.
-            self._spent[number] += seconds or 0.0
+            # A refusal by the database takes no slot, and its time says nothing about
+            # how long operations take.
+            self._time_spent[number] += seconds or 0.0
         self._limit.observe(seconds, outcome, running, bool(self._queue), now)
 
-    def _fill(self, now: float) -> list[GateAction]:
-        """Let run what there is room for."""
+    def _start_waiting(self, now: float) -> list[GateAction]:
+        """Start waiting operations while the limit allows."""
         actions: list[GateAction] = []
-        if not self._queue or not self._has_room(now):
+        if not self._queue or not self._has_capacity(now):
             return actions
-        self._queue.note_late(now + self._limit.mean)
-        while self._has_room(now):
-            # One that is refused must not use up the turn of its priority.
-            actions += self._refuse_over(now)
+        self._queue.move_late(now + self._limit.mean)
+        while self._has_capacity(now):
+            # Refused first, as an expired operation must not use up a start of its
+            # priority's share.
+            actions += self._refuse_expired(now)
             if not self._queue:
                 break
-            actions.append(self._run(self._queue.pop().number, now))
+            actions.append(self._start(self._queue.pop().number, now))
         return actions
 
-    def _refuse_over(self, now: float) -> list[GateAction]:
-        """Refuse what cannot be done any more, even if it ran now.
+    def _refuse_expired(self, now: float) -> list[GateAction]:
+        """Refuse operations that would miss their deadlines even if they ran now.
 
-        While nothing runs one is let through as long as it has any time: the mean
-        would learn nothing, and one slow spell would refuse all for ever.
+        While nothing runs, an operation is admitted if it has any time left: otherwise
+        the mean would get no samples, and one slow period would refuse all for good.
         """
         is_early = self._policy.refuses_early and self._running
         done_at = now + (self._limit.mean if is_early else 0.0)
         actions: list[GateAction] = []
-        while (operation := self._queue.pop_over(done_at)) is not None:
-            step = self._compute_step(now)
-            actions.append(self._refuse(operation, RefusalReason.TOO_LATE, step))
+        while (operation := self._queue.pop_expired(done_at)) is not None:
+            interval = self._compute_start_interval(now)
+            actions.append(self._refuse(operation, RefusalReason.TOO_LATE, interval))
         return actions
 
-    def _judge(
-        self, operation: WaitingOperation, demand: Demand, step: float
+    def _get_refusal_reason(
+        self, operation: WaitingOperation, demand: Demand, interval: float
     ) -> RefusalReason | None:
-        """Return why an operation that comes is refused, None if it may wait."""
+        """Return why an operation is refused on arrival, None if it may wait."""
         if not self._policy.refuses_early:
             return None
-        own = self._queue.count_own(operation)
-        wait = step * self._queue.count_turns(operation.priority, own)
+        ahead = self._queue.count_ahead(operation)
+        wait = interval * self._queue.estimate_position(operation.priority, ahead)
         if wait + self._limit.mean > demand.time_left:
             return RefusalReason.TOO_LATE
-        return RefusalReason.QUEUE_FULL if wait > self._bound(demand) else None
+        return RefusalReason.QUEUE_FULL if wait > self._get_max_wait(demand) else None
 
-    def _bound(self, demand: Demand) -> float:
-        """Return how long an operation waits at most, seconds."""
+    def _get_max_wait(self, demand: Demand) -> float:
+        """Return how long an operation may wait, seconds."""
         if demand.latency_left == math.inf:
-            return UNKNOWN_WAIT
-        by_aim = self._policy.most_wait * demand.latency_left
-        return min(MOST_DRAIN, max(by_aim, LATE_PART * demand.time_left))
+            return MAX_WAIT_WITHOUT_TARGET
+        by_latency = self._policy.most_wait * demand.latency_left
+        return min(
+            MAX_DRAIN_TIME, max(by_latency, MIN_WAIT_FRACTION * demand.time_left)
+        )
 
-    def _make_room(self, operation: WaitingOperation, step: float) -> list[GateAction]:
-        """Return who is refused so that all that waits is done in time."""
-        is_full = (len(self._queue) + 1) * step > MOST_DRAIN
+    def _evict_if_full(
+        self, operation: WaitingOperation, interval: float
+    ) -> list[GateAction]:
+        """Evict an operation if the queue takes too long to drain with one more.
+
+        The new operation itself is refused if it is to go.
+        """
+        is_full = (len(self._queue) + 1) * interval > MAX_DRAIN_TIME
         if not (self._policy.refuses_early and is_full and self._queue):
             return []
         victim = self._queue.pop_victim(operation.priority, operation.account)
-        return [self._refuse(victim or operation, RefusalReason.QUEUE_FULL, step)]
+        return [self._refuse(victim or operation, RefusalReason.QUEUE_FULL, interval)]
 
     def _refuse(
-        self, operation: WaitingOperation, reason: RefusalReason, step: float
+        self, operation: WaitingOperation, reason: RefusalReason, interval: float
     ) -> Refuse:
-        """Return a refusal with the time until what is as urgent has run."""
-        ahead = self._queue.count_until(operation.priority) + 1
-        wait = ahead * step * self._rng.uniform(*RETRY_SPREAD)
-        retry_after = min(max(LEAST_RETRY_AFTER, wait), MOST_RETRY_AFTER)
+        """Return a refusal with the time until all that is as urgent has started."""
+        ahead = self._queue.count_as_urgent(operation.priority) + 1
+        wait = ahead * interval * self._rng.uniform(*RETRY_SPREAD)
+        retry_after = min(max(MIN_RETRY_AFTER, wait), MAX_RETRY_AFTER)
         return Refuse(operation.number, reason, retry_after)
 
-    def _count_turns(self, priority: int) -> float:
-        """Return how many operations start until one of a priority does."""
-        return self._queue.count_turns(priority, self._queue.get_length(priority))
+    def _estimate_position(self, priority: int) -> float:
+        """Return how many operations start until a new one of a priority does."""
+        return self._queue.estimate_position(priority, self._queue.get_length(priority))
 
-    def _compute_step(self, now: float) -> float:
-        """Return the seconds after which the next operation can start, on average.
+    def _compute_start_interval(self, now: float) -> float:
+        """Return the mean seconds between the starts of two operations.
 
-        Where the database answers nothing, each is expected to last as long again.
+        While the database is silent, an operation is expected to take at least as long
+        as the silence has lasted.
         """
         silence = self._running.get_silence(self._limit.mean, now)
         return max(self._time.mean, silence) / self._limit.value
--- a/beryltrack/load/gate_status.py
+++ b/beryltrack/load/gate_status.py
@@ -1,4 +1,4 @@
-"""What an owner's gates have counted, for the metrics and the status page."""
+"""Status of an owner's gates, for the metrics and the status page."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple, Protocol
@@ -8,7 +8,7 @@
 
 
 class GateStatus(NamedTuple):
-    """One database as the gate of one owner sees it.
+    """Status of one owner's gate for one database.
 
     Parameters
     ----------
@@ -17,17 +17,17 @@
     database : str
         Name of the database.
     limit : int
-        Operations that it lets run there at once.
+        Operations that the owner lets run there at once.
     running : int
-        Operations that run there.
+        Operations that the owner has running there.
     waiting : tuple of int
         Operations that wait, by priority from zero on.
     waits : tuple of float
-        Expected wait of an operation that comes now, seconds, by priority.
+        Expected wait of an operation that arrives now, seconds, by priority.
     refused : mapping of RefusalReason to int
-        Operations that were refused as they came, since the start of the process.
+        Operations that were refused on arrival, since the gate was created.
     put_out : mapping of RefusalReason to int
-        Operations that were refused after they had waited, since then.
+        Operations that were evicted (refused after they had waited), since then.
     """
 
     group: str
@@ -41,14 +41,14 @@
 
 
 class GateSource(Protocol):
-    """Where the counts of an instance's gates come from."""
+    """Provides the status of an instance's gates."""
 
     def list_gates(self) -> Iterable[GateStatus]:
-        """Return what each gate has counted; nothing where the instance owns none."""
+        """Return the status of each gate; none where the instance owns no group."""
 
 
 def render_gates(counts: Iterable[GateStatus]) -> Iterable[MetricSample]:
-    """Return the values of gates in the form of the metrics page."""
+    """Return the values of gates as samples of the metrics page."""
     for gate in counts:
         labels = ",".join(
             (format_label("group", gate.group), format_label("database", gate.database))
--- a/beryltrack/load/gate_task.py
+++ b/beryltrack/load/gate_task.py
@@ -1,4 +1,4 @@
-"""The gate of one database as the other parts use it: its timer and who waits."""
+"""Runs a database's gate: its timer, and the Deferreds of waiting operations."""
 
 from collections import Counter, deque
 from collections.abc import Mapping
@@ -15,16 +15,16 @@
 
 
 class GateCounters(NamedTuple):
-    """What a gate has counted since it was made.
+    """Counters of a gate since it was created, and its queue lengths.
 
     Parameters
     ----------
     waiting : tuple of int
         Operations that wait now, by priority.
     refused : mapping of RefusalReason to int
-        Operations that were refused as they came.
+        Operations that were refused on arrival.
     put_out : mapping of RefusalReason to int
-        Operations that were refused after they had waited.
+        Operations that were evicted: refused after they had waited.
     """
 
     waiting: tuple[int, ...]
@@ -33,14 +33,14 @@
 
 
 class GateTask:
-    """Lets operations of one database run; what to do is decided by `GateDecider`.
+    """Admits operations to one database as a `GateDecider` decides.
 
     Parameters
     ----------
     reactor : IReactorTime
         The clock; a `task.Clock` in tests.
     decider : GateDecider
-        Decides.
+        Decides what runs and what is refused.
     """
 
     def __init__(self, reactor: IReactorTime, decider: GateDecider):
@@ -53,7 +53,7 @@
         self._timer: IDelayedCall | None = None
         self._timer_at = 0.0
         self._refused: Counter[RefusalReason] = Counter()
-        self._put_out: Counter[RefusalReason] = Counter()
+        self._evicted: Counter[RefusalReason] = Counter()
 
     @property
     def waiting(self) -> int:
@@ -69,28 +69,28 @@
         return self._decider.get_report(self._now)
 
     def get_counters(self) -> GateCounters:
-        """Return what was counted, for the metrics."""
-        return GateCounters(self._decider.lengths, self._refused, self._put_out)
+        """Return the counters, for the metrics."""
+        return GateCounters(self._decider.lengths, self._refused, self._evicted)
 
     def set_capacity(self, bounds: SharedCapacity) -> None:
-        """Take in what this instance's part of the database follows from."""
+        """Set the capacity of the database and how it is shared."""
         self._perform(self._decider.set_capacity(bounds, self._now))
 
     def enter(self, deadline: float, demand: Demand) -> Deferred[int]:
-        """Ask to run an operation.
+        """Submit an operation.
 
         Parameters
         ----------
         deadline : float
-            Time of the reactor's clock, in seconds, by which it must be done.
+            Time by the reactor's clock, seconds, by which it must be done.
         demand : Demand
-            What it asks for.
+            Its demand; its time left counts if it ends before `deadline`.
 
         Returns
         -------
         Deferred of int
-            The operation's number once it may run. Fails with `PoolRefused`; it was not
-            run then. Cancelling it leaves the queue.
+            The operation's number once it may run. Fails with `PoolRefused` if it was
+            refused and has not run. Cancelling removes it from the queue.
         """
         number = next(self._numbers)
         result: Deferred[int] = Deferred(lambda _: self.cancel(number))
@@ -101,40 +101,40 @@
         return result
 
     def finish(self, number: int) -> None:
-        """Take in that an operation has ended."""
-        # Its last statement was told of when it ended.
+        """Record that an operation has ended."""
+        # The end of its last statement has been recorded by `end_statement`.
         self._perform(self._decider.finish(number, None, Outcome.UNKNOWN, self._now))
 
     def end_statement(
         self, number: int, seconds: float | None, outcome: Outcome
     ) -> None:
-        """Take in how a statement of an operation ended."""
+        """Record how a statement of an operation ended; see `GateDecider.finish`."""
         self._perform(self._decider.end_statement(number, seconds, outcome, self._now))
 
     def start_statement(self, number: int) -> None:
-        """Take in that an operation that rested runs its next statement."""
+        """Record that an idle operation starts its next statement."""
         self._perform(self._decider.start_statement(number, self._now))
 
     def cancel(self, number: int) -> None:
-        """Forget an operation that is not to run any more, or did not."""
+        """Drop an operation that was given up, or that was admitted and did not run."""
         self._waiters.pop(number, None)
         self._perform(self._decider.cancel(number, self._now))
 
     def admit_all(self) -> None:
-        """Let all run that wait: the pool decides what becomes of them."""
+        """Admit all waiting operations, whatever the limit; the pool bounds them."""
         self._perform(self._decider.admit_all(self._now))
 
     def _count(self, actions: list[GateAction], arriving: int) -> None:
-        """Count who is refused."""
+        """Count refusals on arrival and evictions."""
         for action in actions:
             if isinstance(action, Refuse):
                 is_new = action.operation == arriving
-                (self._refused if is_new else self._put_out)[action.reason] += 1
+                (self._refused if is_new else self._evicted)[action.reason] += 1
 
     def _perform(self, actions: list[GateAction], arriving: int = 0) -> None:
-        """Carry out actions, then set the timer for what is due by time.
+        """Carry out actions, then set the timer.
 
-        A callback may call the gate again; its actions queue behind these.
+        A callback may call the gate again; the actions that follow are appended.
         """
         self._count(actions, arriving)
         self._actions.extend(actions)
@@ -149,10 +149,10 @@
         self._set_timer()
 
     def _perform_one(self, action: GateAction) -> None:
-        """Tell who waits for it what was decided."""
+        """Pass a decision to the operation's waiter."""
         waiter = self._waiters.pop(action.operation, None)
         if waiter is None:
-            # It was cancelled by what an action before this one did.
+            # A callback of an earlier action has cancelled it.
             self._actions.extend(self._decider.cancel(action.operation, self._now))
         elif isinstance(action, Run):
             waiter.callback(action.operation)
@@ -161,7 +161,7 @@
             waiter.errback(PoolRefused(refusal))
 
     def _set_timer(self) -> None:
-        """Keep one timer, at the earliest time at which something is due."""
+        """Keep one timer, at the earliest time at which `tick` is due."""
         wakeup = self._decider.get_wakeup(self._now)
         if self._timer is not None and self._timer.active():
             if wakeup is not None and self._timer_at <= wakeup:
--- a/beryltrack/load/ingress_admission.py
+++ b/beryltrack/load/ingress_admission.py
@@ -1,9 +1,10 @@
-"""Which operations are refused in front of an owner, without asking it.
+"""Ingress admission: refusals at the receiving instance, without asking the owner.
 
-An owner that cannot serve an operation in time would say so, at the price of a message
-both ways and of its processor time, and in a large fleet all instances would ask it at
-once. The instance that took the operation can tell its caller by what was told before.
-Pure: the time and the random numbers are given in.
+An owner that cannot serve an operation in time would refuse it, at the price of a
+message both ways and of its processor time, and in a large fleet all instances would
+ask it at once. The instance that received the operation refuses it instead, by the
+owner's last report. The module also decides for how long, and how many, requests wait
+for an available target. Sans-I/O: the time and the random numbers are passed in.
 """
 
 import random
@@ -11,138 +12,145 @@
 
 from beryltrack.load.messages import LOWEST_PRIORITY, Demand, OwnerLoads
 
-QUEUED_PART = 0.8
-"""Part of an operation's time that it may wait at an owner; the rest is for the
-statement and the ways. An owner that refuses by itself what comes too late keeps its
-queue just below the time of the operations: by all of it nothing would be refused."""
+MAX_WAIT_FRACTION = 0.8
+"""Fraction of the time to its deadline that an operation may wait at an owner; the rest
+is for the statement and the messages. An owner refuses by itself what would be too
+late, which keeps its queue just below the operations' time: with the whole of it
+nothing would be refused here."""
 
-RETURN_GAP = 0.1
-"""Seconds between two callers that returned when told to and ask a full owner all the
-same, where more than `MOST_RETURNS` came together. If all did, each caller would ask:
-a simulated storm asked 18,200 times then, 6,900 so, 23,700 without any rule."""
+RETRY_INTERVAL = 0.1
+"""Seconds between two due retries that are passed on to a full owner, once more than
+`MAX_RETRY_BURST` have arrived together. If all were, each caller would ask the owner: a
+simulated retry storm sent it 18,200 requests so, 6,900 with this limit and 23,700
+without any ingress admission."""
 
-MOST_RETURNS = 3
-"""Such callers of an instance that ask an owner together."""
+MAX_RETRY_BURST = 3
+"""Due retries that an instance passes on to a full owner together."""
 
-PROBE_GAP = 0.2
-"""Seconds between two operations of an instance that ask an owner all the same; it
-tells of its load with each. 70 instances make 350 of them a second at the most."""
+PROBE_INTERVAL = 0.2
+"""Least seconds between two operations that an instance passes on as probes to a full
+owner, which answers with its load. 70 instances send at most 350 of them a second."""
 
 PROBE_SPREAD = 2.0
-"""The longest such time in parts of the shortest: instances do not ask in step."""
+"""The longest interval between probes, as a multiple of the shortest, so that instances
+do not probe in step."""
 
-PROBE_FORGOTTEN = 1.0
+PROBE_EXPIRY = 1.0
 """Seconds without a probe after which the next refusal begins a new overload."""
 
-LEAST_RETURN, MOST_RETURN = 0.05, 2.0
-"""Bounds of the seconds after which a caller is told to come back: two times the way of
-a refusal, and as long as a statement may take."""
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.05, 2.0
+"""Bounds of the time to retry before its spread, seconds: twice the round trip of a
+refusal, and as long as a statement may take."""
 
-RETURN_SPREAD = 1.5
-"""The longest time to come back in parts of the shortest, so that callers that were
-refused together do not come back together."""
+RETRY_SPREAD = 1.5
+"""The longest time to retry, as a multiple of the shortest, so that callers that were
+refused together do not retry together."""
 
-URGENT_PART = 0.5
-"""What the most urgent are told to wait, in parts of what the least urgent are."""
+URGENT_FRACTION = 0.5
+"""Time to retry of the most urgent, as a fraction of that of the least urgent."""
 
 
 class IngressAdmission:
-    """Refuses what an owner could not serve in time.
+    """Refuses operations that an owner could not serve in time.
 
     Parameters
     ----------
     owner_loads : OwnerLoads
-        What is known of the owners' load; it forgets what is old.
+        Estimates of the owners' load; expired reports count as none.
     rng : random.Random
-        Spreads what would happen at once.
+        Source of the random spread of retries and probes.
     """
 
     def __init__(self, owner_loads: OwnerLoads, rng: random.Random):
         self._owner_loads = owner_loads
         self._rng = rng
+        # By owner and database: when the next probe or retry is due, seconds.
         self._probes: dict[tuple[str, str], float] = {}
-        self._returns: dict[tuple[str, str], float] = {}
+        self._retries: dict[tuple[str, str], float] = {}
 
     def decide(self, owner: str, database: str, demand: Demand, now: float) -> float:
-        """Decide whether an operation goes to an owner.
+        """Decide whether an operation is passed on to an owner.
 
         Parameters
         ----------
         owner, database : str
-            Where it would go.
+            The owner, and the database that it would reach there.
         demand : Demand
-            What it asks for now.
+            Its demand now.
         now : float
-            The node's time.
+            The node's time, seconds.
 
         Returns
         -------
         float
-            Zero to ask the owner; else the seconds after which to come back.
+            Zero to pass it on; else the seconds after which its caller may retry.
         """
         wait = self._owner_loads.get_wait(owner, database, demand.priority)
-        if wait <= QUEUED_PART * demand.time_left:
+        if wait <= MAX_WAIT_FRACTION * demand.time_left:
             return 0.0
         key = (owner, database)
-        # Who was refused and comes back when told to would not believe it twice.
-        if demand.is_retry and self._may_return(key, now):
+        # A caller that retries when due and is refused again would ignore the next
+        # time to retry.
+        if demand.is_retry and self._may_retry(key, now):
             return 0.0
         if self._may_probe(key, now):
             return 0.0
         return compute_retry_after(wait, demand.priority, self._rng)
 
-    def _may_return(self, key: tuple[str, str], now: float) -> bool:
-        """Return whether a caller that returns asks a full owner."""
-        due = self._returns.get(key, now)
-        if due - now > (MOST_RETURNS - 1) * RETURN_GAP:
+    def _may_retry(self, key: tuple[str, str], now: float) -> bool:
+        """Return whether a due retry is passed on to a full owner (token bucket)."""
+        due = self._retries.get(key, now)
+        if due - now > (MAX_RETRY_BURST - 1) * RETRY_INTERVAL:
             return False
-        self._returns[key] = max(due, now) + RETURN_GAP
+        self._retries[key] = max(due, now) + RETRY_INTERVAL
         return True
 
     def _may_probe(self, key: tuple[str, str], now: float) -> bool:
-        """Return whether an operation may find out if the owner has room again."""
+        """Return whether an operation probes if the owner has capacity again."""
         due = self._probes.get(key)
-        if due is None or now - due > PROBE_FORGOTTEN:
-            # All instances are told of an overload at about the same time.
-            self._probes[key] = now + PROBE_GAP * self._rng.random()
+        if due is None or now - due > PROBE_EXPIRY:
+            # All instances learn of an overload at about the same time, so that the
+            # first probes are spread.
+            self._probes[key] = now + PROBE_INTERVAL * self._rng.random()
             return False
         if now < due:
             return False
-        self._probes[key] = now + PROBE_GAP * self._rng.uniform(1.0, PROBE_SPREAD)
+        self._probes[key] = now + PROBE_INTERVAL * self._rng.uniform(1.0, PROBE_SPREAD)
         return True
 
 
 def compute_retry_after(wait: float, priority: int, rng: random.Random) -> float:
-    """Return after how many seconds a caller is to come back.
+    """Return the time to retry of a caller that is refused, seconds.
 
-    What waits now has been served by then; the urgent come back sooner, when what they
-    go before has been.
+    The present queue, which takes `wait` seconds, has been served by then. The more
+    urgent retry sooner, as they go before a part of it.
     """
     urgency = 1.0 - min(priority, LOWEST_PRIORITY) / LOWEST_PRIORITY
-    part = 1.0 - (1.0 - URGENT_PART) * urgency
-    spread = rng.uniform(1.0, RETURN_SPREAD)
-    return min(max(LEAST_RETURN, wait * part), MOST_RETURN) * spread
+    fraction = 1.0 - (1.0 - URGENT_FRACTION) * urgency
+    spread = rng.uniform(1.0, RETRY_SPREAD)
+    return min(max(MIN_RETRY_AFTER, wait * fraction), MAX_RETRY_AFTER) * spread
 
 
 class TargetWaitPolicy(NamedTuple):
-    """For how long a request waits while no database can take it.
+    """Limits of the requests that wait while no target is available to them.
 
     Parameters
     ----------
-    part : float
-        Part of its target latency, in a fleet whose instances outnumber what the
-        databases take: a change of primary holds up thousands of callers there.
-    least : float
-        Seconds that a change of the view takes to be known: two probes of a suspect
-        group and a message.
-    most_held : int
+    latency_fraction : float
+        Fraction of its target latency for which a request waits, in a fleet whose
+        instances outnumber the connections that the databases take: there, a change of
+        primary makes thousands of callers wait.
+    min_wait : float
+        Seconds for which a request waits at least: a change of the group's view takes
+        two probes of a suspected group and a message to become known.
+    max_waiting : int
         Requests of a group without a primary that wait at an instance: enough that
-        one is there to try the next primary at once.
+        one tries the next primary at once.
     """
 
-    part: float = 0.25
-    least: float = 0.1
-    most_held: int = 8
+    latency_fraction: float = 0.25
+    min_wait: float = 0.1
+    max_waiting: int = 8
 
 
 TARGET_WAIT = TargetWaitPolicy()
@@ -154,41 +162,41 @@
     is_crowded: bool,
     policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> float:
-    """Return for how many seconds a request waits for a database that can take it.
+    """Return for how many seconds a request waits for an available target.
 
     Parameters
     ----------
     limit : float
-        The longest time, seconds.
+        The longest wait, seconds.
     target_latency : float
-        Seconds within which its caller wants it done; infinite if that is not known.
+        The request's target latency, seconds; infinite without one.
     is_crowded : bool
-        True if instances outnumber what databases take.
+        True if instances outnumber the connections that the databases take.
     policy : TargetWaitPolicy
-        The figures.
+        The parameters.
     """
     if not is_crowded:
         return limit
-    return min(limit, max(policy.least, policy.part * target_latency))
+    return min(limit, max(policy.min_wait, policy.latency_fraction * target_latency))
 
 
 def may_wait_for_target(
-    held: int,
+    waiting: int,
     has_primary: bool,
     is_crowded: bool,
     policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> bool:
-    """Return whether one more request waits for a database that can take it.
+    """Return whether one more request may wait for an available target.
 
     Parameters
     ----------
-    held : int
+    waiting : int
         Requests of the group that wait at this instance.
     has_primary : bool
-        False if the group is known to have none.
+        False if the group is known to have no primary.
     is_crowded : bool
-        True if instances outnumber what databases take.
+        True if instances outnumber the connections that the databases take.
     policy : TargetWaitPolicy
-        The figures.
+        The parameters.
     """
-    return has_primary or not is_crowded or held < policy.most_held
+    return has_primary or not is_crowded or waiting < policy.max_waiting
--- a/beryltrack/load/mechanisms.py
+++ b/beryltrack/load/mechanisms.py
@@ -1,6 +1,6 @@
-"""The parts of the decisions under load, and what calls for each.
+"""The mechanisms of the overload control: what each decides and when it applies.
 
-One table for docs/SETTINGS.md, so that who reads the figures sees when they matter.
+The table is part of docs/SETTINGS.md, so that operators see when an option matters.
 """
 
 from typing import NamedTuple
@@ -9,29 +9,30 @@
 
 
 class LoadMechanism(NamedTuple):
-    """One part of the decisions under load.
+    """One mechanism of the overload control.
 
     Parameters
     ----------
-    decides : str
-        What it decides.
-    called_for_by : str
-        The settings and the fleet that make it act.
+    summary : str
+        Its name and what it decides.
+    applies_to : str
+        The settings and the fleet with which it takes effect.
     options : tuple of str
-        What an operator sets of it.
+        Its options in `BERYLTRACK_LOAD`.
     switch : Mechanism or None
-        What switches it off; None if only the settings that call for it do.
+        The mechanism whose name switches it off; None if it depends on `applies_to`
+        alone.
     """
 
-    decides: str
-    called_for_by: str
+    summary: str
+    applies_to: str
     options: tuple[str, ...] = ()
     switch: Mechanism | None = None
 
 
 LOAD_MECHANISMS = (
     LoadMechanism(
-        "Owners: few instances hold the connections, others relay through them",
+        "Owners: few instances hold the connections, and others relay through them",
         "A group whose databases have fewer connections than the instances need, or "
         "accounts in the settings",
     ),
@@ -42,26 +43,26 @@
         Mechanism.STATEMENT_LIMIT,
     ),
     LoadMechanism(
-        "Order: whose operation runs next",
-        "Routes of unlike priority or target latency, while operations wait",
+        "Order: which operation runs next",
+        "Routes of different priority or target latency, while operations wait",
         ("is_ordered",),
         Mechanism.PRIORITY_ORDER,
     ),
     LoadMechanism(
-        "Floors: the part of the turns that a less urgent priority keeps",
-        "Routes of unlike priority, while the more urgent ones fill the limit",
+        "Minimum shares: the share of the starts that a less urgent priority keeps",
+        "Routes of different priority, while the more urgent ones fill the limit",
         ("floors",),
         Mechanism.PRIORITY_ORDER,
     ),
     LoadMechanism(
-        "Turns of accounts: equal priorities take turns by account",
+        "Round robin: accounts with operations of equal priority take turns",
         "Accounts in the settings, while operations of several wait",
         (),
         Mechanism.PRIORITY_ORDER,
     ),
     LoadMechanism(
-        "Early refusals: who cannot be done in time is told at once",
-        "Routes with a target latency or a statement's time, while operations wait",
+        "Early refusals: an operation that cannot be done in time is refused at once",
+        "Routes with a target latency or a timeout, while operations wait",
         ("refuses_early", "most_wait"),
         Mechanism.EARLY_REFUSAL,
     ),
@@ -70,29 +71,29 @@
         "Accounts with limits in the settings",
     ),
     LoadMechanism(
-        "Owners of accounts: the strong instances hold their connections",
-        "Instances of unlike capacity, where there are accounts",
+        "Owners of accounts: the instances with most capacity hold their connections",
+        "Instances of different capacity, accounts in the settings",
     ),
     LoadMechanism(
-        "Owners of groups: the strong instances hold their connections",
-        "A group that is relayed, instances of unlike capacity, no accounts",
+        "Owners of groups: the instances with most capacity hold their connections",
+        "A group that is relayed, instances of different capacity, no accounts",
         (),
         Mechanism.STRONG_OWNERS,
     ),
     LoadMechanism(
-        "Zones: an account's operations run in the zone where they come in",
+        "Zones: an account's operations run in the zone where they arrive",
         "Accounts in the settings, owners in several availability zones",
         (),
         Mechanism.ZONE_OWNERS,
     ),
     LoadMechanism(
-        "Kept connections: those of accounts that ask often rest for long",
+        "Retained connections: those of often active accounts stay open when idle",
         "Accounts in the settings",
         (),
         Mechanism.KEPT_CONNECTIONS,
     ),
     LoadMechanism(
-        "Reports: owners tell of their load; what waits too long is refused in front",
+        "Reports: owners report their load; the receiving instance refuses by them",
         "A group that is relayed",
         (),
         Mechanism.OWNER_REPORTS,
@@ -104,19 +105,19 @@
         Mechanism.EXPECTED_TIME,
     ),
     LoadMechanism(
-        "Parallel proofs: reads of a primary run while it is asked whether it leads",
+        "Parallel proofs: reads of a primary run while its term is confirmed",
         "A group that is relayed, promotions that are fenced",
         (),
         Mechanism.PARALLEL_PROOFS,
     ),
     LoadMechanism(
-        "Probes of owners: one out of reach is passed over until it answers",
+        "Probes of owners: an unreachable owner is avoided until it answers",
         "A group that is relayed, or accounts in the settings",
         (),
         Mechanism.OWNER_PROBES,
     ),
     LoadMechanism(
-        "Short holds: a request without a database waits for a part of its aim",
+        "Short waits: a request without a target waits for part of its target latency",
         "A group that is relayed, routes with a target latency",
     ),
 )
--- a/beryltrack/load/messages.py
+++ b/beryltrack/load/messages.py
@@ -1,8 +1,8 @@
-"""What the decisions under load are told, and what they answer.
+"""Inputs and outputs of the overload control.
 
-An operation is one statement, or a transaction. Times that pass between instances are
-durations, so that no two clocks are compared: whoever receives one counts it from the
-moment of the receipt.
+An operation is one statement or one transaction. Times that pass between instances
+are durations: the receiver counts them from the moment of receipt, so that no two
+clocks are compared.
 """
 
 import math
@@ -11,27 +11,27 @@
 from beryltrack.connections.messages import RefusalReason
 
 LOWEST_PRIORITY = 3
-"""Priorities beyond this one count as this one; zero is the most urgent."""
+"""The least urgent priority, as zero is the most urgent; higher numbers count as it."""
 
 
 class Demand(NamedTuple):
-    """What an operation asks of its database.
+    """What an operation requires of its database, for scheduling and admission.
 
     Parameters
     ----------
     priority : int
         Zero is the most urgent, `LOWEST_PRIORITY` the least.
     latency_left : float
-        Seconds within which its caller wants it done; below zero once it is late.
+        Seconds until its latency deadline; negative once that has passed.
     time_left : float
-        Seconds after which its result is of no use.
+        Seconds until its deadline, after which its result is of no use.
     account : str
-        Whose operation it is; empty where there are no accounts.
+        Account that it belongs to; empty where there are no accounts.
     is_displaced : bool
         True for a read that a replica would run if it were not behind.
     is_retry : bool
-        True if its caller was refused, and comes back when it was told to. Other
-        instances are not told.
+        True if its caller was refused and retries after the time that it was given.
+        Not sent to other instances.
     """
 
     priority: int = 0
@@ -42,32 +42,32 @@
     is_retry: bool = False
 
     def after(self, elapsed: float) -> "Demand":
-        """Return the demand as it is some seconds later."""
+        """Return the demand as it is after some seconds."""
         return self._replace(
             latency_left=self.latency_left - elapsed, time_left=self.time_left - elapsed
         )
 
 
 DEFAULT_DEMAND = Demand()
-"""Of an operation of which nothing is known, as instances of earlier releases send."""
+"""Demand of an operation that states none, as from instances of earlier releases."""
 
 
 class DatabaseReport(NamedTuple):
-    """What an owner tells of the load of one database.
+    """Load of one database as its owner reports it.
 
     Parameters
     ----------
     limit : int
-        Operations that it lets run there at once.
+        Operations that the owner lets run there at once.
     running : int
-        Operations that it has running there.
+        Operations that the owner has running there.
     waits : tuple of float
-        Expected wait of an operation that comes now, seconds, by priority from zero on.
-        A priority beyond the last entry waits as long as the last one.
+        Expected wait of an operation that arrives now, seconds, by priority from zero
+        on. A priority beyond the last entry waits as long as the last one.
     service_time : float
-        Usual time of a statement at the database, seconds.
+        Mean time of a statement at the database, seconds; 0 if unknown.
     incarnation : int
-        Number of the owner's process; reports of an earlier one are void.
+        Number of the owner's process; it invalidates reports of earlier processes.
     """
 
     limit: int
@@ -88,16 +88,16 @@
 
 
 class Refuse(NamedTuple):
-    """Refuse an operation that waits or has just come; it has not run.
+    """Refuse an operation that waits or has just arrived; it has not run.
 
     Parameters
     ----------
     operation : int
         Its number.
     reason : RefusalReason
-        Why.
+        The refusal reason.
     retry_after : float
-        Seconds after which to come back.
+        Seconds after which its caller may retry.
     """
 
     operation: int
@@ -106,18 +106,18 @@
 
 
 GateAction = Run | Refuse
-"""What a gate decides; an operation without an action waits."""
+"""A gate's decision; an operation without an action waits."""
 
 
 class ExpectedTimes(NamedTuple):
-    """What an operation may expect of a database.
+    """Expected times of an operation at a database.
 
     Parameters
     ----------
     wait : float
-        Seconds until it runs there; 0 if unknown.
+        Seconds until it runs; 0 if unknown.
     service_time : float
-        Usual seconds of a statement there; 0 if unknown.
+        Mean seconds of a statement; 0 if unknown.
     """
 
     wait: float = 0.0
@@ -125,14 +125,14 @@
 
 
 class OwnerLoads(Protocol):
-    """What is known of the databases' load through each owner."""
+    """Estimates of the databases' load, by the owner through which they are reached."""
 
     def get_wait(self, owner: str, database: str, priority: int) -> float:
         """Return the expected wait through an owner, seconds.
 
-        Zero if nothing is known, or if what was told is too old to go by. `owner` is
-        empty for this instance's own connections.
+        Zero if there is no report or the last one has expired. `owner` is empty for
+        this instance's own connections.
         """
 
     def get_service_time(self, database: str) -> float:
-        """Return the usual time of a statement at a database, seconds; 0 if unknown."""
+        """Return the mean time of a statement at a database, seconds; 0 if unknown."""
--- a/beryltrack/load/owner_loads.py
+++ b/beryltrack/load/owner_loads.py
@@ -1,8 +1,9 @@
-"""What this instance knows of the databases' load, by what their owners told.
+"""Estimates of the databases' load from the reports of their owners.
 
-Nothing here is agreed on or kept elsewhere. A report counts for a second at most, and
-less with each moment of it, so that an owner that falls silent counts as one of which
-nothing is known. Pure: the time is given in.
+The estimates are local to this instance, and are neither agreed on nor stored. A report
+counts for a second at most and less the older it is, so that nothing is assumed of an
+owner that falls silent. Reports are dated by the smallest clock difference seen, as in
+one-way delay estimates with unsynchronised clocks. Sans-I/O: the time is passed in.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,35 +13,37 @@
 from beryltrack.load.messages import DatabaseReport
 from beryltrack.load.reports import TimedReport
 
-VOID_AFTER = 1.0
-"""Seconds after which a report says nothing any more: some tens of statements have run
-at its database since, and an owner that starts again is back within that."""
+REPORT_EXPIRY = 1.0
+"""Seconds after which a report is void: some tens of statements have run at its
+database since, and an owner that restarts is back within that."""
 
-DRIFT = 0.001
-"""Seconds a second by which two clocks run apart at the most, with room: quartz drifts
-by 0.0001."""
+MAX_CLOCK_DRIFT = 0.001
+"""Largest drift between two clocks, seconds per second, with a margin: quartz drifts by
+0.0001."""
 
+CLOCK_OFFSET_EXPIRY = 10.0
+"""Seconds for which the smallest difference of two clocks is used: they drift apart by
+0.01 s meanwhile."""
 
-PACE_TIME = 10.0
-"""Seconds for which the least difference of two clocks is known: they drift by 0.01 s
-meanwhile."""
 
+class _ReceivedReport(NamedTuple):
+    """A report, and its estimated time by this instance's clock."""
 
-class _Heard(NamedTuple):
-    """A report, and when it was told at the latest by this instance's clock."""
+    timed_report: TimedReport
+    dated_at: float
 
-    told: TimedReport
-    known_at: float
 
+_NO_REPORTS: Mapping[str, _ReceivedReport] = MappingProxyType({})
 
-_NONE_HEARD: Mapping[str, _Heard] = MappingProxyType({})
 
+class _ClockOffset(NamedTuple):
+    """The smallest difference seen from an owner's clock to this instance's, seconds.
 
-class _Pace(NamedTuple):
-    """The least seconds from an owner's clock to this one's, seen at some time."""
+    It includes the delay of the fastest message so far.
+    """
 
     incarnation: int
-    least: float
+    smallest: float
     seen_at: float
 
 
@@ -49,14 +52,14 @@
 
 
 class ReportedOwnerLoads:
-    """Keeps what owners told; see `OwnerLoads`.
+    """Retains the owners' latest reports; see `OwnerLoads`.
 
     Parameters
     ----------
     seconds : callable
-        The node's time.
+        Returns the node's time, seconds.
     get_own : callable
-        Returns what this instance would tell of a database.
+        Returns this instance's own report on a database, None without one.
     """
 
     def __init__(
@@ -67,100 +70,112 @@
         self._seconds = seconds
         self._get_own = get_own
         # By database, then by owner: each statement looks up a few databases.
-        self._heard: dict[str, dict[str, _Heard]] = {}
-        self._paces: dict[str, _Pace] = {}
+        self._received: dict[str, dict[str, _ReceivedReport]] = {}
+        self._offsets: dict[str, _ClockOffset] = {}
 
     def observe(
-        self, owner: str, database: str, told: TimedReport, sent_at: float
+        self, owner: str, database: str, timed_report: TimedReport, sent_at: float
     ) -> None:
-        """Take in what an owner told with an answer.
+        """Record a report that an owner sent with an answer.
 
         Parameters
         ----------
         owner, database : str
-            Who told, and of what.
-        told : TimedReport
-            What it told. It is void if it is not newer than what is known.
+            The owner, and the database that it reports on.
+        timed_report : TimedReport
+            The report. It is ignored unless it is newer than the one retained.
         sent_at : float
-            When the statement was sent that it answers, by this instance's clock: it
-            was told later.
+            When the answered statement was sent, by this instance's clock: the report
+            was made later.
         """
-        known_at = self._compute_known_at(owner, told, sent_at)
-        heard = self._heard.setdefault(database, {})
-        last = heard.get(owner)
-        if known_at is not None and (last is None or _is_newer(told, last.told)):
-            heard[owner] = _Heard(told, known_at)
+        dated_at = self._date_report(owner, timed_report, sent_at)
+        received = self._received.setdefault(database, {})
+        last = received.get(owner)
+        if dated_at is not None and (
+            last is None or _is_newer(timed_report, last.timed_report)
+        ):
+            received[owner] = _ReceivedReport(timed_report, dated_at)
 
     def observe_owner(self, owner: str, incarnation: int) -> None:
-        """Take in which process of an owner answers: what earlier ones told is void."""
-        pace = self._paces.get(owner)
-        if pace is not None and pace.incarnation < incarnation:
-            self._forget(owner)
+        """Record which process of an owner answers; drop reports of earlier ones."""
+        offset = self._offsets.get(owner)
+        if offset is not None and offset.incarnation < incarnation:
+            self._drop(owner)
 
     def get_wait(self, owner: str, database: str, priority: int) -> float:
-        """Return the expected wait through an owner, seconds; 0 if it is not known."""
+        """Return the expected wait through an owner, seconds; 0 if it is unknown."""
         if not owner:
             own = self._get_own(database)
             return own.get_wait(priority) if own is not None else 0.0
-        heard = self._heard.get(database, _NONE_HEARD).get(owner)
-        if heard is None:
+        received = self._received.get(database, _NO_REPORTS).get(owner)
+        if received is None:
             return 0.0
-        age = self._seconds() - heard.known_at
-        if age >= VOID_AFTER:
+        age = self._seconds() - received.dated_at
+        if age >= REPORT_EXPIRY:
             return 0.0
-        # What waited then has moved on since; nothing is known of what came.
-        return max(0.0, heard.told.report.get_wait(priority) - age)
+        # The queue of that time has moved on since; later arrivals are unknown.
+        return max(0.0, received.timed_report.report.get_wait(priority) - age)
 
     def get_service_time(self, database: str) -> float:
-        """Return the usual time of a statement at a database, seconds; 0 if unknown."""
+        """Return the mean time of a statement at a database, seconds; 0 if unknown."""
         own = self._get_own(database)
         if own is not None and own.service_time:
             return own.service_time
-        oldest = self._seconds() - VOID_AFTER
+        oldest = self._seconds() - REPORT_EXPIRY
         newest = max(
             (
-                (heard.known_at, heard.told.report.service_time)
-                for heard in self._heard.get(database, _NONE_HEARD).values()
-                if heard.known_at > oldest
+                (received.dated_at, received.timed_report.report.service_time)
+                for received in self._received.get(database, _NO_REPORTS).values()
+                if received.dated_at > oldest
             ),
             default=(0.0, 0.0),
         )
         return newest[1]
 
-    def _compute_known_at(
-        self, owner: str, told: TimedReport, sent_at: float
+    def _date_report(
+        self, owner: str, timed_report: TimedReport, sent_at: float
     ) -> float | None:
-        """Return when a report was told at the latest; None if its process is over.
-
-        The two clocks are not compared: the least difference that was seen between them
-        is that of the quickest message, and what a later one took longer is its delay.
-        A process that was paused, or a link that was silent, so delivers old reports.
+        """Return the estimated time of a report by this instance's clock.
+
+        The two clocks are not compared: the smallest difference seen between them is
+        that of the fastest message, and a larger one of a later message is its delay.
+        This dates the old reports that a suspended process or a stalled link delivers.
+        The delay of the first message is unknown, so that its report counts from when
+        its statement was sent.
+
+        Returns
+        -------
+        float or None
+            Seconds; None if the report is from an earlier process of the owner.
         """
-        now, incarnation = self._seconds(), told.report.incarnation
-        pace = self._paces.get(owner)
-        if pace is not None and pace.incarnation > incarnation:
-            if now - pace.seen_at < VOID_AFTER:
+        now, incarnation = self._seconds(), timed_report.report.incarnation
+        offset = self._offsets.get(owner)
+        if offset is not None and offset.incarnation > incarnation:
+            if now - offset.seen_at < REPORT_EXPIRY:
                 return None
-        if pace is not None and pace.incarnation != incarnation:
-            # Numbers follow wall clocks, which may be set back between two processes.
-            self._forget(owner)
-            pace = None
-        if pace is None or now - pace.seen_at > PACE_TIME:
-            self._paces[owner] = _Pace(incarnation, now - told.reported_at, now)
+        if offset is not None and offset.incarnation != incarnation:
+            # Incarnations follow wall clocks, which may be set back between two
+            # processes, so that a lower one can also be the later process.
+            self._drop(owner)
+            offset = None
+        if offset is None or now - offset.seen_at > CLOCK_OFFSET_EXPIRY:
+            self._offsets[owner] = _ClockOffset(
+                incarnation, now - timed_report.reported_at, now
+            )
             return sent_at
-        least = pace.least + DRIFT * (now - pace.seen_at)
-        taken = min(least, now - told.reported_at)
-        self._paces[owner] = _Pace(incarnation, taken, now)
-        return max(sent_at, told.reported_at + taken)
+        smallest = offset.smallest + MAX_CLOCK_DRIFT * (now - offset.seen_at)
+        difference = min(smallest, now - timed_report.reported_at)
+        self._offsets[owner] = _ClockOffset(incarnation, difference, now)
+        return max(sent_at, timed_report.reported_at + difference)
 
-    def _forget(self, owner: str) -> None:
-        """Forget all that an owner told."""
-        self._paces.pop(owner, None)
-        for heard in self._heard.values():
-            heard.pop(owner, None)
+    def _drop(self, owner: str) -> None:
+        """Drop all reports of an owner."""
+        self._offsets.pop(owner, None)
+        for received in self._received.values():
+            received.pop(owner, None)
 
 
-def _is_newer(told: TimedReport, last: TimedReport) -> bool:
-    """Return whether a report was told after another one."""
-    new = (told.report.incarnation, told.reported_at)
+def _is_newer(timed_report: TimedReport, last: TimedReport) -> bool:
+    """Return whether a report was made after another one."""
+    new = (timed_report.report.incarnation, timed_report.reported_at)
     return new > (last.report.incarnation, last.reported_at)
--- a/beryltrack/load/policy.py
+++ b/beryltrack/load/policy.py
@@ -1,27 +1,28 @@
-"""The figures that steer the decisions under load."""
+"""Parameters of the overload control."""
 
 from typing import NamedTuple
 
 
 class LoadPolicy(NamedTuple):
-    """How much runs at a database at once, in which order, and what is refused.
+    """Concurrency limit, order and refusals of operations at a database.
 
     Parameters
     ----------
     is_limited : bool
         False if as many operations may run at a database as connections are open.
     is_ordered : bool
-        False if operations wait in the order of their arrival.
+        False if operations run in the order of their arrival.
     refuses_early : bool
-        False if an operation is refused only when its own time is over.
+        False if an operation is refused only once its deadline has passed.
     per_slot : float
         Operations for each slot of a database that all owners together let run at
         first.
     floors : tuple of float
-        Least part of the turns that each priority gets while it waits, from zero on.
-        None starves while more urgent ones fill the database.
+        Minimum share of the starts that each priority gets while it waits, from zero
+        on, so that none starves while more urgent ones fill the database.
     most_wait : float
-        Part of its target latency for which an operation waits without being offered.
+        Fraction of its target latency for which an operation may wait; it is refused
+        if it is expected to wait for longer.
     """
 
     is_limited: bool = True
--- a/beryltrack/load/queue.py
+++ b/beryltrack/load/queue.py
@@ -1,4 +1,9 @@
-"""The operations that wait for a database, in the order in which they are to run."""
+"""The operations that wait for a database, in the order in which they are to run.
+
+Strict priority with a minimum share for each less urgent priority. Within a priority,
+operations that can still meet their latency deadlines go first and displaced reads go
+after others; then accounts are served round robin.
+"""
 
 import math
 from heapq import heappop, heappush
@@ -10,19 +15,20 @@
 PRIORITIES = range(LOWEST_PRIORITY + 1)
 
 LANES = range(4)
-"""Lanes of a priority: in time for their aims and not, without and with the reads that
-a replica has left."""
-
-DUE = 1.0 - 1e-9
-"""Credit of a priority whose turn is due; sums of floors are not exact."""
+"""Lanes of a priority, in the order in which they are served: in time for the latency
+deadline, in time but displaced, late, and late and displaced."""
 
+DUE_CREDIT = 1.0 - 1e-9
+"""Credit, in starts, with which a priority is next by its minimum share; sums of shares
+are not exact."""
 
-URGENT_WEIGHT = 1 / 64
-"""Weight of a turn in how many turns go to what is more urgent than a priority."""
+URGENT_SHARE_WEIGHT = 1 / 64
+"""Weight of one start in the smoothed share of starts that go to operations that are
+more urgent than a priority."""
 
-LEAST_SHARE = 0.01
-"""Part of the turns that a priority is expected to get in any case; keeps waits finite
-where one has no floor."""
+MIN_ASSUMED_SHARE = 0.01
+"""Share of the starts that a priority is assumed to get at least; it keeps expected
+waits finite where a priority has no minimum share."""
 
 
 class WaitingOperation:
@@ -33,55 +39,55 @@
     number : int
         Its number.
     demand : Demand
-        What it asked for when it came.
+        Its demand on arrival.
     now : float
-        When it came, seconds.
+        The time of its arrival, seconds.
     """
 
     __slots__ = (
         "account",
-        "aim",
+        "deadline",
         "is_displaced",
         "is_late",
+        "latency_deadline",
         "number",
-        "over",
         "priority",
     )
 
     def __init__(self, number: int, demand: Demand, now: float):
         self.number = number
         self.account = demand.account
-        self.aim = now + demand.latency_left
-        self.over = now + demand.time_left
+        self.latency_deadline = now + demand.latency_left
+        self.deadline = now + demand.time_left
         self.is_displaced = demand.is_displaced
         self.is_late = False
         self.priority = max(0, min(demand.priority, LOWEST_PRIORITY))
 
     @property
     def lane(self) -> int:
-        """Its lane inside of its priority."""
+        """Its lane within its priority."""
         return 2 * self.is_late + self.is_displaced
 
 
 class OperationQueue:
-    """Operations by priority, then lane, then turns among accounts, then aim.
+    """Operations by priority, lane, round robin of accounts and latency deadline.
 
     Parameters
     ----------
-    floors : tuple of float
-        Least part of the turns that each priority gets while it waits.
+    min_shares : tuple of float
+        Minimum share of the starts that each priority gets while it waits.
     """
 
-    def __init__(self, floors: tuple[float, ...]):
-        self._floors = floors
+    def __init__(self, min_shares: tuple[float, ...]):
+        self._min_shares = min_shares
         self._lanes = [[FairQueue() for _ in LANES] for _ in PRIORITIES]
         self._credits = [0.0 for _ in PRIORITIES]
-        self._urgent = [0.0 for _ in PRIORITIES]
+        self._urgent_shares = [0.0 for _ in PRIORITIES]
         self._lengths = [0 for _ in PRIORITIES]
         self._waiting: dict[int, WaitingOperation] = {}
-        self._aims: list[tuple[float, int]] = []
-        self._overs: list[tuple[float, int]] = []
-        self._counts = [AccountCounts() for _ in PRIORITIES]
+        self._latency_deadlines: list[tuple[float, int]] = []
+        self._deadlines: list[tuple[float, int]] = []
+        self._account_counts = [AccountCounts() for _ in PRIORITIES]
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -90,110 +96,123 @@
         return number in self._waiting
 
     @property
-    def next_over(self) -> float:
-        """When the first one's time is over, seconds; infinite if none waits."""
-        overs = self._overs
-        while overs and overs[0][1] not in self._waiting:
-            heappop(overs)
-        return overs[0][0] if overs else math.inf
+    def next_deadline(self) -> float:
+        """The earliest deadline of all operations, seconds; infinite without one."""
+        deadlines = self._deadlines
+        while deadlines and deadlines[0][1] not in self._waiting:
+            heappop(deadlines)
+        return deadlines[0][0] if deadlines else math.inf
 
     def add(self, operation: WaitingOperation) -> None:
         """Add an operation."""
         self._waiting[operation.number] = operation
         self._lengths[operation.priority] += 1
-        self._counts[operation.priority].add(operation.account)
-        self._put(operation)
-        if not operation.is_late and operation.aim < math.inf:
-            heappush(self._aims, (operation.aim, operation.number))
-        if operation.over < math.inf:
-            heappush(self._overs, (operation.over, operation.number))
-
-    def note_unqueued(self) -> None:
-        """Take in that an operation had its turn while none waited."""
-        self._urgent = [each - URGENT_WEIGHT * each for each in self._urgent]
+        self._account_counts[operation.priority].add(operation.account)
+        self._add_to_lane(operation)
+        if not operation.is_late and operation.latency_deadline < math.inf:
+            heappush(
+                self._latency_deadlines, (operation.latency_deadline, operation.number)
+            )
+        if operation.deadline < math.inf:
+            heappush(self._deadlines, (operation.deadline, operation.number))
+
+    def record_unqueued(self) -> None:
+        """Record that an operation started while the queue was empty."""
+        self._urgent_shares = [
+            each - URGENT_SHARE_WEIGHT * each for each in self._urgent_shares
+        ]
 
     def remove(self, number: int) -> WaitingOperation:
-        """Take out an operation, which must wait."""
+        """Remove an operation, which must be in the queue."""
         operation = self._waiting[number]
-        self._get_lane(operation).remove(operation.account, operation.aim, number)
-        self._forget(operation)
+        self._get_lane(operation).remove(
+            operation.account, operation.latency_deadline, number
+        )
+        self._count_removed(operation)
         return operation
 
     def pop(self) -> WaitingOperation:
-        """Take out the operation whose turn it is; one must wait."""
+        """Remove the next operation to run; the queue must not be empty."""
         priority = self._choose_priority()
         number = next(lane for lane in self._lanes[priority] if lane).pop()
         operation = self._waiting[number]
-        self._forget(operation)
+        self._count_removed(operation)
         return operation
 
-    def pop_over(self, now: float) -> WaitingOperation | None:
-        """Take out an operation whose time is over, None if there is none."""
-        if self.next_over > now:
+    def pop_expired(self, now: float) -> WaitingOperation | None:
+        """Remove an operation whose deadline has passed, None if there is none."""
+        if self.next_deadline > now:
             return None
-        return self.remove(heappop(self._overs)[1])
+        return self.remove(heappop(self._deadlines)[1])
 
-    def note_late(self, done_at: float) -> None:
-        """Put back what cannot be in its aim if it is done at the time `done_at`."""
-        while self._aims and self._aims[0][0] < done_at:
-            operation = self._waiting.get(heappop(self._aims)[1])
+    def move_late(self, done_at: float) -> None:
+        """Move operations to the late lanes that would miss their latency deadlines.
+
+        `done_at` is the earliest time at which one can be done, seconds.
+        """
+        while self._latency_deadlines and self._latency_deadlines[0][0] < done_at:
+            operation = self._waiting.get(heappop(self._latency_deadlines)[1])
             if operation is not None:
-                number, aim = operation.number, operation.aim
-                self._get_lane(operation).remove(operation.account, aim, number)
+                number, latency_deadline = operation.number, operation.latency_deadline
+                self._get_lane(operation).remove(
+                    operation.account, latency_deadline, number
+                )
                 operation.is_late = True
-                self._put(operation)
+                self._add_to_lane(operation)
 
     def pop_victim(self, priority: int, account: str) -> WaitingOperation | None:
-        """Take out an operation that has to make room for one that comes.
+        """Evict an operation in favour of one that arrives.
 
         Returns
         -------
         WaitingOperation or None
             One of the least urgent that wait, of the account that has the most there;
             None unless the new one is more urgent, or as urgent and of an account with
-            fewer operations that wait.
+            fewer waiting operations.
         """
         lowest = max(each for each in PRIORITIES if self._lengths[each])
-        longest, count = self._counts[lowest].get_longest()
-        own = self._counts[lowest].get(account)
+        largest, count = self._account_counts[lowest].get_largest()
+        own = self._account_counts[lowest].get(account)
         is_fairer = priority == lowest and own + 1 < count
         if not (priority < lowest or is_fairer):
             return None
-        return self._pop_last(lowest, longest)
+        return self._pop_last(lowest, largest)
 
-    def pop_least(self) -> WaitingOperation:
-        """Take out one of the least urgent, of the account that has the most there."""
+    def pop_least_urgent(self) -> WaitingOperation:
+        """Evict one of the least urgent, of the account that has the most there."""
         lowest = max(each for each in PRIORITIES if self._lengths[each])
-        return self._pop_last(lowest, self._counts[lowest].get_longest()[0])
+        return self._pop_last(lowest, self._account_counts[lowest].get_largest()[0])
 
-    def count_turns(self, priority: int, own: int) -> float:
-        """Return how many operations start until one of a priority does.
+    def estimate_position(self, priority: int, ahead: int) -> float:
+        """Return how many operations start until one of a priority does, with it.
 
         Parameters
         ----------
         priority : int
             The priority.
-        own : int
-            Operations of the same priority that come before it.
+        ahead : int
+            Operations of the same priority that go before it.
         """
         pairs = zip(
-            self._floors[priority + 1 :], self._lengths[priority + 1 :], strict=True
+            self._min_shares[priority + 1 :], self._lengths[priority + 1 :], strict=True
         )
-        left = 1.0 - sum([floor for floor, length in pairs if length])
-        # What is more urgent goes on coming while it waits.
-        own_turns = (own + 1) / max(LEAST_SHARE, 1.0 - self._urgent[priority])
-        by_order = (sum(self._lengths[:priority]) + own_turns) / left
-        floor = self._floors[priority]
-        return min(by_order, (own + 1) / floor) if floor else by_order
-
-    def count_own(self, operation: WaitingOperation) -> int:
-        """Return how many of its priority come before an operation that comes."""
+        left = 1.0 - sum([min_share for min_share, length in pairs if length])
+        # More urgent operations keep arriving while it waits.
+        own_starts = (ahead + 1) / max(
+            MIN_ASSUMED_SHARE, 1.0 - self._urgent_shares[priority]
+        )
+        by_order = (sum(self._lengths[:priority]) + own_starts) / left
+        min_share = self._min_shares[priority]
+        return min(by_order, (ahead + 1) / min_share) if min_share else by_order
+
+    def count_ahead(self, operation: WaitingOperation) -> int:
+        """Return how many of its priority go before an operation that arrives."""
         better = self._lanes[operation.priority][: operation.lane]
         own = self._get_lane(operation).count_ahead(operation.account)
         return sum(map(len, better)) + own
 
-    def count_until(self, priority: int) -> int:
-        """Return how many wait that are as urgent as a priority or more."""
+    def count_as_urgent(self, priority: int) -> int:
+        """Return how many wait that are as urgent as a priority, or more."""
         return sum(self._lengths[: priority + 1])
 
     def get_length(self, priority: int) -> int:
@@ -201,20 +220,22 @@
         return self._lengths[priority]
 
     def _choose_priority(self) -> int:
-        """Return whose turn it is: the most urgent, unless a floor is due."""
-        credits, urgent = self._credits, self._urgent
+        """Return the next priority: the most urgent, unless a minimum share is due."""
+        credits, urgent_shares = self._credits, self._urgent_shares
         waiting = [each for each in PRIORITIES if self._lengths[each]]
         for each in waiting:
-            credits[each] += self._floors[each]
-        due = (each for each in waiting if credits[each] >= DUE)
+            credits[each] += self._min_shares[each]
+        due = (each for each in waiting if credits[each] >= DUE_CREDIT)
         chosen = next(due, waiting[0])
         credits[chosen] = max(0.0, credits[chosen] - 1.0)
         for each in PRIORITIES:
-            urgent[each] += URGENT_WEIGHT * ((chosen < each) - urgent[each])
+            urgent_shares[each] += URGENT_SHARE_WEIGHT * (
+                (chosen < each) - urgent_shares[each]
+            )
         return chosen
 
     def _pop_last(self, priority: int, account: str) -> WaitingOperation:
-        """Take out the last operation of an account in a priority."""
+        """Remove the last operation of an account in a priority."""
         lanes = reversed(self._lanes[priority])
         numbers = (lane.get_last(account) for lane in lanes)
         return self.remove(next(each for each in numbers if each is not None))
@@ -222,16 +243,15 @@
     def _get_lane(self, operation: WaitingOperation) -> FairQueue:
         return self._lanes[operation.priority][operation.lane]
 
-    def _put(self, operation: WaitingOperation) -> None:
-        """Put an operation into its lane."""
+    def _add_to_lane(self, operation: WaitingOperation) -> None:
         lane = self._get_lane(operation)
-        lane.add(operation.account, operation.aim, operation.number)
+        lane.add(operation.account, operation.latency_deadline, operation.number)
 
-    def _forget(self, operation: WaitingOperation) -> None:
-        """Count an operation no more that has left its lane."""
+    def _count_removed(self, operation: WaitingOperation) -> None:
+        """Count an operation that has been removed from its lane."""
         del self._waiting[operation.number]
         priority = operation.priority
         self._lengths[priority] -= 1
-        self._counts[priority].remove(operation.account)
+        self._account_counts[priority].remove(operation.account)
         if not self._lengths[priority]:
             self._credits[priority] = 0.0
--- a/beryltrack/load/reports.py
+++ b/beryltrack/load/reports.py
@@ -1,41 +1,41 @@
-"""When an owner tells another instance of its load.
+"""When an owner reports the load of a database to another instance.
 
-Each report is bytes that are paid for, so that it goes out with an answer, at most ten
-times a second to a session unless something has changed, and not at all while nothing
-waits. Pure.
+Reports are appended to answers and cost bandwidth: a session gets at most ten a second
+unless the load has changed, and none while no operation waits. Sans-I/O.
 """
 
 from typing import NamedTuple
 
 from beryltrack.load.messages import DatabaseReport
 
-REPORT_GAP = 0.1
-"""Seconds after which a session is told the same again while something waits. What was
-told counts for a second (`outlook.VOID_AFTER`), so that nine lost ones are no harm."""
+REPORT_INTERVAL = 0.1
+"""Seconds after which an unchanged report is repeated to a session while operations
+wait. A report counts for a second (`owner_loads.REPORT_EXPIRY`), so that nine lost ones
+do no harm."""
 
-LEAST_CHANGE = 0.02
-"""Seconds by which a wait must have changed to be told at once: a statement or two."""
+MIN_CHANGE = 0.02
+"""Seconds by which a wait must change to be reported at once: a statement or two."""
 
-LEAST_WAIT = 0.001
-"""Seconds of a wait below which nothing waits; waits are told in milliseconds."""
+MIN_WAIT = 0.001
+"""Seconds under which a wait counts as none; waits are sent in milliseconds."""
 
-CHANGED_PART = 0.25
-"""Part of itself by which a wait must have changed to be told at once."""
+MIN_CHANGE_FRACTION = 0.25
+"""Fraction of itself by which a wait must change to be reported at once."""
 
-CALM_TIME = 1.0
-"""Seconds for which sessions are told once that nothing waits any more, as others of
-the same instance may have been told of waits for as long as a report counts."""
+ALL_CLEAR_PERIOD = 1.0
+"""Seconds for which each session is told once that operations no longer wait, as other
+sessions of its instance may have reported waits for as long as a report counts."""
 
 
 class TimedReport(NamedTuple):
-    """A report as an owner tells it.
+    """A report and the time at which the owner made it.
 
     Parameters
     ----------
     report : DatabaseReport
         The report.
     reported_at : float
-        When it was told, seconds since the owner's process started.
+        The time of the report, seconds since the owner's process started.
     """
 
     report: DatabaseReport
@@ -43,44 +43,44 @@
 
 
 def is_uncongested(report: DatabaseReport) -> bool:
-    """Return whether an operation that comes now would run at once."""
-    is_waiting = any(wait >= LEAST_WAIT for wait in report.waits)
+    """Return whether an operation that arrives now would run at once."""
+    is_waiting = any(wait >= MIN_WAIT for wait in report.waits)
     return report.running < report.limit and not is_waiting
 
 
 def must_report(
     report: DatabaseReport, last: TimedReport | None, busy_at: float, now: float
 ) -> bool:
-    """Return whether a session is told of the load with its next answer.
+    """Return whether the next answer to a session carries a report.
 
     Parameters
     ----------
     report : DatabaseReport
-        The load of its database now.
+        The load of the session's database now.
     last : TimedReport or None
-        What it was told last.
+        The last report that the session got.
     busy_at : float
-        When the database was last seen with something waiting.
+        When the database was last congested.
     now : float
         Seconds since this process started, as the other times.
     """
     if is_uncongested(report):
-        was_told = last is not None and last.reported_at >= busy_at
-        return now - busy_at < CALM_TIME and not (
-            was_told and is_uncongested(last.report)
+        was_reported = last is not None and last.reported_at >= busy_at
+        return now - busy_at < ALL_CLEAR_PERIOD and not (
+            was_reported and is_uncongested(last.report)
         )
-    if last is None or now - last.reported_at >= REPORT_GAP:
+    if last is None or now - last.reported_at >= REPORT_INTERVAL:
         return True
     return has_changed(last.report, report)
 
 
 def has_changed(before: DatabaseReport, after: DatabaseReport) -> bool:
-    """Return whether two reports differ so that decisions would."""
+    """Return whether two reports differ enough to change decisions."""
     if is_uncongested(before) or before.limit != after.limit:
         return True
     if len(before.waits) != len(after.waits):
         return True
     return any(
-        abs(new - old) > max(LEAST_CHANGE, CHANGED_PART * old)
+        abs(new - old) > max(MIN_CHANGE, MIN_CHANGE_FRACTION * old)
         for old, new in zip(before.waits, after.waits, strict=True)
     )
--- a/beryltrack/load/settings.py
+++ b/beryltrack/load/settings.py
@@ -1,8 +1,9 @@
-"""What operators set of the decisions under load.
+"""Operators' settings of the overload control, from the environment.
 
-The environment variable `LOAD_VARIABLE` holds a JSON object. A value that is wrong
-costs itself alone: an instance that did not start would cost its callers more than a
-default. This module loads no schema library, whose import takes a part of each start.
+The environment variable `LOAD_VARIABLE` holds a JSON object. An invalid value is
+reported and replaced by its default alone: an instance that did not start would cost
+its callers more than a default. The module imports no schema library, as that would
+slow down each start.
 """
 
 import math
@@ -20,23 +21,23 @@
 """Environment variable with the options of `LOAD_OPTIONS`, as a JSON object."""
 
 MAX_TEXT_LENGTH = 10_000
-"""Characters that the variable may have: far more than all options need, and few enough
-that no nesting of it exhausts the stack of the reader."""
+"""Length limit of the variable, characters: far more than all options need, and few
+enough that no nesting exhausts the stack of the JSON parser."""
 
 PRIORITIES = LOWEST_PRIORITY + 1
 
 MAX_FLOORS_SUM = 0.9
-"""What floors add up to at most: with all turns given away by floors, none would be
-left for the most urgent, and its expected wait would have no bound."""
+"""Largest sum of the minimum shares: if they took all starts, none would be left for
+the most urgent priority, and its expected wait would have no bound."""
 
 _DEFAULTS = LoadPolicy()
 
 LOAD_OPTIONS = OptionTable(
     "load",
-    "The figures of the decisions under load at each owner and database, in the "
+    "Parameters of the overload control at each owner and database, in the "
     f"environment variable `{LOAD_VARIABLE}` of each process, read once at its start. "
-    "What is wrong is logged, and its default stays in force; an unknown name is "
-    "passed over.",
+    "An invalid value is logged, and its default stays in force; an unknown name is "
+    "logged and ignored.",
     (
         Option(
             "is_limited",
@@ -47,14 +48,14 @@
         Option(
             "is_ordered",
             OptionKind.FLAG,
-            "False lets operations wait in the order of their arrival, whatever their "
+            "False lets operations run in the order of their arrival, whatever their "
             "priority and account.",
             _DEFAULTS.is_ordered,
         ),
         Option(
             "refuses_early",
             OptionKind.FLAG,
-            "False refuses an operation only when its own time is over.",
+            "False refuses an operation only once its deadline has passed.",
             _DEFAULTS.refuses_early,
         ),
         Option(
@@ -70,19 +71,19 @@
         Option(
             "floors",
             OptionKind.NUMBERS,
-            "Least part of the turns that each priority gets while it waits, from zero "
-            f"(the most urgent) on. At most {PRIORITIES} parts, together at most "
-            f"{MAX_FLOORS_SUM}; zero for what is left out.",
+            "Minimum share of the starts that each priority gets while it waits, from "
+            f"zero (the most urgent) on. At most {PRIORITIES} shares, together at most "
+            f"{MAX_FLOORS_SUM}; zero for each that is left out.",
             _DEFAULTS.floors,
-            "of the turns",
+            "of the starts",
             0,
             1,
         ),
         Option(
             "most_wait",
             OptionKind.NUMBER,
-            "Part of its target latency for which an operation waits without being "
-            "refused.",
+            "Fraction of its target latency for which an operation may wait; it is "
+            "refused if it is expected to wait for longer.",
             _DEFAULTS.most_wait,
             "of the target latency",
             0,
@@ -93,104 +94,106 @@
 
 
 Place = tuple[str | int, ...]
-"""Names and numbers that lead to a value."""
+"""Path of a value in the JSON object: names of members and indexes of lists."""
 
 
 class _Reading(NamedTuple):
-    """An option's value, or what is wrong with it."""
+    """An option's value, or the problems found in it, each with its place."""
 
     value: object = None
-    wrong: tuple[tuple[Place, str], ...] = ()
+    problems: tuple[tuple[Place, str], ...] = ()
 
 
 def read_load_policy(
     environment: Mapping[str, str],
 ) -> tuple[LoadPolicy, tuple[Finding, ...]]:
-    """Return the figures that the environment sets.
+    """Return the policy that the environment sets.
 
     Returns
     -------
     tuple
-        The figures, with the defaults of what is absent or wrong, and a finding for
-        each value that is wrong, with its place as a JSON pointer.
+        The policy, with defaults for absent and invalid values, and a finding for each
+        problem, with its place as a JSON pointer.
     """
     text = environment.get(LOAD_VARIABLE, "")
     if not text.strip():
         return _DEFAULTS, ()
     if len(text) > MAX_TEXT_LENGTH:
-        return _DEFAULTS, (_find((), f"is longer than {MAX_TEXT_LENGTH} characters"),)
+        return _DEFAULTS, (
+            _make_finding((), f"is longer than {MAX_TEXT_LENGTH} characters"),
+        )
     value, findings = load_json(text, LOAD_VARIABLE)
     if findings:
         return _DEFAULTS, findings
     if not isinstance(value, dict):
-        return _DEFAULTS, (_find((), "is no JSON object"),)
+        return _DEFAULTS, (_make_finding((), "is not a JSON object"),)
     return _read_options(value)
 
 
 def _read_options(
     value: dict[str, object],
 ) -> tuple[LoadPolicy, tuple[Finding, ...]]:
-    """Return what an object's options set, and what is wrong with them."""
+    """Return the policy that an object's options set, and the problems found."""
     known = {option.name: option for option in LOAD_OPTIONS.options}
     unknown = tuple(
-        _find((name,), "names no option") for name in value if name not in known
+        _make_finding((name,), "unknown option") for name in value if name not in known
     )
     readings = {
         name: _read_option(option, value[name])
         for name, option in known.items()
         if name in value
     }
-    wrong = tuple(
-        _find((name, *place), text)
+    invalid = tuple(
+        _make_finding((name, *place), text)
         for name, reading in readings.items()
-        for place, text in reading.wrong
+        for place, text in reading.problems
     )
-    used = {name: each.value for name, each in readings.items() if not each.wrong}
-    return _DEFAULTS._replace(**used), unknown + wrong
+    used = {name: each.value for name, each in readings.items() if not each.problems}
+    return _DEFAULTS._replace(**used), unknown + invalid
 
 
 def _read_option(option: Option, value: object) -> _Reading:
     """Return the value of one option."""
     if option.kind is OptionKind.FLAG:
-        return _Reading(value) if isinstance(value, bool) else _refuse_form(option)
+        return _Reading(value) if isinstance(value, bool) else _reject_type(option)
     if option.kind is OptionKind.NUMBERS:
-        return _read_parts(option, value)
-    wrong = tuple(((), text) for text in _judge_number(option, value))
-    return _Reading(None, wrong) if wrong else _Reading(float(value))
+        return _read_shares(option, value)
+    problems = tuple(((), text) for text in _check_number(option, value))
+    return _Reading(None, problems) if problems else _Reading(float(value))
 
 
-def _read_parts(option: Option, value: object) -> _Reading:
-    """Return the parts of a whole, one for each priority."""
+def _read_shares(option: Option, value: object) -> _Reading:
+    """Return a list of shares, one for each priority."""
     if not isinstance(value, list):
-        return _refuse_form(option)
-    wrong = tuple(
+        return _reject_type(option)
+    problems = tuple(
         ((number,), text)
-        for number, part in enumerate(value)
-        for text in _judge_number(option, part)
+        for number, share in enumerate(value)
+        for text in _check_number(option, share)
     )
     if len(value) > PRIORITIES:
-        wrong += (((), f"has {len(value)} parts, and there are {PRIORITIES}"),)
-    elif not wrong and math.fsum(value) > MAX_FLOORS_SUM:
-        wrong += (((), f"adds up to {math.fsum(value):g}, over {MAX_FLOORS_SUM}"),)
-    if wrong:
-        return _Reading(None, wrong)
+        problems += (((), f"has {len(value)} shares, of {PRIORITIES} at most"),)
+    elif not problems and math.fsum(value) > MAX_FLOORS_SUM:
+        problems += (((), f"adds up to {math.fsum(value):g}, over {MAX_FLOORS_SUM}"),)
+    if problems:
+        return _Reading(None, problems)
     absent = repeat(0.0, PRIORITIES - len(value))
     return _Reading((*map(float, value), *absent))
 
 
-def _judge_number(option: Option, value: object) -> Iterator[str]:
-    """Return what is wrong with a number."""
+def _check_number(option: Option, value: object) -> Iterator[str]:
+    """Yield the problem with a number, if there is one."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not option.minimum <= value <= option.maximum:
         bounds = f"{option.minimum:g} to {option.maximum:g}"
-        yield f"is no number from {bounds} {option.unit}"
+        yield f"is not a number from {bounds} {option.unit}"
 
 
-def _refuse_form(option: Option) -> _Reading:
-    """Return that a value has not the form that it must have."""
-    return _Reading(None, (((), f"is no {option.kind.value}"),))
+def _reject_type(option: Option) -> _Reading:
+    """Return the problem that a value is not of its option's type."""
+    return _Reading(None, (((), f"expected {option.kind.value}"),))
 
 
-def _find(place: Place, text: str) -> Finding:
+def _make_finding(place: Place, text: str) -> Finding:
     """Return a finding about the variable."""
     return Finding(LOAD_VARIABLE, format_pointer(place), text)
--- a/beryltrack/settings/reference.py
+++ b/beryltrack/settings/reference.py
@@ -106,8 +106,8 @@
 def _format_part(part: LoadMechanism) -> str:
     """Return the row of one part of the decisions under load."""
     cells = (
-        part.decides,
-        part.called_for_by,
+        part.summary,
+        part.applies_to,
         ", ".join(f"`{name}`" for name in part.options),
         f"`{part.switch.value}`" if part.switch else "",
     )
--- a/tests/load/test_counts.py
+++ b/tests/load/test_counts.py
@@ -18,5 +18,5 @@
             model[account] -= 1
         assert counts.get(account) == model[account]
         if any(model.values()):
-            longest, count = counts.get_longest()
+            longest, count = counts.get_largest()
             assert model[longest] == count == max(model.values())
--- a/tests/load/test_gate_machine.py
+++ b/tests/load/test_gate_machine.py
@@ -11,7 +11,7 @@
 from beryltrack.load.limit import Outcome, SharedCapacity
 from beryltrack.load.messages import LOWEST_PRIORITY, Demand, Run
 from beryltrack.load.policy import LoadPolicy
-from beryltrack.load.running import LEAST_OVERDUE, OVERDUE_FACTOR
+from beryltrack.load.running import MIN_OVERDUE, OVERDUE_FACTOR
 
 POLICY = LoadPolicy()
 OUTCOMES = st.sampled_from(list(Outcome))
@@ -52,7 +52,7 @@
 
     def list_overdue(self):
         """Return what runs for far longer than statements usually take."""
-        patience = max(LEAST_OVERDUE, OVERDUE_FACTOR * self.gate._limit.mean)
+        patience = max(MIN_OVERDUE, OVERDUE_FACTOR * self.gate._limit.mean)
         before = self.now - patience
         return {each for each in self.running if self.began[each] < before}
 
--- a/tests/load/test_outlook.py
+++ b/tests/load/test_outlook.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from beryltrack.load.messages import DatabaseReport
-from beryltrack.load.owner_loads import VOID_AFTER, ReportedOwnerLoads
+from beryltrack.load.owner_loads import REPORT_EXPIRY, ReportedOwnerLoads
 from beryltrack.load.reports import TimedReport
 
 START = 100.0
@@ -57,7 +57,7 @@
 
 def test_what_was_told_a_second_ago_is_void(site):
     site.tell(150.0, 3.0)
-    site.clock.advance(VOID_AFTER)
+    site.clock.advance(REPORT_EXPIRY)
     assert site.get_wait() == 0.0 and site.owner_loads.get_service_time("db") == 0.0
 
 
@@ -132,7 +132,7 @@
 
 def test_an_owner_whose_clock_was_set_back_is_believed_again_after_a_while(site):
     site.tell(150.0, 0.1, incarnation=8)
-    site.clock.advance(VOID_AFTER)
+    site.clock.advance(REPORT_EXPIRY)
     site.tell(151.0, 3.0, incarnation=7)
     assert site.get_wait() == 3.0
 
@@ -193,7 +193,7 @@
         site.tell(reported_at, 100.0, took=2.5)
         newest = max(newest, reported_at)
         if site.get_wait():
-            assert site.clock.seconds() - newest <= VOID_AFTER
+            assert site.clock.seconds() - newest <= REPORT_EXPIRY
 
 
 class Name(str):
--- a/tests/load/test_queue.py
+++ b/tests/load/test_queue.py
@@ -58,7 +58,7 @@
 def test_an_operation_that_can_be_in_its_aim_goes_before_one_that_cannot(queue):
     add(queue, 1, aim=0.1)
     add(queue, 2, aim=0.5)
-    queue.note_late(0.2)
+    queue.move_late(0.2)
     assert pop(queue, 2) == [2, 1]
 
 
@@ -72,7 +72,7 @@
 def test_a_late_operation_goes_after_displaced_reads_in_time(queue):
     add(queue, 1, aim=0.1)
     add(queue, 2, is_displaced=True)
-    queue.note_late(0.2)
+    queue.move_late(0.2)
     assert pop(queue, 2) == [2, 1]
 
 
@@ -109,28 +109,28 @@
     add(queue, 1, left=0.5)
     add(queue, 2, left=0.3)
     add(queue, 3, left=math.inf)
-    assert queue.next_over == 0.3 and queue.pop_over(0.2) is None
-    assert queue.pop_over(0.6).number == 2
+    assert queue.next_deadline == 0.3 and queue.pop_expired(0.2) is None
+    assert queue.pop_expired(0.6).number == 2
     queue.remove(1)
-    assert queue.next_over == math.inf
+    assert queue.next_deadline == math.inf
 
 
 def test_turns_until_a_priority_starts_follow_from_who_is_before_it(queue):
     for number in range(6):
         add(queue, number, 1)
-    assert queue.count_turns(0, 0) == pytest.approx(1 / 0.85)
-    assert queue.count_turns(1, 6) == 7
+    assert queue.estimate_position(0, 0) == pytest.approx(1 / 0.85)
+    assert queue.estimate_position(1, 6) == 7
     # Its floor serves it sooner than the order does.
-    assert queue.count_turns(2, 0) == 7
+    assert queue.estimate_position(2, 0) == 7
     for number in range(6, 20):
         add(queue, number, 1)
-    assert queue.count_turns(2, 0) == 10
+    assert queue.estimate_position(2, 0) == 10
 
 
 def test_what_is_more_urgent_and_goes_on_coming_is_reckoned_with(queue):
     add(queue, 0, 2)
-    assert queue.count_turns(2, 4) == 5
+    assert queue.estimate_position(2, 4) == 5
     for number in range(1, 400):
         add(queue, number, 0)
         queue.pop()
-    assert queue.count_turns(2, 4) > 20
+    assert queue.estimate_position(2, 4) > 20
--- a/tests/load/test_turns.py
+++ b/tests/load/test_turns.py
@@ -89,5 +89,5 @@
         if number >= 2:
             turns.pop()
     pop_all(turns)
-    kept = (turns._lines, turns._in_order, turns._order, turns._tags, turns._rested)
+    kept = (turns._by_account, turns._in_order, turns._order, turns._tags, turns._idle)
     assert not any(kept)
--- a/tests/load/test_verdicts.py
+++ b/tests/load/test_verdicts.py
@@ -7,10 +7,10 @@
 import pytest
 
 from beryltrack.load.ingress_admission import (
-    LEAST_RETURN,
-    MOST_RETURN,
-    PROBE_GAP,
-    RETURN_SPREAD,
+    MIN_RETRY_AFTER,
+    MAX_RETRY_AFTER,
+    PROBE_INTERVAL,
+    RETRY_SPREAD,
     IngressAdmission,
     compute_retry_after,
     compute_target_wait,
@@ -65,7 +65,7 @@
     times = [10.0 + step / 1000 for step in range(5000)]
     asked = [at for at in times if not decider.decide("owner", "db", demand, at)]
     assert 12 <= len(asked) <= 25
-    assert min(after - at for at, after in pairwise(asked)) >= PROBE_GAP
+    assert min(after - at for at, after in pairwise(asked)) >= PROBE_INTERVAL
 
 
 def test_the_first_of_a_later_overload_does_not_ask():
@@ -104,11 +104,11 @@
 
 
 @pytest.mark.parametrize(
-    ("wait", "least"), [(0.0, LEAST_RETURN), (60.0, MOST_RETURN), (0.4, 0.4)]
+    ("wait", "least"), [(0.0, MIN_RETRY_AFTER), (60.0, MAX_RETRY_AFTER), (0.4, 0.4)]
 )
 def test_nobody_comes_back_at_once_or_waits_for_ever(wait, least):
     told = compute_retry_after(wait, 3, random.Random(3))
-    assert least <= told <= least * RETURN_SPREAD
+    assert least <= told <= least * RETRY_SPREAD
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_access_calls.py
+++ b/tests/relay/test_access_calls.py
@@ -160,4 +160,4 @@
     assert not (site.access._checkouts or site.access._gated._operations)
     for gate in site.gates:
         assert gate.waiting == 0 and gate.get_report().running == 0
-        assert not (gate._waiters or gate._decider._spent)
+        assert not (gate._waiters or gate._decider._time_spent)
