--- a/beryltrack/load/reports.py
+++ b/beryltrack/load/reports.py
@@ -1,6 +1,6 @@
 """When an owner reports the load of a database to another instance.
 
-Reports are appended to answers and cost bandwidth: a session gets at most ten a second
+Reports go out with answers and cost bandwidth: a session gets at most ten a second
 unless the load has changed, and none while no operation waits. Sans-I/O.
 """
 
@@ -23,8 +23,8 @@
 """Fraction of itself by which a wait must change to be reported at once."""
 
 ALL_CLEAR_PERIOD = 1.0
-"""Seconds for which each session is told once that operations no longer wait, as other
-sessions of its instance may have reported waits for as long as a report counts."""
+"""Seconds after the last congestion in which each session is sent one report without
+waits: other sessions of its instance may have reported waits, which count that long."""
 
 
 class TimedReport(NamedTuple):
--- a/tests/load/test_counts.py
+++ b/tests/load/test_counts.py
@@ -1,4 +1,4 @@
-"""Which account has the most operations that wait."""
+"""Counts by account, and the account with the largest count."""
 
 import random
 from collections import Counter
@@ -6,7 +6,7 @@
 from beryltrack.load.counts import AccountCounts
 
 
-def test_an_account_with_the_most_is_known_after_each_change():
+def test_the_largest_count_is_right_after_each_change():
     counts, model, rng = AccountCounts(), Counter(), random.Random(1)
     for _ in range(2000):
         account = rng.choice("abcdef")
@@ -18,5 +18,5 @@
             model[account] -= 1
         assert counts.get(account) == model[account]
         if any(model.values()):
-            longest, count = counts.get_largest()
-            assert model[longest] == count == max(model.values())
+            largest, count = counts.get_largest()
+            assert model[largest] == count == max(model.values())
--- a/tests/load/test_estimate.py
+++ b/tests/load/test_estimate.py
@@ -1,4 +1,4 @@
-"""Means that single outliers do not spoil."""
+"""Smoothed means on which single outliers have a bounded effect."""
 
 import pytest
 
@@ -13,19 +13,19 @@
     return made
 
 
-def test_statements_that_ran_while_the_process_was_frozen_hardly_count(estimate):
+def test_outliers_from_a_suspended_process_hardly_count(estimate):
     for _ in range(3):
         estimate.observe(5.0)
     assert 0.01 < estimate.mean < 0.02
 
 
-def test_what_takes_longer_from_now_on_is_learned(estimate):
+def test_the_mean_follows_a_lasting_rise(estimate):
     for _ in range(150):
         estimate.observe(0.5)
     assert estimate.mean > 0.4
 
 
-def test_a_mean_of_nothing_is_left_again():
+def test_a_mean_of_zero_can_rise():
     estimate = BoundedEstimate(0.0)
     for _ in range(50):
         estimate.observe(0.0)
@@ -34,7 +34,7 @@
     assert estimate.mean > 0.04
 
 
-def test_the_first_samples_count_as_they_are():
+def test_the_first_samples_count_in_full():
     estimate = BoundedEstimate(0.005)
     estimate.observe(0.3)
     assert estimate.mean == 0.3 and estimate.count == 1
--- a/tests/load/test_gate_machine.py
+++ b/tests/load/test_gate_machine.py
@@ -1,4 +1,4 @@
-"""What a gate holds to, whatever comes."""
+"""Invariants of a gate under random sequences of calls."""
 
 import math
 import random
@@ -17,11 +17,11 @@
 OUTCOMES = st.sampled_from(list(Outcome))
 SECONDS = st.one_of(st.none(), st.floats(0.0, 0.5))
 DUE_TOGETHER = 3
-"""Turns that a due floor may wait for other floors that are due."""
+"""Starts for which a due priority may wait for other due priorities."""
 
 
 class Gate(RuleBasedStateMachine):
-    """Operations come, run, rest, go on, end and are given up."""
+    """Submits, runs, ends, cancels and expires operations, and checks each decision."""
 
     def __init__(self):
         super().__init__()
@@ -29,12 +29,12 @@
         self.now, self.number = 0.0, 0
         self.gate.set_capacity(SharedCapacity(4, 2, 5), self.now)
         self.connections, self.began, self.answered_at = 5, {}, -math.inf
-        self.waiting, self.running, self.resting = {}, set(), set()
+        self.waiting, self.running, self.idle = {}, set(), set()
         self.passed_over = [0] * (LOWEST_PRIORITY + 1)
 
     def apply(self, actions, is_open=False):
         for action in actions:
-            # One verdict each; what runs or rests gets none.
+            # Each operation gets one decision; running and idle ones get none.
             priority = self.leave(action.operation)
             if not isinstance(action, Run):
                 assert 0.0 < action.retry_after < math.inf
@@ -43,56 +43,56 @@
             current = self.running - self.list_overdue()
             assert is_open or len(current) <= self.gate.limit
             assert is_open or len(self.running) <= self.connections
-            self.count_turn(priority)
+            self.count_start(priority)
 
     def begin(self, number):
-        """Note that a statement of an operation begins."""
+        """Record that a statement of an operation starts."""
         self.running.add(number)
         self.began[number] = self.now
 
     def list_overdue(self):
-        """Return what runs for far longer than statements usually take."""
-        patience = max(MIN_OVERDUE, OVERDUE_FACTOR * self.gate._limit.mean)
-        before = self.now - patience
+        """Return the statements that run for far longer than the mean time."""
+        min_overdue = max(MIN_OVERDUE, OVERDUE_FACTOR * self.gate._limit.mean)
+        before = self.now - min_overdue
         return {each for each in self.running if self.began[each] < before}
 
     def is_silent(self):
-        """Return whether the database has answered nothing since some are overdue."""
+        """Return whether statements are overdue and no later one was answered."""
         latest = max(map(self.began.get, self.list_overdue()), default=math.inf)
         return latest != math.inf and self.answered_at <= latest
 
-    def note_end(self, outcome):
-        """Note when the database has answered."""
+    def record_end(self, outcome):
+        """Record when the database has answered."""
         if outcome in (Outcome.ANSWERED, Outcome.FULL):
             self.answered_at = self.now
 
     def leave(self, number):
-        """Let an operation wait no more; its priority counts anew if none waits."""
+        """Remove a waiting operation; if its priority has none left, it counts anew."""
         priority = self.waiting.pop(number)
         if priority not in self.waiting.values():
             self.passed_over[priority] = 0
         return priority
 
-    def count_turn(self, served):
-        """Check that no priority that waits is passed over for too long."""
+    def count_start(self, served):
+        """Check that each priority with waiting operations gets its minimum share."""
         self.passed_over[served] = 0
-        for priority, floor in enumerate(POLICY.floors):
+        for priority, min_share in enumerate(POLICY.floors):
             if priority != served and priority in self.waiting.values():
                 self.passed_over[priority] += 1
-            if floor:
-                most = math.ceil(1 / floor) + DUE_TOGETHER
-                assert self.passed_over[priority] <= most
+            if min_share:
+                bound = math.ceil(1 / min_share) + DUE_TOGETHER
+                assert self.passed_over[priority] <= bound
 
     @rule(
         priority=st.integers(-1, LOWEST_PRIORITY + 1),
-        aim=st.one_of(st.just(math.inf), st.floats(-0.1, 1.0)),
+        latency=st.one_of(st.just(math.inf), st.floats(-0.1, 1.0)),
         left=st.one_of(st.just(math.inf), st.floats(0.0, 4.0)),
         account=st.sampled_from("abc"),
         is_displaced=st.booleans(),
         count=st.integers(1, 12),
     )
-    def arrive(self, priority, aim, left, account, is_displaced, count):
-        demand = Demand(priority, aim, left, account, is_displaced)
+    def submit(self, priority, latency, left, account, is_displaced, count):
+        demand = Demand(priority, latency, left, account, is_displaced)
         for _ in range(count):
             self.number += 1
             self.waiting[self.number] = max(0, min(priority, LOWEST_PRIORITY))
@@ -103,23 +103,23 @@
     def finish(self, data, seconds, outcome):
         number = data.draw(st.sampled_from(sorted(self.running)))
         self.running.discard(number)
-        self.note_end(outcome)
+        self.record_end(outcome)
         self.apply(self.gate.finish(number, seconds, outcome, self.now))
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), seconds=SECONDS, outcome=OUTCOMES)
-    def rest(self, data, seconds, outcome):
+    def end_statement(self, data, seconds, outcome):
         number = data.draw(st.sampled_from(sorted(self.running)))
         self.running.discard(number)
-        self.resting.add(number)
-        self.note_end(outcome)
+        self.idle.add(number)
+        self.record_end(outcome)
         self.apply(self.gate.end_statement(number, seconds, outcome, self.now))
 
-    @precondition(lambda self: self.resting)
+    @precondition(lambda self: self.idle)
     @rule(data=st.data(), ends=st.booleans())
-    def go_on_or_end(self, data, ends):
-        number = data.draw(st.sampled_from(sorted(self.resting)))
-        self.resting.discard(number)
+    def start_statement_or_finish(self, data, ends):
+        number = data.draw(st.sampled_from(sorted(self.idle)))
+        self.idle.discard(number)
         if ends:
             outcome = Outcome.UNKNOWN
             self.apply(self.gate.finish(number, None, outcome, self.now))
@@ -129,7 +129,7 @@
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
-    def give_up(self, data):
+    def cancel(self, data):
         number = data.draw(st.sampled_from(sorted(self.waiting)))
         self.leave(number)
         self.apply(self.gate.cancel(number, self.now))
@@ -147,29 +147,29 @@
         self.apply(self.gate.tick(self.now))
 
     @rule(owners=st.integers(1, 6), connections=st.integers(1, 11))
-    def move(self, owners, connections):
+    def change_capacity(self, owners, connections):
         bounds = SharedCapacity(4, owners, connections)
         self.connections = connections
         self.apply(self.gate.set_capacity(bounds, self.now))
 
     @rule()
-    def open(self):
+    def admit_all(self):
         self.apply(self.gate.admit_all(self.now), is_open=True)
         assert not self.waiting
 
     @invariant()
-    def the_gate_knows_the_same(self):
+    def counts_agree_with_the_model(self):
         assert self.gate.running == len(self.running)
         assert self.gate.waiting == len(self.waiting)
 
     @invariant()
-    def room_is_used(self):
+    def the_limit_is_used(self):
         assert self.gate.limit >= 1
         is_used = len(self.running) >= self.gate.limit
         assert not self.waiting or is_used or self.is_silent()
 
     @invariant()
-    def who_waits_is_woken(self):
+    def a_timer_is_set_while_operations_wait(self):
         wakeup = self.gate.get_wakeup(self.now)
         assert (wakeup is not None) == bool(self.waiting)
 
@@ -180,8 +180,8 @@
         assert 1 <= report.limit
 
     def teardown(self):
-        """Whoever still waits is told in the end."""
-        for number in sorted(self.running | self.resting):
+        """Each waiting operation gets a decision once all running ones have ended."""
+        for number in sorted(self.running | self.idle):
             self.running.discard(number)
             outcome = Outcome.ANSWERED
             self.apply(self.gate.finish(number, None, outcome, self.now))
--- a/tests/load/test_gate_task.py
+++ b/tests/load/test_gate_task.py
@@ -1,4 +1,4 @@
-"""The timer and those who wait at a gate."""
+"""A gate's timer, and the Deferreds of its waiting operations."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 class Site:
-    """A gate that lets one operation run."""
+    """A gate with a limit of one operation."""
 
     def __init__(self):
         self.clock = Clock()
@@ -28,7 +28,7 @@
         return self.gate.enter(deadline, Demand(**demand))
 
     def fill(self):
-        """Let one run and one wait; return the number of the first, and the second."""
+        """Start one, return its number and the Deferred of a second one that waits."""
         return get_result(self.enter()), self.enter()
 
 
@@ -43,14 +43,14 @@
     return refused.value.refusal
 
 
-def test_the_next_one_runs_when_one_has_ended(site):
+def test_the_end_of_an_operation_starts_the_next_one(site):
     first, waiting = site.fill()
     assert not waiting.called
     site.gate.finish(first)
     assert get_result(waiting) != first
 
 
-def test_a_transaction_that_rests_lets_others_run(site):
+def test_an_idle_transaction_lets_others_run(site):
     first, waiting = site.fill()
     site.gate.end_statement(first, 0.01, Outcome.ANSWERED)
     assert waiting.called
@@ -58,7 +58,7 @@
     assert site.gate.get_report().running == 2
 
 
-def test_who_gives_up_leaves_the_queue(site):
+def test_cancelling_removes_an_operation_from_the_queue(site):
     first, waiting = site.fill()
     waiting.cancel()
     with pytest.raises(CancelledError):
@@ -67,7 +67,7 @@
     assert site.gate.waiting == 0 and site.gate.get_report().running == 0
 
 
-def test_who_waits_for_too_long_is_told_so_by_the_timer(site):
+def test_the_timer_refuses_an_operation_at_its_deadline(site):
     first = get_result(site.enter())
     waiting = site.enter(deadline=0.2)
     site.clock.pump([0.05] * 3)
@@ -85,12 +85,12 @@
     assert get_refusal(waiting).reason is RefusalReason.TOO_LATE
 
 
-def test_what_has_no_time_left_is_refused_at_once(site):
+def test_an_operation_without_time_left_is_refused_at_once(site):
     assert get_refusal(site.enter(deadline=0.0)).retry_after > 0.0
 
 
-def test_one_that_fails_at_once_lets_all_others_have_their_turn(site):
-    """So do all behind a database that cannot be reached."""
+def test_callbacks_that_cancel_at_once_let_all_others_start(site):
+    """As when the database is unreachable: each cancel starts the next operation."""
     first = get_result(site.enter())
     seen = []
 
@@ -104,7 +104,7 @@
     assert len(seen) == 50 and site.gate.get_report().running == 0
 
 
-def test_who_is_cancelled_by_the_verdict_on_another_does_not_run(site):
+def test_an_operation_cancelled_by_another_ones_callback_does_not_run(site):
     first, waiting = site.fill()
     later = site.enter().addErrback(lambda failure: failure.trap(CancelledError))
     waiting.addCallback(lambda number: later.cancel())
@@ -114,7 +114,7 @@
     assert site.gate.get_report().running == 1
 
 
-def test_a_gate_that_opens_lets_all_run(site):
+def test_admit_all_starts_all_and_stops_the_timer(site):
     _, waiting = site.fill()
     site.gate.admit_all()
     assert waiting.called and not site.clock.getDelayedCalls()
--- a/tests/load/test_settings.py
+++ b/tests/load/test_settings.py
@@ -1,4 +1,4 @@
-"""The figures under load that operators set in the environment."""
+"""Operators' settings of the overload control, from the environment."""
 
 import json
 
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("environment", [{}, {LOAD_VARIABLE: ""}, {LOAD_VARIABLE: " "}])
-def test_by_default_the_figures_of_the_policy_hold(environment):
+def test_without_settings_the_defaults_of_the_policy_hold(environment):
     assert read_load_policy(environment) == (LoadPolicy(), ())
 
 
-def test_each_figure_can_be_set():
+def test_each_option_can_be_set():
     value = {
         "is_limited": False,
         "is_ordered": False,
@@ -45,11 +45,13 @@
     assert list(value) == NAMES
 
 
-def test_the_table_has_each_figure_with_its_default():
+def test_the_table_has_each_option_with_its_default():
     assert {option.name: option.default for option in LOAD_OPTIONS.options} == (
         LoadPolicy()._asdict()
     )
-    assert {name for part in LOAD_MECHANISMS for name in part.options} == set(NAMES)
+    assert {name for mechanism in LOAD_MECHANISMS for name in mechanism.options} == set(
+        NAMES
+    )
 
 
 @pytest.mark.parametrize(
@@ -79,20 +81,22 @@
         ("[" * (MAX_TEXT_LENGTH + 1), ""),
     ],
 )
-def test_what_is_wrong_is_a_finding_with_its_place_and_the_default_holds(value, place):
+def test_an_invalid_value_is_a_finding_with_its_place_and_the_default_holds(
+    value, place
+):
     policy, (finding,) = read(value)
     assert (finding.source, finding.place) == (LOAD_VARIABLE, place)
     assert finding.text
     assert policy == LoadPolicy()
 
 
-def test_a_wrong_figure_costs_no_other():
+def test_an_invalid_value_affects_no_other_option():
     policy, findings = read({"per_slot": 1.5, "most_wait": "long", "magic": 1})
     assert policy == LoadPolicy(per_slot=1.5)
     assert {finding.place for finding in findings} == {"/most_wait", "/magic"}
 
 
-def test_floors_leave_turns_to_the_most_urgent():
+def test_minimum_shares_leave_starts_to_the_most_urgent():
     assert read({"floors": [0.6, 0.1, 0.1, 0.1]})[1] == ()
     assert len(read({"floors": [0, 0.5, 0.3, 0.2]})[1]) == 1
 
@@ -107,30 +111,30 @@
 )
 
 
-def assert_usable(policy):
+def assert_valid(policy):
     flags = (policy.is_limited, policy.is_ordered, policy.refuses_early)
     assert all(isinstance(flag, bool) for flag in flags)
     assert 0.1 <= policy.per_slot <= 100 and 0 <= policy.most_wait <= 100
     assert len(policy.floors) == LOWEST_PRIORITY + 1
-    assert all(0 <= floor <= 1 for floor in policy.floors)
+    assert all(0 <= min_share <= 1 for min_share in policy.floors)
     assert sum(policy.floors) <= MAX_FLOORS_SUM + 1e-6
 
 
 @given(st.dictionaries(st.sampled_from(NAMES) | st.text(max_size=9), VALUES))
-def test_whatever_the_options_are_the_figures_can_be_used(value):
+def test_any_options_give_a_valid_policy(value):
     policy, findings = read(value)
-    assert_usable(policy)
+    assert_valid(policy)
     if any(finding.place == "" for finding in findings):
         assert policy == LoadPolicy()
         return
-    wrong = {finding.place.split("/")[1] for finding in findings} & set(NAMES)
+    invalid = {finding.place.split("/")[1] for finding in findings} & set(NAMES)
     default = LoadPolicy()
-    assert all(getattr(policy, name) == getattr(default, name) for name in wrong)
+    assert all(getattr(policy, name) == getattr(default, name) for name in invalid)
     assert len(findings) >= len(set(value) - set(NAMES))
 
 
 @given(st.text() | st.text(alphabet='{}[]",:0123456789eE.-', max_size=40))
-def test_whatever_the_text_is_the_figures_can_be_used(text):
+def test_any_text_gives_a_valid_policy(text):
     policy, findings = read_load_policy({LOAD_VARIABLE: text})
-    assert_usable(policy)
+    assert_valid(policy)
     assert findings or policy == LoadPolicy() or "{" in text
--- a/tests/load/test_verdicts.py
+++ b/tests/load/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What is refused in front of an owner, and for how long requests are held."""
+"""Ingress admission, and how long requests wait for an available target."""
 
 import math
 import random
@@ -7,8 +7,8 @@
 import pytest
 
 from beryltrack.load.ingress_admission import (
-    MIN_RETRY_AFTER,
     MAX_RETRY_AFTER,
+    MIN_RETRY_AFTER,
     PROBE_INTERVAL,
     RETRY_SPREAD,
     IngressAdmission,
@@ -20,7 +20,7 @@
 
 
 class FixedOwnerLoads:
-    """Knows one wait for each owner."""
+    """Has one fixed wait for each owner."""
 
     def __init__(self, **waits):
         self.waits = waits
@@ -29,7 +29,7 @@
         return self.waits.get(owner, 0.0)
 
 
-def make_decider(**waits):
+def make_admission(**waits):
     return IngressAdmission(FixedOwnerLoads(**waits), random.Random(3))
 
 
@@ -44,71 +44,75 @@
         (0.0, -0.1, True),
     ],
 )
-def test_what_could_not_be_served_in_time_is_refused_at_once(
+def test_an_operation_is_refused_if_its_expected_wait_is_too_long(
     wait, time_left, is_refused
 ):
-    decider = make_decider(owner=wait)
-    told = decider.decide("owner", "db", Demand(1, 0.25, time_left), 10.0)
-    assert (told > 0) is is_refused
+    admission = make_admission(owner=wait)
+    retry_after = admission.decide("owner", "db", Demand(1, 0.25, time_left), 10.0)
+    assert (retry_after > 0) is is_refused
 
 
-def test_another_owner_is_asked_as_before():
-    decider = make_decider(full=3.0)
+def test_another_owner_is_not_affected():
+    admission = make_admission(full=3.0)
     demand = Demand(1, 0.25, 0.8)
-    assert decider.decide("full", "db", demand, 10.0) > 0
-    assert decider.decide("other", "db", demand, 10.0) == 0
+    assert admission.decide("full", "db", demand, 10.0) > 0
+    assert admission.decide("other", "db", demand, 10.0) == 0
 
 
-def test_a_few_find_out_whether_there_is_room_again():
-    decider = make_decider(owner=3.0)
+def test_a_few_operations_probe_whether_the_owner_has_capacity_again():
+    admission = make_admission(owner=3.0)
     demand = Demand(1, 0.25, 0.8)
     times = [10.0 + step / 1000 for step in range(5000)]
-    asked = [at for at in times if not decider.decide("owner", "db", demand, at)]
+    asked = [at for at in times if not admission.decide("owner", "db", demand, at)]
     assert 12 <= len(asked) <= 25
     assert min(after - at for at, after in pairwise(asked)) >= PROBE_INTERVAL
 
 
-def test_the_first_of_a_later_overload_does_not_ask():
-    decider = make_decider(owner=3.0)
+def test_the_first_operation_of_a_later_overload_is_no_probe():
+    admission = make_admission(owner=3.0)
     demand = Demand(1, 0.25, 0.8)
-    assert decider.decide("owner", "db", demand, 10.0) > 0
-    assert decider.decide("owner", "db", demand, 3600.0) > 0
+    assert admission.decide("owner", "db", demand, 10.0) > 0
+    assert admission.decide("owner", "db", demand, 3600.0) > 0
 
 
-def test_a_caller_that_returns_when_told_to_is_not_refused_by_it_again():
-    decider = make_decider(owner=3.0)
+def test_a_due_retry_is_passed_on_to_the_owner():
+    admission = make_admission(owner=3.0)
     demand = Demand(1, 0.25, 0.8, is_retry=True)
-    assert [decider.decide("owner", "db", demand, 10.0) for _ in range(3)] == [0, 0, 0]
-    assert decider.decide("owner", "db", demand._replace(is_retry=False), 10.0) > 0
+    assert [admission.decide("owner", "db", demand, 10.0) for _ in range(3)] == [
+        0,
+        0,
+        0,
+    ]
+    assert admission.decide("owner", "db", demand._replace(is_retry=False), 10.0) > 0
 
 
-def test_of_many_callers_that_return_together_only_some_ask_a_full_owner():
-    decider = make_decider(owner=3.0)
+def test_of_many_due_retries_only_some_are_passed_on_to_a_full_owner():
+    admission = make_admission(owner=3.0)
     demand = Demand(1, 0.25, 0.8, is_retry=True)
-    decider.decide("owner", "db", demand._replace(is_retry=False), 10.0)
+    admission.decide("owner", "db", demand._replace(is_retry=False), 10.0)
     times = [10.0 + step / 1000 for step in range(1000)]
-    asked = [at for at in times if not decider.decide("owner", "db", demand, at)]
-    # Ten returns a second after the first three, and some that find out.
+    asked = [at for at in times if not admission.decide("owner", "db", demand, at)]
+    # Ten retries a second after the first three, and some probes.
     assert 12 <= len(asked) <= 18
 
 
-def test_the_urgent_come_back_sooner():
+def test_the_more_urgent_get_a_shorter_time_to_retry():
     waits = [compute_retry_after(0.8, each, random.Random(3)) for each in range(5)]
     assert waits == sorted(waits) and waits[0] == waits[3] / 2 and waits[3] == waits[4]
 
 
-def test_callers_that_are_refused_together_come_back_apart():
+def test_times_to_retry_of_callers_refused_together_are_spread():
     rng = random.Random(3)
     times = sorted(compute_retry_after(0.8, 3, rng) for _ in range(100))
     assert times[0] < 0.84 and times[-1] > 1.16 and len(set(times)) == 100
 
 
 @pytest.mark.parametrize(
-    ("wait", "least"), [(0.0, MIN_RETRY_AFTER), (60.0, MAX_RETRY_AFTER), (0.4, 0.4)]
+    ("wait", "minimum"), [(0.0, MIN_RETRY_AFTER), (60.0, MAX_RETRY_AFTER), (0.4, 0.4)]
 )
-def test_nobody_comes_back_at_once_or_waits_for_ever(wait, least):
-    told = compute_retry_after(wait, 3, random.Random(3))
-    assert least <= told <= least * RETRY_SPREAD
+def test_the_time_to_retry_is_bounded(wait, minimum):
+    retry_after = compute_retry_after(wait, 3, random.Random(3))
+    assert minimum <= retry_after <= minimum * RETRY_SPREAD
 
 
 @pytest.mark.parametrize(
@@ -121,14 +125,14 @@
         (math.inf, True, 0.35),
     ],
 )
-def test_a_request_is_held_for_a_part_of_its_target_latency_in_a_large_fleet(
+def test_in_a_large_fleet_a_request_waits_for_a_part_of_its_target_latency(
     target_latency, is_crowded, expected
 ):
     assert compute_target_wait(0.35, target_latency, is_crowded) == expected
 
 
 @pytest.mark.parametrize(
-    ("held", "has_primary", "is_crowded", "expected"),
+    ("waiting", "has_primary", "is_crowded", "expected"),
     [
         (0, False, True, True),
         (7, False, True, True),
@@ -137,7 +141,7 @@
         (500, False, False, True),
     ],
 )
-def test_only_a_handful_waits_for_a_primary_that_is_known_to_be_missing(
-    held, has_primary, is_crowded, expected
+def test_few_requests_wait_while_the_group_is_known_to_have_no_primary(
+    waiting, has_primary, is_crowded, expected
 ):
-    assert may_wait_for_target(held, has_primary, is_crowded) is expected
+    assert may_wait_for_target(waiting, has_primary, is_crowded) is expected
