--- a/beryltrack/load/gate.py
+++ b/beryltrack/load/gate.py
@@ -175,7 +175,7 @@
         return self._start_waiting(now)
 
     def start_statement(self, number: int, now: float) -> list[GateAction]:
-        """Record that an idle operation starts its next statement."""
+        """Record that an operation starts a statement; an idle one counts again."""
         if number in self._time_spent and number not in self._running:
             self._running.add(number, self._limit.mean, now)
         return []
--- a/beryltrack/load/gate_status.py
+++ b/beryltrack/load/gate_status.py
@@ -47,9 +47,9 @@
         """Return the status of each gate; none where the instance owns no group."""
 
 
-def render_gates(counts: Iterable[GateStatus]) -> Iterable[MetricSample]:
+def render_gates(gates: Iterable[GateStatus]) -> Iterable[MetricSample]:
     """Return the values of gates as samples of the metrics page."""
-    for gate in counts:
+    for gate in gates:
         labels = ",".join(
             (format_label("group", gate.group), format_label("database", gate.database))
         )
--- a/beryltrack/load/gate_task.py
+++ b/beryltrack/load/gate_task.py
@@ -72,9 +72,9 @@
         """Return the counters, for the metrics."""
         return GateCounters(self._decider.lengths, self._refused, self._evicted)
 
-    def set_capacity(self, bounds: SharedCapacity) -> None:
+    def set_capacity(self, capacity: SharedCapacity) -> None:
         """Set the capacity of the database and how it is shared."""
-        self._perform(self._decider.set_capacity(bounds, self._now))
+        self._perform(self._decider.set_capacity(capacity, self._now))
 
     def enter(self, deadline: float, demand: Demand) -> Deferred[int]:
         """Submit an operation.
@@ -112,7 +112,7 @@
         self._perform(self._decider.end_statement(number, seconds, outcome, self._now))
 
     def start_statement(self, number: int) -> None:
-        """Record that an idle operation starts its next statement."""
+        """Record that an operation starts a statement; an idle one counts again."""
         self._perform(self._decider.start_statement(number, self._now))
 
     def cancel(self, number: int) -> None:
--- a/beryltrack/load/settings.py
+++ b/beryltrack/load/settings.py
@@ -172,7 +172,7 @@
         for text in _check_number(option, share)
     )
     if len(value) > PRIORITIES:
-        problems += (((), f"has {len(value)} shares, of {PRIORITIES} at most"),)
+        problems += (((), f"has {len(value)} shares, more than {PRIORITIES}"),)
     elif not problems and math.fsum(value) > MAX_FLOORS_SUM:
         problems += (((), f"adds up to {math.fsum(value):g}, over {MAX_FLOORS_SUM}"),)
     if problems:
