--- a/beryltrack/relay/opener.py
+++ b/beryltrack/relay/opener.py
@@ -60,7 +60,7 @@
         Returns whether a group's database is still used.
     policy : OpenPolicy
         Timeouts, and which paths are used.
-    owner_loads : ReportedOutlook
+    owner_loads : ReportedOwnerLoads
         Receives the load reports of other instances.
     """
 
