--- a/beryltrack/objects/follow.py
+++ b/beryltrack/objects/follow.py
@@ -15,7 +15,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
 from twisted.internet.task import LoopingCall
 
-from beryltrack.objects.cache_endpoint import CopyFrame, CopyReceiver
+from beryltrack.objects.copies import CopyFrame, CopyReceiver
 from beryltrack.objects.feed import MAX_RETRY_DELAY, FeedTask
 from beryltrack.objects.watchers import is_watcher, list_seeds, order_sources
 from beryltrack.pause_aware_clock import get_pause_aware_clock
