--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -144,7 +144,7 @@
         self._policies = make_policies(
             settings.is_fenced, settings.disabled, settings.load
         )
-        copies = settings.copies_listen if self._policies.shares_copies else None
+        copies = settings.cache_listen if self._policies.shares_copies else None
         # Later processes of an instance have higher numbers, also without a disk.
         self._incarnation = int(time.time() * 1000)
         own = Peer(
@@ -152,7 +152,7 @@
             settings.zone,
             settings.relay_listen,
             copies,
-            settings.rights_listen,
+            settings.quota_listen,
             settings.capacity,
         )
         self._own = own
@@ -278,7 +278,7 @@
             self._rejects,
         )
         shared = (*self._feeds, self._members.feed)
-        self._copies = FleetCopies(self._traffic, shared, own, settings.copies_sources)
+        self._copies = FleetCopies(self._traffic, shared, own, settings.cache_sources)
         self._snapshots = SnapshotTask(
             reactor, settings.snapshot_sources, self._take_snapshot, rng
         )
--- a/beryltrack/daemon/node_process.py
+++ b/beryltrack/daemon/node_process.py
@@ -12,7 +12,7 @@
 from beryltrack.findings import Finding, format_finding
 from beryltrack.load.settings import read_load_policy
 from beryltrack.platform.boot import read_node_settings
-from beryltrack.settings.mechanisms import read_disabled
+from beryltrack.settings.mechanisms import read_disabled_mechanisms
 from beryltrack.settings.node import NodeSettings
 
 EXIT_FINDINGS = 1
@@ -26,7 +26,7 @@
     None if it cannot start with them; with wrong figures of its load it can.
     """
     settings, findings = read_node_settings(os.environ)
-    disabled, wrong = read_disabled(os.environ)
+    disabled, wrong = read_disabled_mechanisms(os.environ)
     load, faulty = read_load_policy(os.environ)
     findings = [*findings, *wrong, *faulty]
     if settings is None or wrong:
--- a/beryltrack/peers/sharing.py
+++ b/beryltrack/peers/sharing.py
@@ -140,7 +140,7 @@
         """Put in force what was gathered."""
         self._learning = None
         news, self._news = self._news, []
-        self._settings.learn(news)
+        self._settings.merge(news)
 
     def _schedule_choice(self, item: KnowledgeItem) -> None:
         """Choose anew shortly, once for many changes of the fleet."""
--- a/beryltrack/platform/boot.py
+++ b/beryltrack/platform/boot.py
@@ -7,7 +7,11 @@
 from beryltrack.findings import Finding
 from beryltrack.objects.fields import parse_address
 from beryltrack.settings.messages import Endpoint
-from beryltrack.settings.node import CHANGE_LIMIT, DRAIN_LIMIT, NodeSettings
+from beryltrack.settings.node import (
+    DEFAULT_CHANGE_LIMIT,
+    DEFAULT_DRAIN_LIMIT,
+    NodeSettings,
+)
 
 READY_PATH = b"/api/readiness"
 """Where the platform asks whether an instance takes callers, once a second."""
@@ -65,8 +69,8 @@
             if parse_address(seed).host != fields["ip"]
         ),
         bool(bounds.get("fencing_enforced", True)),
-        float(bounds.get("config_apply_ms", CHANGE_LIMIT * 1000)) / 1000,
-        float(bounds.get("drain_ms", DRAIN_LIMIT * 1000)) / 1000,
+        float(bounds.get("config_apply_ms", DEFAULT_CHANGE_LIMIT * 1000)) / 1000,
+        float(bounds.get("drain_ms", DEFAULT_DRAIN_LIMIT * 1000)) / 1000,
         capacity=_read_capacity(fields.get("limits") or {}),
         tolerance=Tolerance(
             float(bounds.get("quota_overage", 0.0)),
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -11,7 +11,7 @@
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.rows import ReadRows
 from beryltrack.sessions.marks import READS_ANY, READS_PRIMARY
-from beryltrack.settings.incarnations import MARK, make_name
+from beryltrack.settings.incarnations import START_SEPARATOR, make_incarnation_name
 from beryltrack.settings.messages import RouteSettings
 from beryltrack.settings.roster import GroupLimits, RosterEntry, SiteConfiguration
 
@@ -151,14 +151,14 @@
     found, findings = fields.read_fields(item.path, "", item.value, _ENTRY_FIELDS)
     try:
         identifier = parse_name(item.path.partition("/")[2])
-        if MARK in identifier:
-            raise ValueError(f"has {MARK}")
+        if START_SEPARATOR in identifier:
+            raise ValueError(f"has {START_SEPARATOR}")
     except ValueError as error:
         findings.append(Finding(item.path, "", f"the identifier {error}"))
     if findings:
         return None, findings
     entry = RosterEntry(
-        make_name(identifier, found.get("born")),
+        make_incarnation_name(identifier, found.get("born")),
         found["service"],
         found["address"],
         found["zone"],
--- a/beryltrack/settings/decider.py
+++ b/beryltrack/settings/decider.py
@@ -97,18 +97,18 @@
             and not item.deleted
             and not self._note_lost(item, answer.revision)
         )
-        update = self.learn(answer.objects + deletions)
+        update = self.merge(answer.objects + deletions)
         self._revision = max(self._revision, answer.revision)
         self._listed_revision = max(self._listed_revision, answer.revision)
         return update
 
     def observe_changes(self, answer: ObjectList) -> SettingsUpdate:
         """Take in the answer to a watch after `revision`."""
-        update = self.learn(answer.objects)
+        update = self.merge(answer.objects)
         self._revision = max(self._revision, answer.revision)
         return update
 
-    def learn(self, objects: Iterable[PlatformObject]) -> SettingsUpdate:
+    def merge(self, objects: Iterable[PlatformObject]) -> SettingsUpdate:
         """Take in objects from anywhere; older versions change nothing."""
         taken = [item.path for item in objects if self._take(item)]
         news = tuple(self._objects[path] for path in dict.fromkeys(taken))
--- a/beryltrack/settings/incarnations.py
+++ b/beryltrack/settings/incarnations.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Iterable
 
-MARK = "@"
+START_SEPARATOR = "@"
 """Stands between the identifier and the time of the start; no identifier has it."""
 
 
-def make_name(identifier: str, started_at: int | None) -> str:
+def make_incarnation_name(identifier: str, started_at: int | None) -> str:
     """Return the name of a database.
 
     Parameters
@@ -28,17 +28,21 @@
     str
         The identifier alone if the time is not known.
     """
-    return identifier if started_at is None else f"{identifier}{MARK}{started_at}"
+    return (
+        identifier
+        if started_at is None
+        else f"{identifier}{START_SEPARATOR}{started_at}"
+    )
 
 
 def get_identifier(name: str) -> str:
     """Return what a database is called outside of the product."""
-    return name.partition(MARK)[0]
+    return name.partition(START_SEPARATOR)[0]
 
 
-def get_start(name: str) -> int:
+def get_start_time(name: str) -> int:
     """Return when a database started, by its name; 0 if that is not known."""
-    started_at = name.partition(MARK)[2]
+    started_at = name.partition(START_SEPARATOR)[2]
     return int(started_at) if started_at else 0
 
 
--- a/beryltrack/settings/mechanisms.py
+++ b/beryltrack/settings/mechanisms.py
@@ -69,7 +69,7 @@
     """An owner lets only so many statements run as the database has room for."""
 
 
-def read_disabled(
+def read_disabled_mechanisms(
     environment: Mapping[str, str],
 ) -> tuple[frozenset[Mechanism], list[Finding]]:
     """Return the mechanisms that the environment switches off.
--- a/beryltrack/settings/messages.py
+++ b/beryltrack/settings/messages.py
@@ -128,7 +128,7 @@
         ``any`` or ``primary``: where the reads may go.
     max_age : float
         Staleness that its reads accept, seconds.
-    knows_session : bool
+    reads_own_writes : bool
         True if a read must also show all that its own session has written.
     statement_timeout : float
         Seconds that one statement may take.
@@ -144,7 +144,7 @@
     group: str
     reads: str
     max_age: float
-    knows_session: bool
+    reads_own_writes: bool
     statement_timeout: float
     target_latency: float
     priority: int
--- a/beryltrack/settings/node.py
+++ b/beryltrack/settings/node.py
@@ -7,11 +7,11 @@
 from beryltrack.settings.mechanisms import Mechanism
 from beryltrack.settings.messages import Endpoint
 
-CHANGE_LIMIT = 3.0
+DEFAULT_CHANGE_LIMIT = 3.0
 """Seconds within which a change of the settings must be in force, if not stated; the
 shortest limit of today's sites."""
 
-DRAIN_LIMIT = 7.0
+DEFAULT_DRAIN_LIMIT = 7.0
 """Seconds until a database that is to leave gets no new work, if not stated."""
 
 
@@ -74,28 +74,28 @@
     snapshot_listen: Endpoint | None = None
     snapshot_sources: tuple[Endpoint, ...] = ()
     is_fenced: bool = True
-    change_limit: float = CHANGE_LIMIT
-    drain_limit: float = DRAIN_LIMIT
+    change_limit: float = DEFAULT_CHANGE_LIMIT
+    drain_limit: float = DEFAULT_DRAIN_LIMIT
     disabled: frozenset[Mechanism] = frozenset()
     capacity: float = 1.0
     tolerance: Tolerance = Tolerance()
     load: LoadPolicy = LoadPolicy()
 
     @property
-    def copies_listen(self) -> Endpoint | None:
+    def cache_listen(self) -> Endpoint | None:
         """Where it tells others of changes in the store: the port after the copies'."""
         place = self.snapshot_listen
         return None if place is None else Endpoint(place.host, place.port + 1)
 
     @property
-    def copies_sources(self) -> tuple[Endpoint, ...]:
+    def cache_sources(self) -> tuple[Endpoint, ...]:
         """Where others may tell of changes in the store."""
         return tuple(
             Endpoint(place.host, place.port + 1) for place in self.snapshot_sources
         )
 
     @property
-    def rights_listen(self) -> Endpoint | None:
+    def quota_listen(self) -> Endpoint | None:
         """Where it takes rights to run accounts' operations: the port after that."""
         place = self.snapshot_listen
         return None if place is None else Endpoint(place.host, place.port + 2)
--- a/beryltrack/settings/plan.py
+++ b/beryltrack/settings/plan.py
@@ -102,7 +102,7 @@
     decider = SettingsDecider()
     decider.observe_list(tree)
     before = set(decider.findings)
-    decider.learn(_overlay(change, tree) for change in changes)
+    decider.merge(_overlay(change, tree) for change in changes)
     return tuple(item for item in decider.findings if item not in before)
 
 
--- a/beryltrack/settings/roster.py
+++ b/beryltrack/settings/roster.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from beryltrack.accounts.messages import AccountSettings
-from beryltrack.settings.incarnations import get_identifier, get_start
+from beryltrack.settings.incarnations import get_identifier, get_start_time
 from beryltrack.settings.messages import (
     DatabaseSettings,
     Endpoint,
@@ -219,7 +219,7 @@
     """Return whether an entry tells what was so before a known one."""
     if told.name == known.name:
         return known.draining and not told.draining
-    return get_start(told.name) < get_start(known.name)
+    return get_start_time(told.name) < get_start_time(known.name)
 
 
 def _is_gone(known: _Known, now: float) -> bool:
--- a/beryltrack/settings/task.py
+++ b/beryltrack/settings/task.py
@@ -137,9 +137,9 @@
         """Tell how many instances share the store; the poll slows down with it."""
         self._fleet_size = fleet_size
 
-    def learn(self, objects: Iterable[PlatformObject]) -> None:
+    def merge(self, objects: Iterable[PlatformObject]) -> None:
         """Take in objects that peers told; older versions change nothing."""
-        self._publish(self._decider.learn(objects), "peers")
+        self._publish(self._decider.merge(objects), "peers")
 
     def wait_ready(self) -> Deferred:
         """Return a Deferred that fires once any settings are known."""
--- a/tests/daemon/test_random_restores.py
+++ b/tests/daemon/test_random_restores.py
@@ -19,7 +19,7 @@
 from beryltrack.objects.http import HttpClient
 from beryltrack.objects.snapshot import SnapshotTask
 from beryltrack.platform.boot import parse_node_settings
-from beryltrack.settings.incarnations import get_identifier, get_start
+from beryltrack.settings.incarnations import get_identifier, get_start_time
 from beryltrack_standins.lines.store import (
     LATE,
     LOST,
@@ -70,7 +70,7 @@
         self.agent.flush()
         self.versions.append(self.node._site.version)
         for name in self.get_databases():
-            identifier, start = get_identifier(name), get_start(name)
+            identifier, start = get_identifier(name), get_start_time(name)
             if start < self.starts.get(identifier, 0):
                 self.forgotten.add((self.site.clock.seconds(), name))
             self.starts[identifier] = start
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -68,8 +68,8 @@
     assert findings == [] and found.version == 7 and found.transaction_idle == 3.0
     own, primary = found.routes
     assert (own.name, own.group, own.reads) == ("lepu", "huvo", "any")
-    assert own.knows_session and own.max_age == 2.5
-    assert primary.reads == "primary" and not primary.knows_session
+    assert own.reads_own_writes and own.max_age == 2.5
+    assert primary.reads == "primary" and not primary.reads_own_writes
     assert found.groups[0].max_connections == 43
 
 
--- a/tests/settings/test_decider.py
+++ b/tests/settings/test_decider.py
@@ -17,11 +17,11 @@
 
 def test_object_that_a_list_lacks_is_deleted_and_stays_so():
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 3, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 3, make_group()),))
     update = decider.observe_list(ObjectList(5, ()))
     assert update.objects == (make_deletion(GROUP_PATH, 5),)
     assert decider.current.groups == ()
-    decider.learn((make_object(GROUP_PATH, 4, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 4, make_group()),))
     assert decider.current.groups == ()
 
 
@@ -35,7 +35,7 @@
     for order in permutations(objects):
         decider = SettingsDecider()
         for item in order:
-            decider.learn((item,))
+            decider.merge((item,))
         assert decider.current.revision == 7
         assert decider.current.groups[0].max_age == 2
         assert decider.current.rules == ()
@@ -43,7 +43,7 @@
 
 def test_list_older_than_an_object_does_not_delete_it():
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 9, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 9, make_group()),))
     decider.observe_list(ObjectList(5, ()))
     assert len(decider.current.groups) == 1
 
@@ -51,14 +51,14 @@
 def test_object_deleted_before_the_list_is_not_learned_from_a_peer():
     decider = SettingsDecider()
     decider.observe_list(ObjectList(5, ()))
-    assert decider.learn((make_object(GROUP_PATH, 4, make_group()),)).objects == ()
-    assert decider.learn((make_object(GROUP_PATH, 6, make_group()),)).changed
+    assert decider.merge((make_object(GROUP_PATH, 4, make_group()),)).objects == ()
+    assert decider.merge((make_object(GROUP_PATH, 6, make_group()),)).changed
 
 
 def test_faulty_object_leaves_the_last_good_one_in_force_and_is_reported():
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 3, make_group(max_age=4)),))
-    update = decider.learn((make_object(GROUP_PATH, 5, BAD),))
+    decider.merge((make_object(GROUP_PATH, 3, make_group(max_age=4)),))
+    update = decider.merge((make_object(GROUP_PATH, 5, BAD),))
     assert not update.changed
     assert update.findings[0].source == GROUP_PATH
     assert decider.current.groups[0].max_age == 4
@@ -69,7 +69,7 @@
     records = [{"before": BAD}, {"before": make_group(max_age=4)}, {"before": None}]
     item = make_object(GROUP_PATH, 5, BAD, audit=records[0], history=records[1:])
     decider = SettingsDecider()
-    decider.learn((item,))
+    decider.merge((item,))
     assert decider.current.groups[0].max_age == 4
     assert decider.findings
 
@@ -79,8 +79,8 @@
     bad = make_object(GROUP_PATH, 5, BAD, audit=records[0], history=records[1:])
     good = make_object(RULE_PATH, 6, {"max_age": 5}, audit=records[0], history=records)
     first, second = SettingsDecider(), SettingsDecider()
-    told = first.learn((bad, good)).objects
-    assert second.learn(told).objects == told
+    told = first.merge((bad, good)).objects
+    assert second.merge(told).objects == told
     assert second.current == first.current
     assert second.findings == first.findings
     assert told[0].value["audit"] == {"before": make_group(max_age=4)}
@@ -90,16 +90,16 @@
 def test_deleted_settings_do_not_come_back_with_a_faulty_object():
     records = [{"before": None}, {"before": make_group()}]
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 3, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 3, make_group()),))
     bad = make_object(GROUP_PATH, 5, BAD, audit=records[0], history=records[1:])
-    assert decider.learn((bad,)).changed
+    assert decider.merge((bad,)).changed
     assert decider.current.groups == ()
 
 
 def test_finding_goes_when_the_object_is_mended():
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 3, BAD),))
-    decider.learn((make_object(GROUP_PATH, 4, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 3, BAD),))
+    decider.merge((make_object(GROUP_PATH, 4, make_group()),))
     assert decider.findings == ()
 
 
@@ -107,13 +107,13 @@
     for value in (None, 3, {}, {"settings": {}, "history": 3}, {"audit": {}}):
         decider = SettingsDecider()
         item = make_object(GROUP_PATH, 3, None)._replace(value=value)
-        assert decider.learn((item,)).findings
+        assert decider.merge((item,)).findings
 
 
 def test_recorded_deletion_takes_the_object_out_of_force():
     decider = SettingsDecider()
-    decider.learn((make_object(GROUP_PATH, 3, make_group()),))
-    decider.learn((make_object(GROUP_PATH, 4, None, audit={"before": make_group()}),))
+    decider.merge((make_object(GROUP_PATH, 3, make_group()),))
+    decider.merge((make_object(GROUP_PATH, 4, None, audit={"before": make_group()}),))
     assert decider.current.groups == ()
 
 
@@ -121,5 +121,5 @@
     monkeypatch.setattr("beryltrack.settings.decider.MAX_TOMBSTONES", 2)
     decider = SettingsDecider()
     paths = [f"settings/shop/rules/r{number}" for number in range(5)]
-    decider.learn(make_deletion(path, 1 + row) for row, path in enumerate(paths))
+    decider.merge(make_deletion(path, 1 + row) for row, path in enumerate(paths))
     assert [item.version for item in decider.objects] == [4, 5]
--- a/tests/settings/test_mechanisms.py
+++ b/tests/settings/test_mechanisms.py
@@ -2,22 +2,28 @@
 
 import pytest
 
-from beryltrack.settings.mechanisms import DISABLED_VARIABLE, Mechanism, read_disabled
+from beryltrack.settings.mechanisms import (
+    DISABLED_VARIABLE,
+    Mechanism,
+    read_disabled_mechanisms,
+)
 
 
 @pytest.mark.parametrize("text", ["", " ", " , "])
 def test_by_default_nothing_is_switched_off(text):
-    assert read_disabled({DISABLED_VARIABLE: text}) == (frozenset(), [])
-    assert read_disabled({}) == (frozenset(), [])
+    assert read_disabled_mechanisms({DISABLED_VARIABLE: text}) == (frozenset(), [])
+    assert read_disabled_mechanisms({}) == (frozenset(), [])
 
 
 def test_names_stand_between_commas():
-    disabled, findings = read_disabled({DISABLED_VARIABLE: "detours, retries"})
+    disabled, findings = read_disabled_mechanisms(
+        {DISABLED_VARIABLE: "detours, retries"}
+    )
     assert disabled == {Mechanism.DETOURS, Mechanism.RETRIES} and findings == []
 
 
 def test_an_unknown_name_is_a_finding():
-    disabled, findings = read_disabled({DISABLED_VARIABLE: "detours,magic"})
+    disabled, findings = read_disabled_mechanisms({DISABLED_VARIABLE: "detours,magic"})
     assert disabled == {Mechanism.DETOURS}
     (finding,) = findings
     assert (finding.source, finding.place) == (DISABLED_VARIABLE, "magic")
--- a/tests/settings/test_restored_settings.py
+++ b/tests/settings/test_restored_settings.py
@@ -86,7 +86,7 @@
         """Let each instance tell the others all that it knows."""
         for one in self.instances:
             for other in self.instances:
-                other.task.learn(one.task.get_objects())
+                other.task.merge(one.task.get_objects())
 
     def get_ages(self):
         return [each.max_age for each in self.instances]
--- a/tests/settings/test_sockets.py
+++ b/tests/settings/test_sockets.py
@@ -82,7 +82,7 @@
     run(old.wait_for, 1)
     run(platform.set_fault, "down", None)
     new = start_proxy(platform, seed=2)
-    run(new.task.learn, old.task.get_objects())
+    run(new.task.merge, old.task.get_objects())
     run(new.task.wait_ready)
     assert new.task.current == old.task.current
     for proxy in (old, new):
--- a/tests/settings/test_spread.py
+++ b/tests/settings/test_spread.py
@@ -72,11 +72,11 @@
 
     @rule(hearer=PROXIES)
     def tell(self, hearer):
-        self.proxies[hearer].learn(self.proxies[1 - hearer].objects)
+        self.proxies[hearer].merge(self.proxies[1 - hearer].objects)
 
     @rule(proxy=PROXIES, back=st.integers(1, 5))
     def tell_old_news(self, proxy, back):
-        self.proxies[proxy].learn(self.log[-back:][:1])
+        self.proxies[proxy].merge(self.log[-back:][:1])
 
     @rule(proxy=PROXIES)
     def restart(self, proxy):
@@ -127,10 +127,10 @@
 @given(PATH_TEXTS | st.text(), JSON | STORED | st.builds(make_group, databases=JSON))
 def test_no_value_in_the_store_harms_the_other_objects(path, value):
     decider = SettingsDecider()
-    decider.learn((make_object(USER_PATH, 1, {"trust": True}),))
-    decider.learn((PlatformObject(path, 2, value, False),))
+    decider.merge((make_object(USER_PATH, 1, {"trust": True}),))
+    decider.merge((PlatformObject(path, 2, value, False),))
     assert [user.name for user in decider.current.users] == ["ana"]
     again = SettingsDecider()
-    again.learn(decider.objects)
+    again.merge(decider.objects)
     assert again.current[1:] == decider.current[1:]
     assert again.findings == decider.findings
--- a/tests/settings/test_task.py
+++ b/tests/settings/test_task.py
@@ -85,7 +85,7 @@
     store.answer(DOWN)
     assert not ready.called
     item = make_object(GROUP_PATH, 2, make_group())
-    task.learn((item,))
+    task.merge((item,))
     assert ready.called
     assert told == [(item,)]
     assert len(task.current.groups) == 1
