--- a/beryltrack/callers/caller.py
+++ b/beryltrack/callers/caller.py
@@ -15,8 +15,8 @@
 from beryltrack.callers.messages import Request
 from beryltrack.callers.statements import StatementTable
 from beryltrack.errors import SqlError
-from beryltrack.wire.answers import AnswerReader
 from beryltrack.wire.messages import Producer, TransactionStatus
+from beryltrack.wire.responses import ResponseReader
 
 # Seconds that a caller may leave an answer unread before it is cut off: it
 # holds a target connection all that time.
@@ -83,7 +83,7 @@
         self._on_cancel: Callable[[], object] | None = None
         self._on_gone: Callable[[], object] | None = None
         self._on_drained: Callable[[], object] | None = None
-        self._flushed: AnswerReader | None = None
+        self._flushed: ResponseReader | None = None
 
     @property
     def user(self) -> str:
@@ -126,7 +126,7 @@
 
     def begin_flushed(self) -> None:
         """Answer the next unit without ReadyForQuery, as after a Flush."""
-        self._flushed = AnswerReader()
+        self._flushed = ResponseReader()
         self._flushed.start(())
 
     def end_flushed(self) -> bool:
--- a/beryltrack/callers/logon.py
+++ b/beryltrack/callers/logon.py
@@ -129,9 +129,9 @@
         for message in self._wire.receive(data):
             yield from self._take(message)
 
-    def take_rest(self) -> bytes:
+    def take_undecoded(self) -> bytes:
         """Return what came after the log-on."""
-        return self._wire._decoder.take_rest()
+        return self._wire._decoder.take_undecoded()
 
     def encode_welcome(
         self, parameters: dict[str, str], key: int, secret: bytes
--- a/beryltrack/callers/protocol.py
+++ b/beryltrack/callers/protocol.py
@@ -138,7 +138,7 @@
             if self.phase is Phase.CLOSING:
                 return
             if self.phase is Phase.READY:
-                rest = self._logon.take_rest()
+                rest = self._logon.take_undecoded()
                 self._logon = None
                 self._receive_requests(rest)
                 return
--- a/beryltrack/connections/logon.py
+++ b/beryltrack/connections/logon.py
@@ -24,8 +24,8 @@
 
 from beryltrack.errors import SqlError
 from beryltrack.groups.messages import LogPosition
-from beryltrack.wire.answers import POSITION_PARAMETER, decode_error, parse_position
 from beryltrack.wire.framing import BoundedBackendDecoder
+from beryltrack.wire.responses import POSITION_PARAMETER, decode_error, parse_position
 
 APPLICATION_NAME = "beryltrack"
 
@@ -102,9 +102,9 @@
                 break
         return wire
 
-    def take_rest(self) -> bytes:
+    def take_undecoded(self) -> bytes:
         """Return what came after ReadyForQuery."""
-        return self._wire._decoder.take_rest()
+        return self._wire._decoder.take_undecoded()
 
     def _take(self, message: PGMessage) -> bytes:
         """Handle one message; return what to send."""
--- a/beryltrack/connections/target.py
+++ b/beryltrack/connections/target.py
@@ -31,8 +31,8 @@
 )
 from beryltrack.groups.messages import LogPosition
 from beryltrack.settings.messages import Endpoint
-from beryltrack.wire.answers import AnswerReader
 from beryltrack.wire.messages import Edit, ResponseEnd, ResponseSink
+from beryltrack.wire.responses import ResponseReader
 from beryltrack.wire.sockets import tune_socket
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
         self._reactor = reactor
         self._logon: TargetLogon | None = TargetLogon(credentials)
         self._key = BackendKeyData()
-        self._reader = AnswerReader()
+        self._reader = ResponseReader()
         self._sink: ResponseSink | None = None
         self._answer: Deferred[ResponseEnd] | None = None
         self._closed: Deferred[None] = Deferred()
@@ -101,7 +101,7 @@
         sink : ResponseSink
             Takes the frames of the answer as they come.
         edits : tuple of Edit
-            See `AnswerReader.start`.
+            See `ResponseReader.start`.
 
         Returns
         -------
@@ -198,7 +198,7 @@
             self._logon = None
             self.position = logon.position
             self._key = logon.key
-            self._receive_answer(logon.take_rest())
+            self._receive_answer(logon.take_undecoded())
             self.ready.callback(self)
 
     def _receive_answer(self, data: bytes) -> None:
@@ -208,7 +208,7 @@
         if end is None:
             return
         # What follows the answer must not be left for the next request.
-        if self._reader.has_rest:
+        if self._reader.has_buffered_bytes:
             self._reader.feed(b"", _discard)
         if end.position is not None:
             self.position = end.position
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -172,7 +172,7 @@
     Mechanism.FEW_CONNECTIONS: _change(
         "pools", open_patience=0.0, idle_timeout=LONG_IDLE
     ),
-    Mechanism.EXPECTED_TIME: _change("routing", by_time=False),
+    Mechanism.EXPECTED_TIME: _change("routing", ranks_by_time=False),
     Mechanism.KEPT_CONNECTIONS: _change("account_pools", kept_part=0.0),
     Mechanism.PARALLEL_PROOFS: _change("routing", runs_unproven=False),
     Mechanism.REPLICA_PAUSE: _change("routing", lagging_pause=0.0),
@@ -180,7 +180,7 @@
     Mechanism.LONG_PROOFS: _change("routing", confirmed_within=SHORT_PROOFS),
     Mechanism.LONG_QUEUE: lambda each: _change_pools(each, most_wait=SHORT_QUEUE),
     Mechanism.NEAR_REPLICAS: _change("routing", prefers_near=False),
-    Mechanism.OWN_REPLICAS: _change("routing", prefers_own=False),
+    Mechanism.OWN_REPLICAS: _change("routing", prefers_account_replica=False),
     Mechanism.PRIORITY_ORDER: _change("load", is_ordered=False),
     Mechanism.RETRIES: _change("retries", most_attempts=1),
     Mechanism.RETRY_BUDGET: _change(
--- a/beryltrack/platform/caller.py
+++ b/beryltrack/platform/caller.py
@@ -9,7 +9,7 @@
 from beryltrack.platform.codes import encode_error
 from beryltrack.platform.statements import parse_query
 from beryltrack.requests.session import CallerSession
-from beryltrack.sessions.kept import KeptState
+from beryltrack.sessions.retained_state import RetainedState
 from beryltrack.settings.messages import RouteSettings
 from beryltrack.wire.line_buffer import LineBuffer
 from beryltrack.wire.messages import TransactionStatus
@@ -28,7 +28,7 @@
 
     def __init__(self, factory: SequentialFactory):
         super().__init__(factory)
-        self.lines = KeptState()
+        self.lines = RetainedState()
         self._buffer = LineBuffer()
 
     def split(self, data: bytes) -> list[bytes]:
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -34,8 +34,8 @@
 from beryltrack.requests.session import CallerSession, PinnedTransaction
 from beryltrack.requests.sink import AnswerSink
 from beryltrack.routing.messages import StatementKind
-from beryltrack.sessions.kept import KeptState, Shape
-from beryltrack.sessions.marks import READS_PRIMARY, RequestMarks
+from beryltrack.sessions.request_options import READS_PRIMARY, RequestOptions
+from beryltrack.sessions.retained_state import RetainedState, StatementShape
 from beryltrack.sessions.tokens import NEW_TOKEN
 from beryltrack.settings.messages import GroupSettings, RouteSettings, RuleSettings
 from beryltrack.wire.messages import ResponseEnd, ResponseSink, TransactionStatus
@@ -118,7 +118,7 @@
                 return Failure(error)
             caller.session.is_tracked = route.reads != READS_PRIMARY
             caller.session.has_written = False
-        marks = RequestMarks(route.max_age, "", True, route.reads)
+        marks = RequestOptions(route.max_age, "", True, route.reads)
         return Success(LinePlan(unit, kind, marks, self._get_policy(route), shape))
 
     def answer_locally(self, plan: LinePlan, caller: LineCaller) -> bool:
@@ -199,8 +199,8 @@
 
 def format_setups(
     connection: LineTarget,
-    session: KeptState,
-    shape: Shape | None,
+    session: RetainedState,
+    shape: StatementShape | None,
     account: str = "",
 ) -> list[bytes]:
     """Return the statements that give a connection a session's state.
@@ -212,9 +212,9 @@
     ----------
     connection : LineTarget
         The connection.
-    session : KeptState
+    session : RetainedState
         What the session has set and prepared.
-    shape : Shape or None
+    shape : StatementShape or None
         What the statement to run executes, if it is a prepared one.
     account : str
         Whose statement it is.
@@ -242,7 +242,7 @@
 
 def run_statement(
     connection: LineTarget,
-    session: KeptState,
+    session: RetainedState,
     unit: LinePlan,
     after: LogPosition | None,
     account: str,
--- a/beryltrack/platform/relay.py
+++ b/beryltrack/platform/relay.py
@@ -30,7 +30,7 @@
 from beryltrack.relay import wire_format
 from beryltrack.relay.handler import NOT_OWNER_MESSAGE, AgedProof, RelayHandler
 from beryltrack.requests.protocol import RunResult
-from beryltrack.sessions.kept import Shape
+from beryltrack.sessions.retained_state import StatementShape
 from beryltrack.wire.messages import ResponseEnd
 
 _LOCAL = frozenset((b"SET", b"PREPARE", b"DEALLOCATE"))
@@ -45,13 +45,13 @@
         What the database must show, None for nothing.
     statement : LineStatement
         The statement.
-    shape : Shape or None
+    shape : StatementShape or None
         What an EXECUTE runs.
     """
 
     after: LogPosition | None
     statement: LineStatement
-    shape: Shape | None
+    shape: StatementShape | None
 
     @property
     def proves_lead(self) -> bool:
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -10,7 +10,7 @@
 from beryltrack.objects.fields import Field, parse_name, parse_number
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.rows import ReadRows
-from beryltrack.sessions.marks import READS_ANY, READS_PRIMARY
+from beryltrack.sessions.request_options import READS_ANY, READS_PRIMARY
 from beryltrack.settings.incarnations import MARK, make_name
 from beryltrack.settings.messages import RouteSettings
 from beryltrack.settings.roster import GroupLimits, RosterEntry, SiteConfiguration
--- a/beryltrack/platform/statements.py
+++ b/beryltrack/platform/statements.py
@@ -5,8 +5,8 @@
 
 from beryltrack.requests.protocol import RequestPolicy
 from beryltrack.routing.messages import StatementKind
-from beryltrack.sessions.kept import KeptState, Shape
-from beryltrack.sessions.marks import RequestMarks
+from beryltrack.sessions.request_options import RequestOptions
+from beryltrack.sessions.retained_state import RetainedState, StatementShape
 
 NEEDS_PRIMARY = frozenset((StatementKind.WRITE, StatementKind.BEGIN))
 """What a database refuses that does not lead."""
@@ -44,19 +44,19 @@
         The statement as the caller sent it.
     kind : StatementKind
         What it does.
-    marks : RequestMarks
+    marks : RequestOptions
         What its route asks for.
     policy : RequestPolicy
         The times that bound it.
-    shape : Shape or None
+    shape : StatementShape or None
         What an EXECUTE runs.
     """
 
     statement: LineStatement
     kind: StatementKind
-    marks: RequestMarks
+    marks: RequestOptions
     policy: RequestPolicy
-    shape: Shape | None = None
+    shape: StatementShape | None = None
 
     @property
     def request_id(self) -> str:
@@ -119,7 +119,7 @@
 }
 
 
-def get_kind(statement: LineStatement, shape: Shape | None) -> StatementKind:
+def get_kind(statement: LineStatement, shape: StatementShape | None) -> StatementKind:
     """Return what a statement does."""
     if statement.verb == b"BEGIN":
         is_read = bool(statement.fields)
@@ -130,11 +130,11 @@
     return _KINDS[statement.verb]
 
 
-def apply_local(statement: LineStatement, kept: KeptState) -> bool:
+def apply_local(statement: LineStatement, kept: RetainedState) -> bool:
     """Change the session as SET, PREPARE or DEALLOCATE asks; False if it cannot."""
     fields = statement.fields
     if statement.verb == b"DEALLOCATE":
         return kept.deallocate(fields[0])
     if statement.verb == b"SET":
         return kept.set_value(fields[0], fields[1])
-    return kept.prepare(fields[0], Shape(fields[1], fields[2]))
+    return kept.prepare(fields[0], StatementShape(fields[1], fields[2]))
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -15,7 +15,7 @@
 from beryltrack.platform import lines
 from beryltrack.platform.codes import decode_error, encode_error
 from beryltrack.relay import wire_format
-from beryltrack.sessions.kept import Shape
+from beryltrack.sessions.retained_state import StatementShape
 from beryltrack.settings.messages import Endpoint
 from beryltrack.wire.line_buffer import LINE_END, LineBuffer
 from beryltrack.wire.messages import ResponseEnd, ResponseSink
@@ -40,7 +40,7 @@
     ):
         super().__init__(start, limits, seconds, account)
         self.values: dict[bytes, bytes] = {}
-        self.prepared: dict[Shape, bytes] = {}
+        self.prepared: dict[StatementShape, bytes] = {}
         self.numbers = itertools.count(1)
         self._buffer = LineBuffer()
         self._setups = 0
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/course.py
@@ -123,7 +123,7 @@
             sequence=next(context.services.sequence),
             account=context.caller.account,
             may_run_unproven=context.services.is_crowded() and not self._lacked_proof,
-            way_zone=context.services.ways.get_zone(context.caller.account),
+            via_zone=context.services.ways.get_zone(context.caller.account),
         )
 
     async def _attempt(self, target: FoundTarget) -> tuple[NextStep, str]:
--- a/beryltrack/requests/plan.py
+++ b/beryltrack/requests/plan.py
@@ -28,7 +28,7 @@
 from beryltrack.requests.protocol import RequestPolicy
 from beryltrack.routing.messages import StatementKind
 from beryltrack.routing.statements import classify, combine_kinds
-from beryltrack.sessions.marks import RequestMarks, get_marks
+from beryltrack.sessions.request_options import RequestOptions, get_request_options
 from beryltrack.settings.messages import GroupSettings, RuleSettings
 
 _CHANGING = frozenset((StatementKind.WRITE, StatementKind.COMMIT))
@@ -48,7 +48,7 @@
         The text of its statements.
     extended : ExtendedPlan or None
         Which statements a batch uses; None for a simple query.
-    marks : RequestMarks
+    marks : RequestOptions
         What is asked for it beside its statements.
     """
 
@@ -56,7 +56,7 @@
     kind: StatementKind
     text: str
     extended: ExtendedPlan | None
-    marks: RequestMarks
+    marks: RequestOptions
 
     @property
     def request_id(self) -> str:
@@ -131,7 +131,9 @@
     if kind is StatementKind.UNSUPPORTED:
         hint = "Connections to targets are shared between callers."
         return Failure(make_unsupported_error("this statement is not supported", hint))
-    marks, findings = get_marks(caller.settings, text, group, rules, caller.user)
+    marks, findings = get_request_options(
+        caller.settings, text, group, rules, caller.user
+    )
     if findings:
         return Failure(make_marks_error(findings))
     return Success(RequestPlan(request, kind, text, extended, marks))
--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -17,7 +17,7 @@
 from beryltrack.groups.messages import LogPosition
 from beryltrack.requests.sink import AnswerSink
 from beryltrack.routing.messages import StatementKind
-from beryltrack.sessions.marks import RequestMarks
+from beryltrack.sessions.request_options import RequestOptions
 from beryltrack.settings.messages import GroupSettings, RuleSettings
 from beryltrack.wire.messages import ResponseEnd, ResponseSink, TransactionStatus
 
@@ -91,7 +91,7 @@
         """The kind of its statements together."""
 
     @property
-    def marks(self) -> RequestMarks:
+    def marks(self) -> RequestOptions:
         """What is asked for it beside its statements."""
 
     @property
--- a/beryltrack/requests/session_state.py
+++ b/beryltrack/requests/session_state.py
@@ -15,7 +15,7 @@
 from beryltrack.requests.session import CallerSession
 from beryltrack.routing.messages import StatementKind
 from beryltrack.routing.statements import classify
-from beryltrack.sessions.marks import (
+from beryltrack.sessions.request_options import (
     IDEMPOTENT,
     MAX_AGE,
     REQUEST_ID,
--- a/beryltrack/requests/target_settings.py
+++ b/beryltrack/requests/target_settings.py
@@ -10,7 +10,7 @@
 from beryltrack.callers.caller import Caller
 from beryltrack.connections.target import TargetConnection
 from beryltrack.requests.ledger import quote_literal
-from beryltrack.sessions.marks import SETTING_PREFIX
+from beryltrack.sessions.request_options import SETTING_PREFIX
 
 # Reported to the caller at its start-up, and the same on all connections.
 _FIXED = frozenset(
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -34,7 +34,7 @@
     WriteRequest,
 )
 from beryltrack.routing.waits import wait_for_target
-from beryltrack.sessions.marks import READS_PRIMARY
+from beryltrack.sessions.request_options import READS_PRIMARY
 
 # Reasons that pass when the group's view changes, so that waiting helps.
 _PASSING = frozenset(
--- a/beryltrack/routing/decider.py
+++ b/beryltrack/routing/decider.py
@@ -33,7 +33,7 @@
 )
 from beryltrack.routing.policy import RoutingPolicy
 from beryltrack.routing.ranking import Rank, make_ranking, pick_replica
-from beryltrack.sessions.marks import READS_PRIMARY
+from beryltrack.sessions.request_options import READS_PRIMARY
 
 NOT_AVAILABLE = "57P03"
 """SQLSTATE of a request that was not run as no database could take it."""
@@ -256,7 +256,7 @@
     )
     targets = tuple(
         candidate.target
-        for candidate in candidates[: policy.most_awaited]
+        for candidate in candidates[: policy.max_awaited]
         if candidate.lag < policy.stalled_after
     )
     return WaitForTarget(targets, timeout) if targets else None
--- a/beryltrack/routing/messages.py
+++ b/beryltrack/routing/messages.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from beryltrack.groups.messages import LogPosition
-from beryltrack.sessions.marks import READS_ANY
+from beryltrack.sessions.request_options import READS_ANY
 
 
 class StatementKind(Enum):
@@ -79,7 +79,7 @@
     may_run_unproven : bool
         True if it may run at the primary while the proof that this one leads is asked
         for; its answer is held until then.
-    way_zone : str
+    via_zone : str
         Availability zone of the instance that runs the account's operations; empty if
         it is unknown.
     """
@@ -99,7 +99,7 @@
     tried_proof: bool = False
     account: str = ""
     may_run_unproven: bool = False
-    way_zone: str = ""
+    via_zone: str = ""
 
 
 class WriteRequest(NamedTuple):
--- a/beryltrack/routing/policy.py
+++ b/beryltrack/routing/policy.py
@@ -13,7 +13,7 @@
         of the read, so that a wait for a sample is a part of it. Zero: no wait.
     stalled_after : float
         A replica that has been behind for longer is not waited for, seconds.
-    most_awaited : int
+    max_awaited : int
         Replicas that are waited for at once; the first that is ready serves.
     refresh_share : float
         Part of the accepted staleness after which ages are proven anew.
@@ -45,19 +45,19 @@
         ask it whether it leads.
     prefers_near : bool
         True if replicas of the node's own availability zone are preferred.
-    prefers_own : bool
+    prefers_account_replica : bool
         True if the reads of an account prefer one replica instead: connections belong
         to accounts, and a new one costs as much as a read. It is one of the zone of the
         instance that runs them, if there is one and `prefers_near` holds; else the same
         one on all nodes.
-    by_time : bool
+    ranks_by_time : bool
         True if targets are ranked by the time in which they are expected to be done,
         where their load is known.
     """
 
     max_wait: float = 0.0055
     stalled_after: float = 0.3
-    most_awaited: int = 2
+    max_awaited: int = 2
     refresh_share: float = 0.5
     sample_timeout: float = 1.0
     confirmed_within: float = 0.5
@@ -69,5 +69,5 @@
     samples_position: bool = True
     runs_unproven: bool = False
     prefers_near: bool = True
-    prefers_own: bool = True
-    by_time: bool = True
+    prefers_account_replica: bool = True
+    ranks_by_time: bool = True
--- a/beryltrack/routing/ranking.py
+++ b/beryltrack/routing/ranking.py
@@ -102,7 +102,7 @@
     places = {item.name: _get_load(loads, item.name) for item in replicas}
     works = [load.work for load in places.values() if load.work > 0.0]
     longest = max((load.wait for load in places.values()), default=0.0)
-    if not policy.by_time or not (works or longest):
+    if not policy.ranks_by_time or not (works or longest):
         return lambda name: _rank_by_work(places[name], is_far)
     usual = sum(works) / len(works) if works else USUAL_WORK
 
@@ -124,13 +124,13 @@
     An account's read runs on a connection of its owner, so that the bytes of its answer
     cross zones on the way from the database too, unless that is in the owner's zone.
     """
-    if request.account and policy.prefers_own and replicas:
+    if request.account and policy.prefers_account_replica and replicas:
         names = [item.name for item in replicas]
-        near = [n for n in names if _get_load(loads, n).zone == request.way_zone]
-        fit = near if near and policy.prefers_near and request.way_zone else names
+        near = [n for n in names if _get_load(loads, n).zone == request.via_zone]
+        fit = near if near and policy.prefers_near and request.via_zone else names
         own = max(fit, key=lambda name: compute_rank(request.account, name))
         return lambda load: load.database != own
-    zone = request.way_zone or request.zone
+    zone = request.via_zone or request.zone
     return lambda load: policy.prefers_near and load.zone != zone
 
 
--- a/beryltrack/routing/reads.py
+++ b/beryltrack/routing/reads.py
@@ -13,7 +13,7 @@
     PAIRED_KEYWORDS,
     READ_ONLY_FUNCTIONS,
 )
-from beryltrack.routing.words import DIALECT, LITERAL, QUOTED, Words
+from beryltrack.routing.tokenizer import DIALECT, LITERAL, QUOTED, Words
 
 READ_OPENINGS = frozenset(("select", "with", "values", "table", "("))
 """The first words of the statements that can be reads."""
--- a/beryltrack/routing/statements.py
+++ b/beryltrack/routing/statements.py
@@ -21,7 +21,7 @@
 from beryltrack.routing.functions import SESSION_LOCKS, SET_CONFIG
 from beryltrack.routing.messages import StatementKind
 from beryltrack.routing.reads import is_read
-from beryltrack.routing.words import Words, get_words, split_tokens
+from beryltrack.routing.tokenizer import Words, get_words, split_tokens
 
 MAX_TEXT_LENGTH = 32768
 """Longer texts are not looked at and count as writes, characters."""
--- a/beryltrack/sessions/marks.py
+++ b/beryltrack/sessions/request_options.py
@@ -19,8 +19,8 @@
 MAX_AGE = "max_age"
 REQUEST_ID = "request_id"
 IDEMPOTENT = "idempotent"
-MARK_NAMES = (MAX_AGE, REQUEST_ID, IDEMPOTENT)
-MARK_SETTINGS = frozenset(SETTING_PREFIX + name for name in MARK_NAMES)
+OPTION_NAMES = (MAX_AGE, REQUEST_ID, IDEMPOTENT)
+OPTION_SETTINGS = frozenset(SETTING_PREFIX + name for name in OPTION_NAMES)
 
 MAX_REQUEST_ID_LENGTH = 128
 LONGEST_MAX_AGE = 86400.0
@@ -38,7 +38,7 @@
 _Value = TypeVar("_Value")
 
 
-class RequestMarks(NamedTuple):
+class RequestOptions(NamedTuple):
     """What is asked for a request beside its statement.
 
     Parameters
@@ -60,13 +60,13 @@
     reads: str
 
 
-def get_marks(
+def get_request_options(
     session_settings: Mapping[str, str],
     statement: str,
     group: GroupSettings,
     rules: tuple[RuleSettings, ...],
     user: str,
-) -> tuple[RequestMarks, list[Finding]]:
+) -> tuple[RequestOptions, list[Finding]]:
     """Return the marks of a request.
 
     Parameters
@@ -85,7 +85,7 @@
 
     Returns
     -------
-    marks : RequestMarks
+    marks : RequestOptions
         The marks; what is malformed counts as not written.
     findings : list of Finding
         All malformed tags and settings. A request with findings is to be
@@ -95,12 +95,12 @@
     marks = _get_default_marks(group, rule)
     tags = get_tags(statement)
     # Most requests are marked nowhere, so nothing needs to be read for them.
-    if not tags and MARK_SETTINGS.isdisjoint(session_settings):
+    if not tags and OPTION_SETTINGS.isdisjoint(session_settings):
         return marks, []
     texts = [
         *(
             _Text("session", name, session_settings.get(SETTING_PREFIX + name))
-            for name in MARK_NAMES
+            for name in OPTION_NAMES
         ),
         *(_Text("statement tag", tag.key, tag.value) for tag in tags),
     ]
@@ -164,12 +164,14 @@
 }
 
 
-def _get_default_marks(group: GroupSettings, rule: RuleSettings | None) -> RequestMarks:
+def _get_default_marks(
+    group: GroupSettings, rule: RuleSettings | None
+) -> RequestOptions:
     """Return the marks that operators set for a request."""
     if rule is None:
-        return RequestMarks(group.max_age, "", True, READS_ANY)
+        return RequestOptions(group.max_age, "", True, READS_ANY)
     max_age = _get_first(rule.max_age, group.max_age)
-    return RequestMarks(max_age, "", _get_first(rule.idempotent, True), rule.reads)
+    return RequestOptions(max_age, "", _get_first(rule.idempotent, True), rule.reads)
 
 
 def _get_first(value: _Value | None, default: _Value) -> _Value:
@@ -178,8 +180,8 @@
 
 
 def _apply_texts(
-    marks: RequestMarks, texts: list[_Text]
-) -> tuple[RequestMarks, list[Finding]]:
+    marks: RequestOptions, texts: list[_Text]
+) -> tuple[RequestOptions, list[Finding]]:
     """Return marks after the texts were read, the last of a name counting."""
     findings = []
     for source, name, text in texts:
--- a/beryltrack/wire/framing.py
+++ b/beryltrack/wire/framing.py
@@ -111,7 +111,7 @@
         self._messages.append(message)
         self._compact()
 
-    def take_rest(self) -> bytes:
+    def take_undecoded(self) -> bytes:
         """Return the bytes not yet decoded, and forget them."""
         rest = bytes(self._buf[self._pos :])
         self.clear()
--- a/beryltrack/wire/answers.py
+++ b/beryltrack/wire/responses.py
@@ -73,7 +73,7 @@
     )
 
 
-class AnswerReader:
+class ResponseReader:
     """Reads the answer to one request at a time; sans-I/O.
 
     Call `start` for each request and `feed` with what the target sends, until
@@ -101,7 +101,7 @@
         self.running = False
 
     @property
-    def has_rest(self) -> bool:
+    def has_buffered_bytes(self) -> bool:
         """True if bytes wait for what completes them."""
         return bool(self._rest)
 
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -47,7 +47,7 @@
 from beryltrack.relay.access import DatabaseAccess
 from beryltrack.relay.handler import Lender, RelayHandler
 from beryltrack.relay.load_reporter import LoadReporter
-from beryltrack.sessions.kept import KeptState
+from beryltrack.sessions.retained_state import RetainedState
 from beryltrack.settings.messages import Endpoint, GroupSettings
 from beryltrack.wire.messages import TransactionStatus
 from beryltrack.wire.sinks import CollectingSink
@@ -134,7 +134,7 @@
             session.way, session.demand = "owner", demand
             session.on_report = lambda report, since: told.append(report)
             running = run_statement(
-                session, KeptState(), unit, None, "", CollectingSink()
+                session, RetainedState(), unit, None, "", CollectingSink()
             )
             end = await running.addTimeout(1.0, reactor)
             session.close()
--- a/tests/requests/scripted.py
+++ b/tests/requests/scripted.py
@@ -19,7 +19,7 @@
 from beryltrack.requests.session import CallerSession
 from beryltrack.requests.targets import FoundTarget
 from beryltrack.routing.messages import StatementKind
-from beryltrack.sessions.marks import RequestMarks
+from beryltrack.sessions.request_options import RequestOptions
 from beryltrack.settings.messages import GroupSettings
 from beryltrack.transactions.decider import CommitOutcome
 from beryltrack.wire.messages import ResponseEnd, TransactionStatus
@@ -108,7 +108,7 @@
     services = make_services(
         clock, "zone-a", InstanceMetrics("test"), None, PostgresProtocol()
     )
-    marks = RequestMarks(0.0, request_id, not request_id, "any")
+    marks = RequestOptions(0.0, request_id, not request_id, "any")
     plan = RequestPlan(SimpleRequest(text, b""), kind, text, None, marks)
     ticket = Ticket(0, services.admission)
     runtime = FakeRuntime(outcomes)
--- a/tests/routing/test_checked_reads.py
+++ b/tests/routing/test_checked_reads.py
@@ -11,7 +11,7 @@
     UseTarget,
     WriteRequest,
 )
-from beryltrack.sessions.marks import READS_PRIMARY
+from beryltrack.sessions.request_options import READS_PRIMARY
 
 POLICY = RoutingPolicy(max_wait=0.0, checks_positions=True)
 OLD, NEW = LogPosition(1, 5), LogPosition(1, 9)
--- a/tests/routing/test_decider.py
+++ b/tests/routing/test_decider.py
@@ -14,7 +14,7 @@
     UseTarget,
     WriteRequest,
 )
-from beryltrack.sessions.marks import READS_PRIMARY
+from beryltrack.sessions.request_options import READS_PRIMARY
 
 NOW = 100.0
 HISTORY = (TermStart(1, 0), TermStart(2, 50))
@@ -261,10 +261,10 @@
 ZONED = [TargetLoad(n, z, 0, 4) for n, z in (("a", "z1"), ("b", "z2"), ("c", "z2"))]
 
 
-def choose_for(account, way_zone, policy=None, zone="z1"):
+def choose_for(account, via_zone, policy=None, zone="z1"):
     """Return where an account's read runs, of replicas in two zones."""
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "abc"))
-    request = _read(zone=zone, account=account, way_zone=way_zone)
+    request = _read(zone=zone, account=account, via_zone=via_zone)
     policy = policy or RoutingPolicy()
     return choose_target(view, request, tuple(ZONED), NOW, policy).database
 
@@ -284,7 +284,7 @@
         assert choose_for(account, "z9") == choose_for(account, "")
 
 
-@pytest.mark.parametrize("figure", ["prefers_near", "prefers_own"])
+@pytest.mark.parametrize("figure", ["prefers_near", "prefers_account_replica"])
 def test_reads_in_the_zone_of_their_way_can_be_switched_off(figure):
     policy = RoutingPolicy(**{figure: False})
     chosen = {choose_for(str(each), "z1", policy) for each in range(20)}
@@ -295,7 +295,7 @@
 def test_without_that_preference_an_accounts_reads_stay_near():
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "ab"))
     loads = TargetLoad("a", "z1", 0, 4), TargetLoad("b", "z2", 0, 4)
-    policy = RoutingPolicy(prefers_own=False)
+    policy = RoutingPolicy(prefers_account_replica=False)
     for account in map(str, range(20)):
         request = _read(zone="z2", account=account)
         assert choose_target(view, request, loads, 100.0, policy).database == "b"
--- a/tests/routing/test_ranking.py
+++ b/tests/routing/test_ranking.py
@@ -84,7 +84,7 @@
 
 def test_the_expected_time_can_be_switched_off():
     loads = make_load("near", wait=0.5), make_load("far")
-    assert count_near(*loads, policy=RoutingPolicy(by_time=False)) == 1.0
+    assert count_near(*loads, policy=RoutingPolicy(ranks_by_time=False)) == 1.0
 
 
 def test_an_accounts_own_replica_is_worth_a_statements_time():
--- a/tests/sessions/test_marks.py
+++ b/tests/sessions/test_marks.py
@@ -4,11 +4,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beryltrack.sessions.marks import (
+from beryltrack.sessions.request_options import (
     READS_ANY,
     READS_PRIMARY,
-    RequestMarks,
-    get_marks,
+    RequestOptions,
+    get_request_options,
     parse_duration,
 )
 from beryltrack.sessions.rules import RuleSelector
@@ -21,11 +21,11 @@
 
 
 def _get(session=None, statement="select 1", rules=()):
-    return get_marks(session or {}, statement, GROUP, tuple(rules), "ana")
+    return get_request_options(session or {}, statement, GROUP, tuple(rules), "ana")
 
 
 def test_group_gives_the_default():
-    assert _get() == (RequestMarks(1.5, "", True, READS_ANY), [])
+    assert _get() == (RequestOptions(1.5, "", True, READS_ANY), [])
 
 
 def test_mark_nearest_to_the_request_counts():
@@ -47,7 +47,7 @@
         RULE._replace(max_age=6.0),
     ]
     marks, _ = _get(statement="select a from t", rules=rules)
-    assert marks == RequestMarks(1.5, "", False, READS_PRIMARY)
+    assert marks == RequestOptions(1.5, "", False, READS_PRIMARY)
 
 
 def test_rules_are_selected_anew_when_the_settings_change():
@@ -68,14 +68,14 @@
 def test_request_is_marked_by_session_and_tag():
     session = {"beryltrack.idempotent": "off", "application_name": "x"}
     statement = "insert into t values (1) /* beryltrack_request_id='a%2F1' */"
-    assert _get(session, statement)[0] == RequestMarks(1.5, "a/1", False, READS_ANY)
+    assert _get(session, statement)[0] == RequestOptions(1.5, "a/1", False, READS_ANY)
 
 
 def test_all_malformed_marks_are_found():
     session = {"beryltrack.max_age": "soon", "beryltrack.idempotent": "perhaps"}
     statement = "select 1 /* beryltrack_request_id='a b', beryltrack_maxage='1s' */"
     marks, findings = _get(session, statement)
-    assert marks == RequestMarks(1.5, "", True, READS_ANY)
+    assert marks == RequestOptions(1.5, "", True, READS_ANY)
     assert [(finding.source, finding.place) for finding in findings] == [
         ("session", "max_age"),
         ("session", "idempotent"),
@@ -124,4 +124,4 @@
 @given(st.text("/*-'\"$ab=\\%\n", max_size=20))
 def test_any_comment_gives_marks(text):
     marks, _ = _get(statement=f"select /* beryltrack_{text} */ {text}")
-    assert isinstance(marks, RequestMarks)
+    assert isinstance(marks, RequestOptions)
--- a/tests/wire/test_answers.py
+++ b/tests/wire/test_answers.py
@@ -5,8 +5,8 @@
 from pygwire.exceptions import ProtocolError
 
 from beryltrack.groups.messages import LogPosition
-from beryltrack.wire.answers import AnswerReader, CopyStarted
 from beryltrack.wire.messages import Edit, TransactionStatus
+from beryltrack.wire.responses import CopyStarted, ResponseReader
 
 ROW = m.DataRow([b"a" * 9]).to_wire()
 COMPLETE = m.CommandComplete("SELECT 1").to_wire()
@@ -21,7 +21,7 @@
 
 def read(*parts, edits=()):
     """Feed the parts; return the end and what was passed on."""
-    reader, passed = AnswerReader(), []
+    reader, passed = ResponseReader(), []
     reader.start(edits)
     ends = [reader.feed(part, passed.append) for part in parts]
     return next((end for end in ends if end), None), b"".join(passed)
@@ -64,7 +64,7 @@
 
 
 def test_frames_outside_of_an_answer_are_refused():
-    reader = AnswerReader()
+    reader = ResponseReader()
     assert reader.feed(NOTICE + POSITION, print) is None
     for frame in (ROW, COMPLETE, READY, ERROR):
         with pytest.raises(ProtocolError):
