--- a/beryltrack/wire/__init__.py
+++ b/beryltrack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded framing and pass-through of PostgreSQL frames on top of pygwire."""
+"""PostgreSQL wire protocol on top of pygwire: bounded framing and pass-through."""
--- a/beryltrack/wire/framing.py
+++ b/beryltrack/wire/framing.py
@@ -1,8 +1,8 @@
 """Size-bounded framing on top of pygwire's strategies and decoders.
 
-pygwire takes any length up to one gigabyte from whoever connects. Here each
-phase has a bound of its own, so that a stranger cannot make the proxy collect
-bytes, and a length that is too small for its own field is refused.
+pygwire accepts any length up to one gigabyte from any peer. Here each connection
+phase has a bound of its own, so that an unauthenticated peer cannot make the proxy
+buffer much, and a length that is too small for its own field is rejected.
 """
 
 import struct
@@ -19,22 +19,25 @@
 )
 from pygwire.messages import PGMessage
 
-# PostgreSQL accepts start-up packets of up to 10,000 bytes.
-STARTUP_LIMIT = 10_000
-# No message of an authentication exchange comes near this.
-AUTHENTICATION_LIMIT = 10_000
-# Decoded answers of a target (errors, parameters) stay far below this.
-DECODED_ANSWER_LIMIT = 1 << 20
+MAX_STARTUP_SIZE = 10_000
+"""Largest start-up packet, bytes, as in PostgreSQL."""
+MAX_AUTHENTICATION_SIZE = 10_000
+"""Largest message of an authentication exchange, bytes; none comes near it."""
+MAX_DECODED_FRAME_SIZE = 1 << 20
+"""Largest frame of a target that is decoded (errors, parameters), bytes; these stay
+far below it."""
 
 HEADER_SIZE = 5
+"""Type and length of a frame, bytes."""
 LENGTH_SIZE = 4
-# The least start-up packet: its length and the request code.
-_STARTUP_MINIMUM = 8
+"""Length field of a frame, bytes; it counts itself."""
+# The shortest start-up packet, bytes: its length and the request code.
+_MIN_STARTUP_LENGTH = 8
 _LENGTH = struct.Struct("!I")
 
 
 class BoundedStartupFraming(StartupFraming):
-    """Framing of start-up packets that refuses impossible lengths at once."""
+    """Framing of start-up packets that rejects invalid lengths at once."""
 
     def try_parse(
         self,
@@ -50,12 +53,12 @@
         FramingError
             If the length is out of bounds or the packet is malformed.
         """
-        _check_length(buf, pos, _STARTUP_MINIMUM, self._max_message_size)
+        _check_length(buf, pos, _MIN_STARTUP_LENGTH, self._max_message_size)
         return super().try_parse(buf, pos, phase, direction)
 
 
 class BoundedStandardFraming(StandardFraming):
-    """Framing of standard messages that refuses impossible lengths at once."""
+    """Framing of standard messages that rejects invalid lengths at once."""
 
     def try_parse(
         self,
@@ -76,30 +79,32 @@
 
 
 def _check_length(buf: memoryview, pos: int, minimum: int, limit: int) -> None:
-    """Raise FramingError if the length field at `pos` is there but impossible."""
+    """Raise FramingError if the length field at `pos` is complete but invalid."""
     if len(buf) - pos < LENGTH_SIZE:
         return
     (length,) = _LENGTH.unpack_from(buf, pos)
     if not minimum <= length <= limit:
-        raise FramingError(f"length {length} is not between {minimum} and {limit}")
+        raise FramingError(
+            f"message length {length} is not between {minimum} and {limit}"
+        )
 
 
-_STARTUP = BoundedStartupFraming(STARTUP_LIMIT)
-_AUTHENTICATION = BoundedStandardFraming(AUTHENTICATION_LIMIT)
-_ANSWER = BoundedStandardFraming(DECODED_ANSWER_LIMIT)
+_STARTUP = BoundedStartupFraming(MAX_STARTUP_SIZE)
+_AUTHENTICATION = BoundedStandardFraming(MAX_AUTHENTICATION_SIZE)
+_RESPONSE = BoundedStandardFraming(MAX_DECODED_FRAME_SIZE)
 
 
 class _BoundedParsing:
-    """The parsing step of pygwire's decoders with bounded strategies."""
+    """Mixin that makes pygwire's decoders parse with bounded strategies."""
 
     def _get_framing(self) -> FramingStrategy:
-        """Return the bounded strategy of the present phase."""
+        """Return the bounded strategy of the current phase."""
         raise NotImplementedError
 
     def _parse(self) -> None:
         """Parse one message, as the overridden method does."""
         # The view is released at once also on errors: while it is exported,
-        # the buffer could not take more bytes.
+        # the buffer cannot be resized.
         with memoryview(self._buf) as view:
             result = self._get_framing().try_parse(
                 view, self._pos, self._phase, self._direction
@@ -112,14 +117,14 @@
         self._compact()
 
     def take_undecoded(self) -> bytes:
-        """Return the bytes not yet decoded, and forget them."""
+        """Remove and return the bytes that are not decoded yet."""
         rest = bytes(self._buf[self._pos :])
         self.clear()
         return rest
 
 
 class BoundedFrontendDecoder(_BoundedParsing, FrontendMessageDecoder):
-    """Decoder of what a caller sends until it is logged on."""
+    """Decoder of a caller's messages until it is authenticated."""
 
     def _get_framing(self) -> FramingStrategy:
         if self._phase is ConnectionPhase.STARTUP:
@@ -128,8 +133,8 @@
 
 
 class BoundedBackendDecoder(_BoundedParsing, BackendMessageDecoder):
-    """Decoder of what a target sends until the connection is ready."""
+    """Decoder of a target's messages until the connection is ready."""
 
     def _get_framing(self) -> FramingStrategy:
         default = lookup_framing(self._phase, self._direction)
-        return default if isinstance(default, NegotiationFraming) else _ANSWER
+        return default if isinstance(default, NegotiationFraming) else _RESPONSE
--- a/beryltrack/wire/line_buffer.py
+++ b/beryltrack/wire/line_buffer.py
@@ -1,32 +1,34 @@
-"""Cuts a stream of bytes into lines that end in CR LF."""
+"""Splits a stream of bytes into lines that end in CR LF."""
 
 LINE_END = b"\r\n"
-MAX_LINE = 1 << 20
-"""Most bytes of one line, by the definition of the protocol that is made of lines."""
+MAX_LINE_SIZE = 1 << 20
+"""Longest line that the line protocol allows, bytes."""
 
 
 class MalformedMessage(Exception):
-    """Raised when bytes of a peer are no message of the protocol."""
+    """Raised when a peer sends bytes that are no valid message of the protocol."""
 
 
 class LineBuffer:
-    """Keeps the part of a line that has come so far."""
+    """Buffers the last, incomplete line."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial_line",)
 
     def __init__(self):
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now, without their ends.
+        """Return the lines that are complete now, without CR LF.
 
         Raises
         ------
         MalformedMessage
-            If a line is longer than a message may be.
+            If a line is longer than `MAX_LINE_SIZE`.
         """
-        *lines, self._rest = (self._rest + data if self._rest else data).split(LINE_END)
+        *lines, self._partial_line = (
+            self._partial_line + data if self._partial_line else data
+        ).split(LINE_END)
         longest = max(map(len, lines), default=0)
-        if max(longest, len(self._rest)) > MAX_LINE:
-            raise MalformedMessage("the message is too long")
+        if max(longest, len(self._partial_line)) > MAX_LINE_SIZE:
+            raise MalformedMessage(f"a line is longer than {MAX_LINE_SIZE} bytes")
         return lines
--- a/beryltrack/wire/messages.py
+++ b/beryltrack/wire/messages.py
@@ -1,4 +1,4 @@
-"""Typed results of the framing, and the interface that answers are written to."""
+"""Results of parsing a target's responses, and the interface that receives them."""
 
 from enum import Enum, auto
 from typing import NamedTuple, Protocol
@@ -9,56 +9,59 @@
 
 
 class TransactionStatus(Enum):
-    """How a session's transaction stands after a unit."""
+    """State of a session's transaction, as ReadyForQuery reports it."""
 
     IDLE = "I"
     """No transaction is open."""
     IN_TRANSACTION = "T"
     """A transaction is open."""
     ERROR_TRANSACTION = "E"
-    """A transaction is open that failed and can only be rolled back."""
+    """A transaction has failed and can only be rolled back."""
 
-    # Members are singletons; the hash by name is slow on the path of a statement.
+    # Members are singletons; hashing by name is slow on the path of a statement.
     __hash__ = object.__hash__
 
 
 class Edit(Enum):
     """What to do with one ParseComplete or CloseComplete of a target.
 
-    The proxy adds statements to a caller's batch and takes some away, so that
-    the answers to Parse and Close have to be matched to what the caller sent.
+    The proxy adds Parse and Close messages to a caller's batch and omits others, so
+    their responses have to be matched to what the caller sent.
     """
 
     PASS = auto()
+    """Pass it on."""
     DROP = auto()
+    """Drop it: the proxy added the message."""
     AS_PARSE_COMPLETE = auto()
+    """Send ParseComplete instead."""
 
 
 class ResponseEnd(NamedTuple):
-    """How the answer of a target to one request ended.
+    """How the response of a target to one request ended.
 
     Parameters
     ----------
     status : TransactionStatus
         The transaction status that ReadyForQuery gave.
     tail : bytes
-        The CommandComplete that came last, held back because it may
-        acknowledge a commit; empty if the answer ended otherwise. The
-        ReadyForQuery itself is never passed on.
+        The last CommandComplete, held back because it may acknowledge a
+        commit; empty if the response ended otherwise. The ReadyForQuery
+        itself is never passed on.
     error : SqlError or None
-        The first error of the answer.
+        The first error of the response.
     error_frame : bytes
-        That error as it came; held back; empty if there was none.
+        The frame of that error, held back; empty if there was none.
     position : LogPosition or None
-        The applied position that the target reported during this answer.
+        The applied position that the target reported during this response.
     row_bytes : int
         Bytes that were passed to the sink. Zero means that the caller has
-        seen nothing of this answer.
+        received nothing of this response.
     completed : int
-        How many Parse and Close messages the target completed.
+        Number of Parse and Close messages that the target completed.
     proof : Sample or None
-        A proven position of the primary that came with the answer, where it came
-        from another instance.
+        A proven position of the primary that another instance sent with its
+        response.
     """
 
     status: TransactionStatus
@@ -72,23 +75,23 @@
 
 
 class Producer(Protocol):
-    """A source of bytes that can be told to wait, as Twisted's push producers."""
+    """A source of bytes that can be paused, like Twisted's push producers."""
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop producing until told otherwise."""
+        """Stop producing until resumed."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Produce again."""
+        """Resume producing."""
 
 
 class ResponseSink(Protocol):
-    """Where the frames of an answer go."""
+    """Receives the frames of a response."""
 
     def write(self, data: bytes) -> None:
-        """Take whole or partial frames, in order."""
+        """Write whole or partial frames, in order."""
 
     def attach(self, producer: Producer) -> None:
         """Pause and resume `producer` from now on, as the sink fills and drains."""
 
     def detach(self) -> None:
-        """Forget the producer: its answer has ended."""
+        """Release the producer: its response has ended."""
--- a/beryltrack/wire/sinks.py
+++ b/beryltrack/wire/sinks.py
@@ -1,25 +1,25 @@
-"""Sinks that keep short answers."""
+"""A response sink that collects a short response in memory."""
 
 from beryltrack.wire.messages import Producer
 
 
 class CollectingSink:
-    """Keeps the frames of a short answer."""
+    """Collects the frames of a short response; applies no back-pressure."""
 
     def __init__(self):
         self._parts: list[bytes] = []
 
     @property
     def frames(self) -> bytes:
-        """All frames so far."""
+        """The frames that were written so far."""
         return b"".join(self._parts)
 
     def write(self, data: bytes) -> None:
-        """Keep frames."""
+        """Collect frames."""
         self._parts.append(bytes(data))
 
     def attach(self, producer: Producer) -> None:
-        """Take a producer; it is never paused, as the answers are short."""
+        """Ignore the producer: it is never paused, as responses are short."""
 
     def detach(self) -> None:
-        """Forget the producer."""
+        """Do nothing: no producer is attached."""
--- a/beryltrack/wire/sockets.py
+++ b/beryltrack/wire/sockets.py
@@ -1,7 +1,7 @@
-"""Socket options of the connections to callers and targets.
+"""TCP options of the connections to callers and targets.
 
-A peer whose machine or network is gone says no good-bye. Without these options
-the kernel would keep its connection, and with it a scarce target connection,
+A peer whose machine or network fails does not close its connection. Without these
+options the kernel would keep the connection, and with it a scarce target connection,
 for hours.
 """
 
@@ -12,18 +12,18 @@
 
 
 class SocketLimits(NamedTuple):
-    """When the kernel gives up a connection whose peer is silent.
+    """When the kernel closes a connection whose peer does not answer.
 
     Parameters
     ----------
     idle : int
-        Seconds of silence before the kernel asks whether the peer is there.
+        Seconds without data before the first keep-alive probe.
     interval : int
-        Seconds between its questions.
+        Seconds between keep-alive probes.
     count : int
-        How many questions may stay without an answer.
+        Number of unanswered probes after which the connection is closed.
     user_timeout : int
-        Milliseconds that sent data may stay without an acknowledgement.
+        Milliseconds for which sent data may remain unacknowledged.
     """
 
     idle: int = 15
@@ -36,14 +36,14 @@
 
 
 def tune_socket(transport, limits: SocketLimits = DEFAULT_LIMITS) -> None:
-    """Send small messages at once and notice a peer that is gone.
+    """Disable Nagle's algorithm and detect a peer that has failed.
 
     Parameters
     ----------
     transport : ITransport
-        The connection; one that is not TCP is left as it is.
+        The connection; one that is not TCP is left unchanged.
     limits : SocketLimits
-        When a silent peer is given up.
+        When a connection without an answer is closed.
     """
     if not ITCPTransport.providedBy(transport):
         return
@@ -59,6 +59,6 @@
         "TCP_USER_TIMEOUT": limits.user_timeout,
     }
     for name, value in options.items():
-        # Not every system has all of them.
+        # Not every platform has all of these options.
         if hasattr(socket, name):
             handle.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
--- a/tests/wire/test_answers.py
+++ b/tests/wire/test_answers.py
@@ -1,4 +1,4 @@
-"""The reader of a target's answers."""
+"""The parser of a target's responses."""
 
 import pytest
 from pygwire import messages as m
@@ -20,7 +20,7 @@
 
 
 def read(*parts, edits=()):
-    """Feed the parts; return the end and what was passed on."""
+    """Feed the parts; return the `ResponseEnd` and the bytes that were passed on."""
     reader, passed = ResponseReader(), []
     reader.start(edits)
     ends = [reader.feed(part, passed.append) for part in parts]
@@ -28,9 +28,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 7, 11, 1000])
-def test_an_answer_cut_anywhere_reads_the_same(size):
-    answer = ROW + OTHER_COMPLETE + ROW + COMPLETE + NOTICE + POSITION + READY
-    parts = [answer[at : at + size] for at in range(0, len(answer), size)]
+def test_parsing_does_not_depend_on_how_the_response_is_split(size):
+    response = ROW + OTHER_COMPLETE + ROW + COMPLETE + NOTICE + POSITION + READY
+    parts = [response[at : at + size] for at in range(0, len(response), size)]
     end, passed = read(*parts)
     assert passed == ROW + OTHER_COMPLETE + ROW + NOTICE
     assert end.tail == COMPLETE
@@ -44,7 +44,7 @@
     assert read(ROW[:9], ROW[9:12])[1] == ROW[:12]
 
 
-def test_the_error_is_held_back():
+def test_an_error_is_held_back():
     end, passed = read(ROW + ERROR + READY)
     assert (passed, end.error_frame) == (ROW, ERROR)
     assert end.error.sqlstate == "22012"
@@ -56,14 +56,14 @@
     assert end.tail == b""
 
 
-def test_answers_to_added_messages_are_edited():
+def test_completions_of_added_messages_are_edited():
     edits = (Edit.DROP, Edit.AS_PARSE_COMPLETE, Edit.PASS)
     end, passed = read(PARSED + CLOSED + CLOSED + PARSED + READY, edits=edits)
     assert passed == PARSED + CLOSED + PARSED
     assert end.completed == 4
 
 
-def test_frames_outside_of_an_answer_are_refused():
+def test_frames_outside_of_a_response_are_rejected():
     reader = ResponseReader()
     assert reader.feed(NOTICE + POSITION, print) is None
     for frame in (ROW, COMPLETE, READY, ERROR):
@@ -82,11 +82,11 @@
         m.ParameterStatus("beryltrack.position", "x/1").to_wire(),
     ],
 )
-def test_malformed_answers_are_refused(frame):
+def test_malformed_responses_are_rejected(frame):
     with pytest.raises(ProtocolError):
         read(frame)
 
 
-def test_a_copy_is_refused():
+def test_a_copy_is_rejected():
     with pytest.raises(CopyStarted):
         read(m.CopyInResponse().to_wire())
