--- a/beryltrack/sessions/__init__.py
+++ b/beryltrack/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions: tokens that travel with the caller, and the marks of a request."""
+"""Sessions: tokens that callers carry, settings, retained state, request options."""
--- a/beryltrack/sessions/request_options.py
+++ b/beryltrack/sessions/request_options.py
@@ -1,8 +1,8 @@
-"""The marks of a request: the staleness it accepts, and how often it may run.
+"""Options of a request: accepted staleness, identifier, idempotence, where it may read.
 
-A mark can be written in four places. The one nearest to the request counts: a
-tag in the statement's comment, then a setting of the session, then the first
-rule of the operators that matches, then the default of the group.
+An option is taken from the first of these sources that sets it: a tag in the
+statement's comment, a setting of the session, the operators' first matching rule,
+the default of the group.
 """
 
 import math
@@ -23,8 +23,9 @@
 OPTION_SETTINGS = frozenset(SETTING_PREFIX + name for name in OPTION_NAMES)
 
 MAX_REQUEST_ID_LENGTH = 128
+"""Characters."""
 LONGEST_MAX_AGE = 86400.0
-"""Most staleness that a request can accept, seconds."""
+"""Maximum staleness that a request can accept, seconds."""
 
 READS_ANY = "any"
 READS_PRIMARY = "primary"
@@ -39,13 +40,13 @@
 
 
 class RequestOptions(NamedTuple):
-    """What is asked for a request beside its statement.
+    """The options that apply to a request.
 
     Parameters
     ----------
     max_age : float
         Staleness that a read accepts, seconds, counted back from its arrival.
-        Zero: it must show all that was acknowledged before it arrived.
+        Zero: it must show all writes acknowledged before it arrived.
     request_id : str
         Identifier of the request, chosen by the caller; empty for none.
     idempotent : bool
@@ -67,7 +68,7 @@
     rules: tuple[RuleSettings, ...],
     user: str,
 ) -> tuple[RequestOptions, list[Finding]]:
-    """Return the marks of a request.
+    """Return the options of a request.
 
     Parameters
     ----------
@@ -85,26 +86,26 @@
 
     Returns
     -------
-    marks : RequestOptions
-        The marks; what is malformed counts as not written.
+    options : RequestOptions
+        The options; malformed ones are ignored.
     findings : list of Finding
-        All malformed tags and settings. A request with findings is to be
+        All malformed tags and settings. A request with findings must be
         refused with SQLSTATE 22023, as it may ask to run at most once.
     """
     rule = get_rule(rules, group, user, statement)
-    marks = _get_default_marks(group, rule)
+    options = _get_default_options(group, rule)
     tags = get_tags(statement)
-    # Most requests are marked nowhere, so nothing needs to be read for them.
+    # Most requests set no option, so there is nothing to parse.
     if not tags and OPTION_SETTINGS.isdisjoint(session_settings):
-        return marks, []
+        return options, []
     texts = [
         *(
-            _Text("session", name, session_settings.get(SETTING_PREFIX + name))
+            _OptionText("session", name, session_settings.get(SETTING_PREFIX + name))
             for name in OPTION_NAMES
         ),
-        *(_Text("statement tag", tag.key, tag.value) for tag in tags),
+        *(_OptionText("statement tag", tag.key, tag.value) for tag in tags),
     ]
-    return _apply_texts(marks, texts)
+    return _apply_texts(options, texts)
 
 
 def parse_duration(text: str) -> tuple[float | None, list[Finding]]:
@@ -134,7 +135,7 @@
 
 
 def parse_request_id(text: str) -> tuple[str | None, list[Finding]]:
-    """Return a request's identifier, printable ASCII without spaces."""
+    """Parse a request's identifier: printable ASCII without spaces, or empty."""
     if not text or _REQUEST_ID.fullmatch(text):
         return text, []
     limit = MAX_REQUEST_ID_LENGTH
@@ -142,15 +143,15 @@
 
 
 def parse_switch(text: str) -> tuple[bool | None, list[Finding]]:
-    """Return whether a switch is on, in the spellings of PostgreSQL."""
+    """Parse a boolean, in the spellings of PostgreSQL."""
     lowered = text.strip().lower()
     if lowered in _TRUE_TEXTS | _FALSE_TEXTS:
         return lowered in _TRUE_TEXTS, []
     return None, [Finding("", "", "must be on or off")]
 
 
-class _Text(NamedTuple):
-    """The text of one mark and the place where it stands."""
+class _OptionText(NamedTuple):
+    """The text of one option and its source; no text if it is not set there."""
 
     source: str
     name: str
@@ -164,10 +165,10 @@
 }
 
 
-def _get_default_marks(
+def _get_default_options(
     group: GroupSettings, rule: RuleSettings | None
 ) -> RequestOptions:
-    """Return the marks that operators set for a request."""
+    """Return the options that the operators' settings give a request."""
     if rule is None:
         return RequestOptions(group.max_age, "", True, READS_ANY)
     max_age = _get_first(rule.max_age, group.max_age)
@@ -180,23 +181,23 @@
 
 
 def _apply_texts(
-    marks: RequestOptions, texts: list[_Text]
+    options: RequestOptions, texts: list[_OptionText]
 ) -> tuple[RequestOptions, list[Finding]]:
-    """Return marks after the texts were read, the last of a name counting."""
+    """Return options updated by the texts; the last valid text of a name wins."""
     findings = []
     for source, name, text in texts:
         if text is None:
             continue
-        value, found = _parse_mark(name, text)
+        value, found = _parse_option(name, text)
         findings += (Finding(source, name, finding.text) for finding in found)
         if not found:
-            marks = marks._replace(**{name: value})
-    return marks, findings
+            options = options._replace(**{name: value})
+    return options, findings
 
 
-def _parse_mark(name: str, text: str) -> tuple[object, list[Finding]]:
-    """Return the value of one mark."""
+def _parse_option(name: str, text: str) -> tuple[object, list[Finding]]:
+    """Parse the value of one option."""
     parser = _PARSERS.get(name)
     if parser is None:
-        return None, [Finding("", "", "is not a mark of a request")]
+        return None, [Finding("", "", "is not a request option")]
     return parser(text)
--- a/beryltrack/sessions/retained_state.py
+++ b/beryltrack/sessions/retained_state.py
@@ -1,19 +1,19 @@
-"""What a session keeps beside its transactions: values and prepared statements.
+"""State that a session retains between transactions: values, prepared statements.
 
-An instance answers by itself what sets them, and brings each connection that it lends
-to the session to the same state.
+An instance answers the statements that set this state itself, and sets up the same
+state on each connection that it lends to the session.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 MAX_RETAINED = 1000
-"""Values, and prepared statements, that one session may keep: far more than callers
-use, and few enough that 2,000 sessions of one instance fit into its memory."""
+"""Maximum number of values, and of prepared statements, of one session: far more than
+callers use, and few enough that 2,000 sessions of one instance fit into its memory."""
 
 
 class StatementShape(NamedTuple):
-    """What a prepared statement does: its mode (READ or WRITE) and its shape."""
+    """A prepared statement: its mode (READ or WRITE) and its text (the shape)."""
 
     mode: bytes
     text: bytes
@@ -21,40 +21,40 @@
 
 @dataclass
 class RetainedState:
-    """What a session has set and prepared.
+    """The values and prepared statements of a session.
 
     Parameters
     ----------
     values : dict of bytes to bytes
-        Session values by name.
+        Values by name.
     prepared : dict of bytes to StatementShape
-        Prepared statements by the session's names.
+        Prepared statements by the names that the session gave them.
     """
 
     values: dict[bytes, bytes] = field(default_factory=dict)
     prepared: dict[bytes, StatementShape] = field(default_factory=dict)
 
     def set_value(self, name: bytes, value: bytes) -> bool:
-        """Keep a value; return False if the session keeps too many."""
-        return _keep(self.values, name, value)
+        """Set a value; return False if the session has too many."""
+        return _set_entry(self.values, name, value)
 
     def prepare(self, name: bytes, shape: StatementShape) -> bool:
-        """Keep a prepared statement; return False if the session keeps too many."""
-        return _keep(self.prepared, name, shape)
+        """Add a prepared statement; return False if the session has too many."""
+        return _set_entry(self.prepared, name, shape)
 
     def deallocate(self, name: bytes) -> bool:
-        """Drop a prepared statement; return False if there is none of this name."""
+        """Remove a prepared statement; return False if the name is unknown."""
         return self.prepared.pop(name, None) is not None
 
     def reset(self) -> None:
-        """Keep nothing."""
+        """Clear the state."""
         self.values.clear()
         self.prepared.clear()
 
 
-def _keep(kept: dict, name: bytes, value: object) -> bool:
-    """Keep a value under a name unless that is one too many."""
-    if name not in kept and len(kept) >= MAX_RETAINED:
+def _set_entry(entries: dict, name: bytes, value: object) -> bool:
+    """Set an entry; return False if it would exceed `MAX_RETAINED`."""
+    if name not in entries and len(entries) >= MAX_RETAINED:
         return False
-    kept[name] = value
+    entries[name] = value
     return True
--- a/beryltrack/sessions/rules.py
+++ b/beryltrack/sessions/rules.py
@@ -1,15 +1,15 @@
-"""The operators' rules that apply to a request.
+"""Selection of the operators' rule that applies to a request.
 
-All teams' rules are in force on each node, thousands of them in a large fleet,
-and each statement is matched. So the rules of a group are picked out once, and
-picked out anew when the settings change.
+Each node holds the rules of all teams, thousands of them in a large fleet, and
+matches each statement against them. The rules of a group are therefore selected once
+and cached until the settings change.
 """
 
 from beryltrack.settings.messages import GroupSettings, RuleSettings
 
 
 class RuleSelector:
-    """Remembers the rules of each group, as long as the settings last."""
+    """Caches the rules of each group until the settings change."""
 
     def __init__(self):
         self._rules: tuple[RuleSettings, ...] = ()
@@ -77,5 +77,5 @@
 
 
 def _is_for_group(rule: RuleSettings, group: GroupSettings) -> bool:
-    """Return whether a rule is for a group."""
+    """Return whether a rule covers a group."""
     return rule.team == group.team and rule.group in ("", group.name)
--- a/beryltrack/sessions/tags.py
+++ b/beryltrack/sessions/tags.py
@@ -1,9 +1,8 @@
-"""Tags in the comments of a statement, in the sqlcommenter form.
+"""Tags in the comments of a statement, in the format of sqlcommenter.
 
-Libraries append ``/*key='value',key='value'*/`` to each statement. Keys and
-values are percent-encoded, and a quote inside of a value is escaped by a
-backslash. Only tags whose keys begin with ``beryltrack_`` matter here; what
-other tools write is left alone.
+Client libraries append ``/*key='value',key='value'*/`` to each statement. Keys and
+values are percent-encoded, and a quote in a value is escaped by a backslash. Only
+tags whose keys begin with ``beryltrack_`` are read; others are ignored.
 """
 
 import re
@@ -11,7 +10,7 @@
 from urllib.parse import unquote
 
 TAG_PREFIX = "beryltrack_"
-"""Every key of a tag for beryltrack begins with this."""
+"""Prefix of the keys of all tags for beryltrack."""
 
 _QUOTED_OR_COMMENT = re.compile(
     r"""
@@ -56,9 +55,9 @@
     Returns
     -------
     tuple of Tag
-        In the order of the text. Text inside of literals is not looked at.
+        In the order of the text. Text inside of literals is ignored.
     """
-    # Most statements carry no tag, and this test costs next to nothing.
+    # Most statements have no tag; this check avoids the regular expressions.
     if TAG_PREFIX not in statement or "/*" not in statement:
         return ()
     bodies = (match["body"] for match in _QUOTED_OR_COMMENT.finditer(statement))
--- a/beryltrack/sessions/tokens.py
+++ b/beryltrack/sessions/tokens.py
@@ -1,11 +1,11 @@
-"""Session tokens: what a session has written, as text that its caller carries.
+"""Session tokens: the positions that a session has written, carried by its caller.
 
-A token names the last position that was acknowledged to the session in each
-group. Any proxy that is given the token knows which databases already show the
-session's own writes, so nothing about a session is stored anywhere else.
+A token holds the last position that was acknowledged to the session in each group
+(read-your-writes consistency). Any instance that receives the token can tell which
+databases already show the session's writes, so no session state is stored elsewhere.
 
-The text is ``1.`` and the base64url form of a CBOR array. A token carries no
-signature: a forged one only makes its bearer wait.
+The text is ``1.`` and the base64url encoding of a CBOR array. A token has no
+signature: a forged one only makes its sender wait.
 """
 
 import base64
@@ -24,9 +24,13 @@
 
 VERSION_PREFIX = "1."
 MAX_TEXT_LENGTH = 4096
+"""Characters of a token."""
 MAX_GROUPS = 32
+"""Groups in a token."""
 MAX_NAME_BYTES = 63
+"""Length of a group's name, bytes."""
 MAX_NUMBER = 2**63 - 1
+"""Maximum term or offset."""
 
 _SOURCE = "session token"
 _FIELDS_PER_GROUP = 3
@@ -48,7 +52,7 @@
 
 
 class SessionToken(NamedTuple):
-    """What is known of the writes of a session.
+    """The writes of a session, as far as they are known.
 
     Parameters
     ----------
@@ -56,7 +60,7 @@
         The last acknowledged position in each group, newest write first.
     is_complete : bool
         True if the session has written nothing in groups that are not listed.
-        False if nobody knows, as for a caller that has lost its token.
+        False if that is unknown, as for a caller that has lost its token.
     """
 
     positions: tuple[GroupPosition, ...]
@@ -71,7 +75,7 @@
 
 
 def get_position(token: SessionToken, group: str) -> LogPosition | None:
-    """Return what a session has written in a group.
+    """Return the last position that a session has written in a group.
 
     Parameters
     ----------
@@ -83,7 +87,7 @@
     Returns
     -------
     LogPosition or None
-        `NO_POSITION` if it has written nothing, None if that is not known.
+        `NO_POSITION` if it has written nothing, None if that is unknown.
     """
     listed = next(
         (pair.position for pair in token.positions if pair.group == group), None
@@ -98,10 +102,10 @@
 ) -> SessionToken:
     """Return the token after a write of the session was acknowledged.
 
-    A position at which a write was acknowledged is after all that the session
-    wrote in that group before, so a session of which nothing was known is known
-    there from then on. The same holds for a position of the primary that was
-    sampled after a request of the session had arrived.
+    The position of an acknowledged write is later than all earlier writes of the
+    session in that group. So the session's writes there are known from then on, even
+    if they were unknown before. The same holds for a position of the primary that
+    was sampled after a request of the session had arrived.
 
     Parameters
     ----------
@@ -110,14 +114,14 @@
     group : str
         Name of the group.
     position : LogPosition
-        The position that was acknowledged, or sampled after the arrival.
+        The position that was acknowledged, or sampled after the request arrived.
 
     Returns
     -------
     SessionToken
-        The token with the later position of the two, across terms. Beyond
-        `MAX_GROUPS` the group written longest ago is dropped and the token is
-        marked as incomplete, so that its reads there stay safe.
+        The token with the later of the two positions, across terms. Beyond
+        `MAX_GROUPS` the least recently written group is dropped and the token
+        becomes incomplete, so that reads of that group remain safe.
     """
     before = get_position(token, group) or NO_POSITION
     merged = GroupPosition(group, max(before, position))
@@ -128,12 +132,12 @@
 
 
 def merge_tokens(first: SessionToken, second: SessionToken) -> SessionToken:
-    """Return the token of a session that made the writes of two tokens.
+    """Return the token of a session that has made the writes of two tokens.
 
     Parameters
     ----------
     first, second : SessionToken
-        The tokens, for example one of the start-up and one set later.
+        The tokens, for example one from the start-up packet and one set later.
 
     Returns
     -------
@@ -171,42 +175,44 @@
 
 
 def parse_token(text: str) -> tuple[SessionToken | None, list[Finding]]:
-    """Return the token that a text stands for, or what is wrong with the text.
+    """Parse the text of a token.
 
     Parameters
     ----------
     text : str
-        What the caller handed in; empty if it knows of nothing.
+        The text that the caller sent; empty if it knows no token.
 
     Returns
     -------
     token : SessionToken or None
         The token; None if there are findings.
     findings : list of Finding
-        All that is wrong; to be answered with SQLSTATE 22023.
+        All errors; to be answered with SQLSTATE 22023.
     """
     if text == NEW_SESSION:
         return NEW_TOKEN, []
     if not text:
         return UNKNOWN_TOKEN, []
     if len(text) > MAX_TEXT_LENGTH:
-        return None, [_find("", f"is longer than {MAX_TEXT_LENGTH} characters")]
+        return None, [_make_finding("", f"is longer than {MAX_TEXT_LENGTH} characters")]
     if not text.startswith(VERSION_PREFIX):
-        return None, [_find("", f"must be '{NEW_SESSION}' or begin '{VERSION_PREFIX}'")]
+        return None, [
+            _make_finding("", f"must be '{NEW_SESSION}' or begin '{VERSION_PREFIX}'")
+        ]
     fields = _decode(text.removeprefix(VERSION_PREFIX))
     if fields is None:
-        return None, [_find("", "cannot be decoded")]
+        return None, [_make_finding("", "cannot be decoded")]
     findings = _validate_fields(fields)
     return (None, findings) if findings else (_build_token(fields), [])
 
 
-def _find(place: str, text: str) -> Finding:
+def _make_finding(place: str, text: str) -> Finding:
     """Return a finding about a token."""
     return Finding(_SOURCE, place, text)
 
 
 def _decode(encoded: str) -> list[object] | None:
-    """Return the array inside a token, or None if there is not exactly one."""
+    """Decode the array in a token; None unless the text holds exactly one."""
     padding = "=" * (-len(encoded) % 4)
     try:
         data = base64.b64decode(encoded + padding, altchars=b"-_", validate=True)
@@ -219,32 +225,41 @@
 
 
 def _validate_fields(fields: list[object]) -> list[Finding]:
-    """Return all that is wrong with the fields of a token."""
+    """Return a finding for each invalid field of a token."""
     if not fields or not isinstance(fields[0], bool):
-        return [_find("/0", "must be true or false")]
+        return [_make_finding("/0", "must be true or false")]
     if len(fields) % _FIELDS_PER_GROUP != 1:
-        return [_find("", "has an incomplete position")]
+        return [_make_finding("", "has an incomplete position")]
     names, terms, offsets = (fields[1 + i :: _FIELDS_PER_GROUP] for i in range(3))
     if len(names) > MAX_GROUPS:
-        return [_find("", f"names more than {MAX_GROUPS} groups")]
+        return [_make_finding("", f"names more than {MAX_GROUPS} groups")]
     findings = [
-        *(_find(_place(i, 0), "must be a group name") for i in _bad(names, _is_name)),
-        *(_find(_place(i, 1), "must be a term") for i in _bad(terms, _is_number)),
-        *(_find(_place(i, 2), "must be an offset") for i in _bad(offsets, _is_number)),
+        *(
+            _make_finding(_format_place(i, 0), "must be a group name")
+            for i in _find_invalid(names, _is_name)
+        ),
+        *(
+            _make_finding(_format_place(i, 1), "must be a term")
+            for i in _find_invalid(terms, _is_number)
+        ),
+        *(
+            _make_finding(_format_place(i, 2), "must be an offset")
+            for i in _find_invalid(offsets, _is_number)
+        ),
     ]
     if not findings and len(set(names)) < len(names):
-        findings = [_find("", "names a group twice")]
+        findings = [_make_finding("", "names a group twice")]
     return findings
 
 
-def _place(index: int, field: int) -> str:
-    """Return the place of a field of the group at `index`."""
+def _format_place(index: int, field: int) -> str:
+    """Return the JSON pointer of a field of the group at `index`."""
     return f"/{1 + _FIELDS_PER_GROUP * index + field}"
 
 
-def _bad(values: list[object], is_good) -> list[int]:
-    """Return the indexes of the values that fail a test."""
-    return [index for index, value in enumerate(values) if not is_good(value)]
+def _find_invalid(values: list[object], is_valid) -> list[int]:
+    """Return the indexes of the values for which `is_valid` is false."""
+    return [index for index, value in enumerate(values) if not is_valid(value)]
 
 
 def _is_name(value: object) -> bool:
@@ -261,7 +276,7 @@
 
 
 def _build_token(fields: list) -> SessionToken:
-    """Return the token of fields that were found to be right."""
+    """Return the token of valid fields."""
     names, terms, offsets = (fields[1 + i :: _FIELDS_PER_GROUP] for i in range(3))
     positions = tuple(
         GroupPosition(name, LogPosition(term, offset))
--- a/beryltrack/sessions/variables.py
+++ b/beryltrack/sessions/variables.py
@@ -1,7 +1,7 @@
-"""``SET``, ``RESET`` and ``SHOW``: a session's settings as statements.
+"""Parsers of ``SET``, ``RESET`` and ``SHOW`` statements on a session's settings.
 
-The proxy keeps a session's settings itself, since a caller's next statement
-may run on another connection. This module reads what a statement asks for.
+The proxy holds a session's settings itself, since a caller's next statement may run
+on another connection.
 """
 
 import re
@@ -10,14 +10,15 @@
 from beryltrack.findings import Finding
 
 ALL_SETTINGS = "all"
-"""The name by which ``RESET ALL`` and ``SHOW ALL`` mean every setting."""
+"""The name that stands for every setting in ``RESET ALL`` and ``SHOW ALL``."""
 
 MAX_VALUE_LENGTH = 8192
+"""Longest statement that is parsed, characters, which bounds the value too."""
 
 _NAME = r"""(?P<name>[A-Za-z_][\w$]*(?:\.[A-Za-z_][\w$]*)*)"""
 _SPACE = r"(?:\s|/\*(?:[^*]|\*(?!/))*\*/|--[^\n]*\n)"
-# The part after the semicolon stands inside of one group, so that a long run of
-# spaces is matched in one way only.
+# The semicolon and the spaces after it form one optional group, so that a long run of
+# spaces can be matched in one way only and does not cause backtracking.
 _END = rf"{_SPACE}*(?:;{_SPACE}*)?"
 _ITEM = r"""(?:'(?:[^']|'')*'|"[^"]*"|[\w.$+-]+)"""
 _VALUE = rf"(?P<value>{_ITEM}(?:\s*,\s*{_ITEM})*)"
@@ -41,9 +42,9 @@
     name : str
         Name of the setting in lower case; `ALL_SETTINGS` to reset all.
     value : str or None
-        The new value; None goes back to the default.
+        The new value; None restores the default.
     is_local : bool
-        True if it holds for the current transaction only.
+        True if it applies to the current transaction only.
     """
 
     name: str
@@ -52,7 +53,7 @@
 
 
 def parse_change(statement: str) -> tuple[SettingChange | None, list[Finding]]:
-    """Return the change that a ``SET`` or ``RESET`` statement asks for.
+    """Parse a ``SET`` or ``RESET`` statement.
 
     Parameters
     ----------
@@ -64,8 +65,8 @@
     change : SettingChange or None
         The change; None if there are findings.
     findings : list of Finding
-        Why the statement cannot be read as a change of one setting; to be
-        answered with SQLSTATE 42601.
+        Why the statement is no change of one setting; to be answered with
+        SQLSTATE 42601.
     """
     if len(statement) > MAX_VALUE_LENGTH:
         return None, [Finding("statement", "", "is too long for a setting")]
@@ -81,7 +82,7 @@
 
 
 def parse_show(statement: str) -> tuple[str | None, list[Finding]]:
-    """Return the name of the setting that a ``SHOW`` statement asks for.
+    """Parse a ``SHOW`` statement; return the name of its setting.
 
     Parameters
     ----------
@@ -93,7 +94,7 @@
     name : str or None
         The name in lower case; None if there are findings.
     findings : list of Finding
-        Why the statement cannot be read; to be answered with SQLSTATE 42601.
+        Why the statement is invalid; to be answered with SQLSTATE 42601.
     """
     match = _SHOW.fullmatch(statement) if len(statement) <= MAX_VALUE_LENGTH else None
     if match:
@@ -102,7 +103,7 @@
 
 
 def _read_value(text: str) -> str | None:
-    """Return the value that a literal stands for."""
+    """Parse the value of a setting; None for ``DEFAULT``."""
     is_one_string = text.startswith("'") and text.endswith("'")
     if is_one_string and "'" not in text[1:-1].replace("''", ""):
         return text[1:-1].replace("''", "'")
--- a/tests/sessions/test_marks.py
+++ b/tests/sessions/test_marks.py
@@ -1,4 +1,4 @@
-"""Marks of a request and their precedence."""
+"""Request options and their precedence."""
 
 import pytest
 from hypothesis import given, settings
@@ -24,11 +24,11 @@
     return get_request_options(session or {}, statement, GROUP, tuple(rules), "ana")
 
 
-def test_group_gives_the_default():
+def test_the_group_gives_the_default():
     assert _get() == (RequestOptions(1.5, "", True, READS_ANY), [])
 
 
-def test_mark_nearest_to_the_request_counts():
+def test_the_source_nearest_to_the_request_has_precedence():
     rules = [RULE._replace(max_age=7.0)]
     session = {"beryltrack.max_age": "3s"}
     tagged = "select 1 /*beryltrack_max_age='200ms'*/"
@@ -46,11 +46,11 @@
         RULE._replace(statement="from t", reads=READS_PRIMARY, idempotent=False),
         RULE._replace(max_age=6.0),
     ]
-    marks, _ = _get(statement="select a from t", rules=rules)
-    assert marks == RequestOptions(1.5, "", False, READS_PRIMARY)
+    options, _ = _get(statement="select a from t", rules=rules)
+    assert options == RequestOptions(1.5, "", False, READS_PRIMARY)
 
 
-def test_rules_are_selected_anew_when_the_settings_change():
+def test_rules_are_selected_again_when_the_settings_change():
     selector = RuleSelector()
     rules = (
         RULE._replace(name="a", group="other"),
@@ -65,17 +65,17 @@
     assert selector.select(rules[:1], GROUP._replace(name="other")) == rules[:1]
 
 
-def test_request_is_marked_by_session_and_tag():
+def test_options_come_from_session_settings_and_tags():
     session = {"beryltrack.idempotent": "off", "application_name": "x"}
     statement = "insert into t values (1) /* beryltrack_request_id='a%2F1' */"
     assert _get(session, statement)[0] == RequestOptions(1.5, "a/1", False, READS_ANY)
 
 
-def test_all_malformed_marks_are_found():
+def test_all_malformed_options_are_reported():
     session = {"beryltrack.max_age": "soon", "beryltrack.idempotent": "perhaps"}
     statement = "select 1 /* beryltrack_request_id='a b', beryltrack_maxage='1s' */"
-    marks, findings = _get(session, statement)
-    assert marks == RequestOptions(1.5, "", True, READS_ANY)
+    options, findings = _get(session, statement)
+    assert options == RequestOptions(1.5, "", True, READS_ANY)
     assert [(finding.source, finding.place) for finding in findings] == [
         ("session", "max_age"),
         ("session", "idempotent"),
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "-1s", "25h", "1d", "nan", "1e9s", "٣s"])
-def test_malformed_durations_are_found(text):
+def test_malformed_durations_are_reported(text):
     assert parse_duration(text)[1]
 
 
@@ -108,11 +108,11 @@
         "select 1 /* other_beryltrack_max_age='1s' */",
     ],
 )
-def test_tags_count_in_comments_only(statement):
+def test_tags_are_read_in_comments_only(statement):
     assert get_tags(statement) == ()
 
 
-def test_tags_of_others_are_left_alone():
+def test_tags_of_other_tools_are_ignored():
     statement = (
         "select 1 /*action='%2Fx',beryltrack_max_age='2s',db='it\\'s',"
         "beryltrack_request_id='a\\'b'*/"
@@ -122,6 +122,6 @@
 
 @REPEATABLE
 @given(st.text("/*-'\"$ab=\\%\n", max_size=20))
-def test_any_comment_gives_marks(text):
-    marks, _ = _get(statement=f"select /* beryltrack_{text} */ {text}")
-    assert isinstance(marks, RequestOptions)
+def test_any_comment_gives_options(text):
+    options, _ = _get(statement=f"select /* beryltrack_{text} */ {text}")
+    assert isinstance(options, RequestOptions)
--- a/tests/sessions/test_tokens.py
+++ b/tests/sessions/test_tokens.py
@@ -1,4 +1,4 @@
-"""Session tokens."""
+"""Session tokens: their text form and how they are merged."""
 
 import base64
 
@@ -41,7 +41,7 @@
 
 @REPEATABLE
 @given(TOKENS)
-def test_token_survives_its_text(token):
+def test_a_formatted_token_parses_to_the_same_token(token):
     assert parse_token(format_token(token)) == (token, [])
 
 
@@ -79,12 +79,12 @@
     assert parse_token(text)[1]
 
 
-def test_all_faults_are_reported_with_their_place():
+def test_all_errors_are_reported_with_their_place():
     _, findings = parse_token(_encode([True, "", 1, 2, "b", -1, 2]))
     assert [finding.place for finding in findings] == ["/1", "/5"]
 
 
-def test_largest_token_keeps_to_the_limit():
+def test_the_largest_token_fits_the_length_limit():
     pairs = (
         GroupPosition(f"{i:063}", LogPosition(MAX_NUMBER, MAX_NUMBER))
         for i in range(MAX_GROUPS)
@@ -106,13 +106,13 @@
     assert get_position(later, "a") == LogPosition(3, 1)
 
 
-def test_merge_into_an_unknown_session_knows_that_group_only():
+def test_a_merge_into_an_unknown_token_makes_only_that_group_known():
     token = merge_position(UNKNOWN_TOKEN, "a", LogPosition(1, 4))
     assert get_position(token, "a") == LogPosition(1, 4)
     assert get_position(token, "b") is None
 
 
-def test_group_that_is_dropped_becomes_unknown():
+def test_a_group_that_is_dropped_becomes_unknown():
     token = NEW_TOKEN
     for number in range(MAX_GROUPS + 1):
         token = merge_position(token, f"g{number}", LogPosition(1, 1))
--- a/tests/sessions/test_variables.py
+++ b/tests/sessions/test_variables.py
@@ -1,4 +1,4 @@
-"""Settings of a session as statements."""
+"""Parsing of SET, RESET and SHOW."""
 
 import pytest
 
@@ -24,7 +24,7 @@
         ("RESET ALL", ("all", None, False)),
     ],
 )
-def test_change_of_a_setting_is_read(statement, change):
+def test_a_change_of_a_setting_is_parsed(statement, change):
     assert parse_change(statement) == (SettingChange(*change), [])
 
 
@@ -47,6 +47,6 @@
     assert findings
 
 
-def test_show_names_a_setting():
+def test_show_gives_the_name_of_a_setting():
     assert parse_show("show beryltrack.Session ;") == ("beryltrack.session", [])
     assert parse_show("show a, b")[1]
