--- a/beryltrack/routing/__init__.py
+++ b/beryltrack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: what a statement is, and which database is to run it."""
+"""Routing: classifies statements and chooses the database that runs each request."""
--- a/beryltrack/routing/decider.py
+++ b/beryltrack/routing/decider.py
@@ -1,12 +1,11 @@
-"""The choice of the database that runs a request.
-
-The choice is a pure function of the group's view, the request and the work
-outstanding at each database. A database serves a read if it provably shows all
-that the session has written, and all that was acknowledged before the *needed
-time*: the arrival of the request less the staleness that it accepts. For a
-session of which nothing is known the needed time is the arrival, whatever it
-accepts, since any earlier write may be its own. docs/notes/routing.md weighs
-these rules.
+"""Choice of the database that runs a request: read-your-writes, bounded staleness.
+
+The choice is a pure function of the group's view, the request and the requests
+outstanding at each database. A database can serve a read if it provably shows all
+writes of the session, and all writes acknowledged before the *needed time*: the
+arrival of the request less the staleness that it accepts. If the session's writes are
+unknown, the needed time is the arrival, whatever staleness is accepted, since any
+earlier write may be the session's own. docs/notes/routing.md discusses these rules.
 """
 
 from typing import NamedTuple
@@ -36,14 +35,14 @@
 from beryltrack.sessions.request_options import READS_PRIMARY
 
 NOT_AVAILABLE = "57P03"
-"""SQLSTATE of a request that was not run as no database could take it."""
+"""SQLSTATE of a request that was not run because no database could run it."""
 
 
 DEFAULT_POLICY = RoutingPolicy()
 
 
 class _Candidate(NamedTuple):
-    """A replica that can serve a read once it has applied a position."""
+    """A replica that a read may wait for; ordered by lag, then by rank."""
 
     lag: float
     rank: Rank
@@ -57,7 +56,7 @@
     now: float,
     policy: RoutingPolicy = DEFAULT_POLICY,
 ) -> Choice:
-    """Return where a request is to run, or what has to happen first.
+    """Return the database that is to run a request, or what has to happen first.
 
     Parameters
     ----------
@@ -66,11 +65,11 @@
     request : ReadRequest or WriteRequest
         The request.
     loads : tuple of TargetLoad
-        This node's work at each database; one that is missing has none.
+        This node's requests at each database; none at one that is not listed.
     now : float
         The current time of the node's clock, seconds.
     policy : RoutingPolicy, default=DEFAULT_POLICY
-        The limits to keep to.
+        The limits and preferences that apply.
 
     Returns
     -------
@@ -81,20 +80,24 @@
         return _choose_for_write(view, request, now, policy)
     replicas = [] if request.reads == READS_PRIMARY else _get_replicas(view, request)
     if policy.checks_positions:
-        ready = [item for item in replicas if _may_serve(item, request, now, policy)]
+        eligible = [
+            database
+            for database in replicas
+            if _may_try(database, request, now, policy)
+        ]
     else:
-        ready = [item for item in replicas if serves(item, request)]
-    if ready:
+        eligible = [database for database in replicas if can_serve(database, request)]
+    if eligible:
         refreshes = needs_refresh(view, request, policy)
-        after = compute_after(request) if policy.checks_positions else None
-        chosen = pick_replica(ready, request, loads, policy)
+        after = compute_required_position(request) if policy.checks_positions else None
+        chosen = pick_replica(eligible, request, loads, policy)
         return UseTarget(chosen, True, refreshes, after)
     waiting = _choose_wait(view, request, replicas, loads, now, policy)
     return waiting or _choose_primary(view, request, now, policy)
 
 
 def compute_needed_time(request: ReadRequest) -> float:
-    """Return the time before which acknowledged writes must be seen.
+    """Return the time before which acknowledged writes must be shown.
 
     Parameters
     ----------
@@ -111,7 +114,7 @@
     return request.arrived_at - request.max_age
 
 
-def serves(database: DatabaseView, request: ReadRequest) -> bool:
+def can_serve(database: DatabaseView, request: ReadRequest) -> bool:
     """Return whether a replica provably shows all that a read must show.
 
     Parameters
@@ -124,8 +127,8 @@
     Returns
     -------
     bool
-        True if it has applied the session's token, and either is fresh enough
-        by its age or has applied the position sampled for this read.
+        True if it has applied the session's token, and either is proven fresh
+        enough or has applied the position sampled for this read.
     """
     if request.token is not None and not has_applied(database, request.token):
         return False
@@ -134,19 +137,19 @@
     return request.sample is not None and has_applied(database, request.sample)
 
 
-def compute_after(request: ReadRequest) -> LogPosition | None:
-    """Return what a replica must show to serve a read; None if that is unknown."""
+def compute_required_position(request: ReadRequest) -> LogPosition | None:
+    """Return the position that a replica must have applied; None if unknown."""
     needed = request.sample or request.needed
     if needed is None or request.token is None:
         return needed
     return max(needed, request.token)
 
 
-def _may_serve(
+def _may_try(
     database: DatabaseView, request: ReadRequest, now: float, policy: RoutingPolicy
 ) -> bool:
-    """Return whether a replica that checks positions is worth a try."""
-    after = compute_after(request)
+    """Return whether a read is tried at a replica that checks positions itself."""
+    after = compute_required_position(request)
     if after is None:
         return False
     if has_applied(database, after):
@@ -159,9 +162,9 @@
 def compute_lag(view: GroupView, database: DatabaseView) -> float:
     """Return for how long a replica is known to have been behind, seconds.
 
-    Times to catch up have a heavy tail: the longer a replica has been behind,
-    the longer it is likely to remain so. A lag that is short or not known yet
-    is therefore the best sign that a wait will be short.
+    Catch-up times have a heavy tail: the longer a replica has been behind, the longer
+    it is likely to remain so. A lag that is short or not known yet is therefore the
+    best predictor of a short wait.
 
     Parameters
     ----------
@@ -173,7 +176,7 @@
     Returns
     -------
     float
-        Zero for a replica that has applied all that is known of the group.
+        Zero for a replica that has applied the head: all known writes of the group.
     """
     if has_applied(database, view.head):
         return 0.0
@@ -181,11 +184,11 @@
 
 
 def needs_refresh(view: GroupView, request: ReadRequest, policy: RoutingPolicy) -> bool:
-    """Return whether ages are to be proven anew for reads like this one.
+    """Return whether a read should trigger a new proof of the replicas' freshness.
 
-    The probes of a group are paced by how soon a loss must be noticed. Where
-    reads accept less staleness than that pace proves, they ask for samples
-    themselves, before the last proof is too old for them.
+    The interval of a group's probes is set by how soon a loss must be detected. Where
+    reads accept less staleness than that interval, they request samples themselves,
+    before the last proof is too old for them.
 
     Parameters
     ----------
@@ -194,12 +197,12 @@
     request : ReadRequest
         The read.
     policy : RoutingPolicy
-        The limits to keep to.
+        The limits and preferences that apply.
 
     Returns
     -------
     bool
-        True if the last proven sample is older than a part of the staleness
+        True if the last proven sample is older than `refresh_share` of the staleness
         that the read accepts.
     """
     if not view.primary or request.token is None or request.max_age == 0.0:
@@ -209,25 +212,25 @@
 
 
 def _get_proven_time(view: GroupView) -> float:
-    """Return the time up to which the head is proven to hold all writes."""
+    """Return the time up to which the head provably holds all acknowledged writes."""
     primary = get_primary(view)
     return min(primary.seen_at, view.confirmed_at) if primary else NEVER
 
 
 def _get_replicas(view: GroupView, request: ReadRequest) -> list[DatabaseView]:
-    """Return the replicas that may get new reads.
+    """Return the replicas that may receive new reads.
 
-    A database that still believes that it leads a lower term is none of them,
-    as it may show writes that are about to be discarded.
+    A database that still regards itself as primary of a lower term is excluded, as it
+    may show writes that are about to be rolled back.
     """
     return [
-        item
-        for item in view.databases
-        if item.name != view.primary
-        and item.role == REPLICA
-        and item.reachable
-        and not item.leaving
-        and item.name not in request.excluded
+        database
+        for database in view.databases
+        if database.name != view.primary
+        and database.role == REPLICA
+        and database.reachable
+        and not database.leaving
+        and database.name not in request.excluded
     ]
 
 
@@ -239,19 +242,22 @@
     now: float,
     policy: RoutingPolicy,
 ) -> WaitForTarget | None:
-    """Return the wait for the replicas that are likely to catch up soon."""
+    """Return a wait for replicas that are likely to catch up soon; None without any."""
     timeout = min(request.arrived_at + policy.max_wait, request.deadline) - now
     if not request.may_wait or timeout <= 0:
         return None
     rank = make_ranking(replicas, request, loads, policy)
-    positions = ((item, _get_awaited(view, request, item)) for item in replicas)
+    positions = (
+        (database, _get_awaited_position(view, request, database))
+        for database in replicas
+    )
     candidates = sorted(
         _Candidate(
-            compute_lag(view, item),
-            rank(item.name),
-            AwaitedTarget(item.name, position),
+            compute_lag(view, database),
+            rank(database.name),
+            AwaitedTarget(database.name, position),
         )
-        for item, position in positions
+        for database, position in positions
         if position is not None
     )
     targets = tuple(
@@ -262,13 +268,13 @@
     return WaitForTarget(targets, timeout) if targets else None
 
 
-def _get_awaited(
+def _get_awaited_position(
     view: GroupView, request: ReadRequest, database: DatabaseView
 ) -> LogPosition | None:
-    """Return the position that makes a replica good enough, if one is known."""
+    """Return the position with which a replica can serve a read; None if unknown."""
     needed_time = compute_needed_time(request)
     if database.fresh_at >= needed_time:
-        # Only the token can be missing, or the replica would serve the read.
+        # Only the token can be missing, or the replica could serve the read now.
         return request.token
     if request.sample is not None:
         return max(request.sample, request.token or request.sample)
@@ -292,20 +298,23 @@
     needs_proof = is_usable and not is_current
     if is_current or (needs_proof and _may_run_unproven(view, request, now, policy)):
         refreshes = is_current and needs_refresh(view, request, policy)
-        # One that has started again empty since it was proven to lead shows nothing,
-        # and answers a plain read all the same.
+        # A primary that restarted empty after it was proven to lead shows nothing, yet
+        # would answer a read that requires no position.
         shown = primary.applied if policy.checks_positions else NO_POSITION
         after = shown if shown.offset else None
         return UseTarget(primary.name, False, refreshes, after, needs_proof)
-    # While the primary cannot be reached a proof can only let a replica serve, once.
-    # Asked for again and again it made 43,521 status requests beside 6,660 statements
-    # of seven instances in two losses of 8 s; 5,951 so.
-    is_of_use = is_usable or not request.tried_proof
-    if request.sample is None and view.primary and is_of_use:
+    # While the primary cannot be reached, a proof can only let a replica serve, and
+    # asking once suffices. Repeated requests for proofs made 43,521 status requests
+    # beside 6,660 statements of seven instances in two losses of 8 s; asking once made
+    # 5,951.
+    can_help = is_usable or not request.tried_proof
+    if request.sample is None and view.primary and can_help:
         timeout = min(policy.sample_timeout, request.deadline - now)
         return NeedSample(timeout, policy.samples_position)
     return Refuse(
-        NOT_AVAILABLE, "no database can show what is asked", policy.retry_after
+        NOT_AVAILABLE,
+        "no reachable database provably shows the writes that the read must show",
+        policy.retry_after,
     )
 
 
@@ -324,17 +333,17 @@
 def _may_run_unproven(
     view: GroupView, request: ReadRequest, now: float, policy: RoutingPolicy
 ) -> bool:
-    """Return whether a read may run while the proof of the primary's lead is asked for.
+    """Return whether a read may run in parallel with the proof that the primary leads.
 
-    Where both pass through another instance, one after the other they cost a read two
-    round trips and the wait for a slot twice. It needs a primary that led a moment ago:
-    what runs at another one runs in vain.
+    Where both pass through another instance, running them in sequence costs a read two
+    round trips and two waits for a slot. The primary must have been confirmed recently:
+    a read at a database that no longer leads is wasted work.
     """
     holds_token = request.token is None or request.token.term <= view.term
-    led_lately = view.confirmed_at >= now - policy.confirmed_within
+    led_recently = view.confirmed_at >= now - policy.confirmed_within
     is_allowed = policy.runs_unproven and policy.samples_position
-    is_asked = is_allowed and request.may_run_unproven
-    return is_asked and request.sample is None and holds_token and led_lately
+    may_run = is_allowed and request.may_run_unproven
+    return may_run and request.sample is None and holds_token and led_recently
 
 
 def _choose_for_write(
@@ -353,9 +362,13 @@
     )
     if is_usable and (request.sampled or view.confirmed_at >= confirmed_after):
         return UseTarget(primary.name, False)
-    # No proof by others makes a primary take a write that cannot be reached. Where it
-    # is sampled itself, the answer comes from the next one, which callers wait for.
-    is_of_use = is_usable or (policy.samples_position and bool(view.primary))
-    if is_of_use and not request.sampled:
+    # No proof by other databases makes an unreachable primary accept a write. Where the
+    # primary itself is sampled, its successor answers, and callers wait for that.
+    can_help = is_usable or (policy.samples_position and bool(view.primary))
+    if can_help and not request.sampled:
         return NeedSample(policy.sample_timeout, policy.samples_position)
-    return Refuse(NOT_AVAILABLE, "no primary can be confirmed", policy.retry_after)
+    return Refuse(
+        NOT_AVAILABLE,
+        "no primary is reachable and confirmed to lead",
+        policy.retry_after,
+    )
--- a/beryltrack/routing/functions.py
+++ b/beryltrack/routing/functions.py
@@ -1,9 +1,9 @@
-"""Names that may stand before a parenthesis in a statement that only reads.
+"""Names that may precede a parenthesis in a read-only statement.
 
-A statement is taken for a read only if every function in it is known to change
-nothing. The list holds functions of PostgreSQL that are immutable or stable,
-or volatile without an effect, such as ``random``. A name that is missing only
-costs a trip to the primary.
+A statement counts as a read only if every function in it is known to have no side
+effect. The list holds functions of PostgreSQL that are immutable, stable, or volatile
+without a side effect, such as ``random``. A statement with a function that is missing
+here runs on the primary.
 """
 
 _AGGREGATES = """
@@ -86,7 +86,7 @@
 READ_ONLY_FUNCTIONS = frozenset(
     " ".join((_AGGREGATES, _NUMBERS, _TEXT, _TIMES, _VALUES, _CATALOG, _TYPES)).split()
 )
-"""Functions without an effect, and types, which are also names of casts."""
+"""Functions without a side effect, and types, whose names also serve as casts."""
 
 OPENING_KEYWORDS = frozenset(
     """
@@ -95,10 +95,10 @@
     select some then union using values when where with
     """.split()
 )
-"""Keywords that may open a list and that can never name a function."""
+"""Reserved keywords that may precede a parenthesis; they cannot name a function."""
 
 OPERAND_KEYWORDS = frozenset("filter ilike join like over".split())
-"""Keywords that open a list only after an operand; elsewhere they are names."""
+"""Keywords before a parenthesis only after an operand; elsewhere they are names."""
 
 PAIRED_KEYWORDS = frozenset(
     (
@@ -118,10 +118,10 @@
         ("sets", "grouping"),
     )
 )
-"""Keywords that open a list after one certain keyword, and that keyword."""
+"""Keywords before a parenthesis, each with the keyword that must precede it."""
 
 ALIAS_KEYWORDS = frozenset("as with recursive".split())
-"""Keywords after which a name with a list is an alias with its columns."""
+"""Keywords after which a name before a parenthesis is an alias with its columns."""
 
 SESSION_LOCKS = frozenset(
     """
@@ -130,7 +130,7 @@
     pg_try_advisory_lock_shared
     """.split()
 )
-"""Functions whose effect lasts as long as the connection."""
+"""Functions on session-level advisory locks, which last until the connection ends."""
 
 SET_CONFIG = "set_config"
 """The function that changes a setting, for the transaction or the session."""
--- a/beryltrack/routing/messages.py
+++ b/beryltrack/routing/messages.py
@@ -1,4 +1,4 @@
-"""What routing is asked and what it answers."""
+"""Inputs and results of routing: statement kinds, requests, loads, choices."""
 
 import math
 from enum import Enum
@@ -9,10 +9,10 @@
 
 
 class StatementKind(Enum):
-    """What a statement does, as far as its text shows."""
+    """What a statement does, as far as its text tells."""
 
     EMPTY = "empty"
-    """Nothing to run."""
+    """There is nothing to run."""
     READ = "read"
     """It provably changes nothing."""
     WRITE = "write"
@@ -20,13 +20,13 @@
     BEGIN = "begin"
     """It opens a transaction."""
     BEGIN_READ_ONLY = "begin read only"
-    """It opens a transaction that the target holds to reading."""
+    """It opens a transaction in which the target permits reads only."""
     COMMIT = "commit"
-    """It ends a transaction and keeps its changes."""
+    """It commits a transaction."""
     ROLLBACK = "rollback"
-    """It ends a transaction and drops its changes."""
+    """It rolls a transaction back."""
     SAVEPOINT = "savepoint"
-    """It sets, releases or goes back to a savepoint."""
+    """It sets, releases or rolls back to a savepoint."""
     TRANSACTION_SET = "transaction set"
     """It changes a setting for the current transaction only."""
     SESSION_SET = "session set"
@@ -34,11 +34,11 @@
     SHOW = "show"
     """It shows a setting."""
     DEALLOCATE = "deallocate"
-    """It drops prepared statements."""
+    """It deallocates prepared statements."""
     DISCARD = "discard"
-    """It drops state of the session."""
+    """It discards state of the session."""
     UNSUPPORTED = "unsupported"
-    """It needs a connection of its own, which pooled connections cannot give."""
+    """It needs a dedicated connection, which pooling does not provide."""
 
 
 class ReadRequest(NamedTuple):
@@ -49,36 +49,36 @@
     arrived_at : float
         When it arrived, by the node's clock, seconds.
     token : LogPosition or None
-        What its session has written in the group; None if that is not known.
+        The last position its session has written in the group; None if unknown.
     max_age : float
         Staleness that it accepts, seconds, counted back from `arrived_at`.
     reads : str
         `READS_ANY` or `READS_PRIMARY`.
     zone : str
-        Availability zone of this node; empty if it does not matter.
+        Availability zone of this node; empty if zones do not matter.
     sample : LogPosition or None
-        A position of the primary that was sampled, and its term confirmed by
+        A position of the primary that was sampled, with its term confirmed by
         a majority, after `arrived_at`; None if there is none.
     may_wait : bool
-        False if it has waited for a replica before.
+        False if it has already waited for a replica.
     excluded : tuple of str
         Databases that refused it.
     deadline : float
         When it must have been answered, by the node's clock, seconds.
     sequence : int
-        Number of the request on this node, by which equal targets take turns.
+        Number of the request on this node, for round robin among equal targets.
     written_at : float
-        When its session last wrote, by the node's clock.
+        When its session last wrote, by the node's clock, seconds.
     needed : LogPosition or None
-        A position that shows all that was acknowledged before the needed time,
-        for databases that check it; None if none is proven.
+        A position that includes all writes acknowledged before the needed time,
+        for databases that check positions; None if none is proven.
     tried_proof : bool
-        True if a proof of the term was asked for since it arrived, and was of no use.
+        True if a proof of the term was requested since it arrived, without success.
     account : str
-        The client account whose read it is; empty where there are none.
+        The client account that sent it; empty where there are no accounts.
     may_run_unproven : bool
-        True if it may run at the primary while the proof that this one leads is asked
-        for; its answer is held until then.
+        True if it may run at the primary in parallel with the proof that this one
+        leads; its answer is held back until the proof.
     via_zone : str
         Availability zone of the instance that runs the account's operations; empty if
         it is unknown.
@@ -110,11 +110,11 @@
     arrived_at : float
         When it arrived, by the node's clock, seconds.
     sampled : bool
-        True if the primary's term was confirmed by a majority since then.
+        True if a majority has confirmed the primary's term since `arrived_at`.
     excluded : tuple of str
         Databases that refused it.
     opens_transaction : bool
-        True if reads may follow in its transaction.
+        True if it opens a transaction, in which reads may follow.
     """
 
     arrived_at: float
@@ -124,7 +124,7 @@
 
 
 class TargetLoad(NamedTuple):
-    """The work of this node at one database.
+    """The load of one database.
 
     Parameters
     ----------
@@ -133,13 +133,13 @@
     zone : str
         Its availability zone.
     outstanding : int
-        Requests of this node that it runs or that queue for it.
+        Requests of this node that run there or are queued for it.
     limit : int
-        Requests that this node can have running there at once.
+        Requests that this node can run there concurrently.
     wait : float
-        Expected wait there of a request, by what owners tell, seconds; 0 if unknown.
-    work : float
-        Usual time of a statement there, seconds; 0 if unknown.
+        Expected queueing time there, by the owners' reports, seconds; 0 if unknown.
+    service_time : float
+        Typical service time of a statement there, seconds; 0 if unknown.
     """
 
     database: str
@@ -147,7 +147,7 @@
     outstanding: int
     limit: int
     wait: float = 0.0
-    work: float = 0.0
+    service_time: float = 0.0
 
 
 class UseTarget(NamedTuple):
@@ -158,14 +158,14 @@
     database : str
         Name of the database.
     is_replica : bool
-        True if it counts as a replica in the share of reads.
+        True if the database is a replica of the group.
     refreshes : bool
-        True if the primary is to be sampled meanwhile, without a wait, so that
-        later reads find the ages of replicas proven.
+        True if the primary is to be sampled in the background, so that the
+        freshness of replicas is proven for later reads.
     after : LogPosition or None
-        What the database must show, where it can check that itself.
+        The position that the database must show, where it can check that itself.
     needs_proof : bool
-        True if the answer counts only once it is proven that the database has led
+        True if the answer may be sent only once the database is proven to have led
         since the request arrived.
     """
 
@@ -194,12 +194,12 @@
 class WaitForTarget(NamedTuple):
     """Wait until one of some replicas is ready, then run the request there.
 
-    If the wait ends without that, choose again with `may_wait` false.
+    If none is ready before the timeout, choose again with `may_wait` false.
 
     Parameters
     ----------
     targets : tuple of AwaitedTarget
-        The replicas, the best one first.
+        The replicas, best first.
     timeout : float
         Longest wait, seconds.
     """
@@ -215,9 +215,9 @@
     ----------
     timeout : float
         Longest wait, seconds. If there is no sample by then, the request is
-        refused as not run.
+        refused without having run.
     needs_position : bool
-        False if it suffices that the term is confirmed, without a position.
+        False if confirmation of the term suffices, without a position.
     """
 
     timeout: float
@@ -230,11 +230,11 @@
     Parameters
     ----------
     sqlstate : str
-        A code of the class that means that the request did not run.
+        A code that means that the request did not run.
     text : str
-        Why.
+        The reason.
     retry_after : float
-        Seconds after which another attempt can succeed.
+        Seconds after which the caller may retry.
     """
 
     sqlstate: str
--- a/beryltrack/routing/policy.py
+++ b/beryltrack/routing/policy.py
@@ -1,58 +1,58 @@
-"""The limits by which targets are chosen."""
+"""Limits and preferences for the choice of a target."""
 
 from typing import NamedTuple
 
 
 class RoutingPolicy(NamedTuple):
-    """The limits by which targets are chosen.
+    """Limits and preferences for the choice of a target.
 
     Parameters
     ----------
     max_wait : float
         Longest wait for a replica to catch up, seconds, counted from the arrival
-        of the read, so that a wait for a sample is a part of it. Zero: no wait.
+        of the read, so that it includes the wait for a sample. Zero: no wait.
     stalled_after : float
-        A replica that has been behind for longer is not waited for, seconds.
+        Reads do not wait for a replica that has been behind for longer, seconds.
     max_awaited : int
-        Replicas that are waited for at once; the first that is ready serves.
+        Maximum replicas that a read waits for; the first that is ready serves it.
     refresh_share : float
-        Part of the accepted staleness after which ages are proven anew.
+        Fraction of the accepted staleness after which freshness is proven again.
     sample_timeout : float
         Longest wait for a sample of the primary, seconds.
     confirmed_within : float
         A write is sent without a new confirmation of the primary's term if the
-        last one is not older than this, seconds. It only spares requests that
-        cannot succeed: what a replaced primary writes is never acknowledged.
+        last one is not older than this, seconds. The check only avoids requests that
+        cannot succeed: writes at a replaced primary are never acknowledged.
     proves_transactions : bool
-        True if a transaction is opened only once its primary's term is confirmed from
-        its arrival on: its reads are answered before its commit is, and a replaced
-        primary that goes on would answer them by data of before.
+        True if a transaction is opened only once the primary's term is confirmed after
+        its arrival. Its reads are answered before its commit is confirmed, and a
+        replaced primary that still runs would answer them with stale data.
     retry_after : float
-        Seconds after which a caller is told to try again.
+        Seconds after which a refused caller is told to retry.
     checks_positions : bool
-        True if databases check themselves whether they show a position, so that
-        a replica can be tried without a proof of what it shows.
+        True if databases check the required position themselves, so that a replica
+        can be tried without a proof of the position it has applied.
     usual_lag : float
-        Seconds after which replicas usually show a write. A replica is not tried
-        for a write that is younger.
+        Seconds within which replicas typically apply a write. For that time after its
+        last write a session reads only at replicas known to show what it needs.
     lagging_pause : float
-        Least seconds for which a replica that was behind is not tried.
+        Minimum seconds for which a replica that was behind is not tried.
     samples_position : bool
-        False where others than the primary confirm its term. They alone are asked
-        then: the primary holds whatever was acknowledged in its term.
+        False where databases other than the primary confirm its term. Only these are
+        queried then: the primary holds all writes acknowledged in its term.
     runs_unproven : bool
-        True if reads that another instance passes on may run at the primary while they
-        ask it whether it leads.
+        True if reads that another instance passes on may run at the primary in parallel
+        with the proof that it leads.
     prefers_near : bool
-        True if replicas of the node's own availability zone are preferred.
+        True if replicas in the node's own availability zone are preferred.
     prefers_account_replica : bool
-        True if the reads of an account prefer one replica instead: connections belong
-        to accounts, and a new one costs as much as a read. It is one of the zone of the
-        instance that runs them, if there is one and `prefers_near` holds; else the same
-        one on all nodes.
+        True if the reads of an account prefer one replica instead (affinity), as
+        connections belong to accounts and a new one costs as much as a read. It is in
+        the zone of the instance that runs the reads, if that zone has a replica and
+        `prefers_near` is true; else it is the same one on all nodes.
     ranks_by_time : bool
-        True if targets are ranked by the time in which they are expected to be done,
-        where their load is known.
+        True if targets are ranked by the expected completion time of a read, where
+        their load is known.
     """
 
     max_wait: float = 0.0055
--- a/beryltrack/routing/ranking.py
+++ b/beryltrack/routing/ranking.py
@@ -1,7 +1,7 @@
-"""Which of the replicas that may serve a read is the best one for it.
+"""Ranking of the replicas that can serve a read (load balancing).
 
-Where nothing is known of the databases' load they are ranked by this node's own work
-there. Where owners tell of it, by the time in which a read is expected to be done.
+Where owners report the databases' load, replicas are ranked by the expected completion
+time of the read, else by this node's own outstanding requests.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,55 +14,56 @@
 from beryltrack.routing.messages import ReadRequest, TargetLoad
 from beryltrack.routing.policy import RoutingPolicy
 
-FAR_PRICE = 1.0
-"""What a database that is far, or not an account's own, costs, in statements' times: a
-round trip between zones, or a new connection, is about one."""
+FAR_PENALTY = 1.0
+"""Added cost of a replica that is far (in another zone, or not the account's), in
+service times: a round trip between zones, or a new connection, costs about one."""
 
-SPREAD = 2.0
-"""Most that is added to a database's time by chance, by the longest wait of all that
-may serve a read. Nothing while none waits, so that idle databases are used by their
-distance alone. Reads of 40 simulated nodes waited 0.029 s on average with it, 0.045 s
-without."""
+WAIT_JITTER = 2.0
+"""Maximum random addition to a replica's expected time, as a multiple of the longest
+wait at the replicas that can serve the read. It is zero while there are no waits, so
+that idle replicas are ranked by distance alone. Reads of 40 simulated nodes waited
+0.029 s on average with it, 0.045 s without."""
 
-USUAL_WORK = 0.02
-"""Seconds of a statement where none is known of any database."""
+DEFAULT_SERVICE_TIME = 0.02
+"""Assumed service time, seconds, where none is known of any replica."""
 
-HASHES = 2**64
+HASH_COUNT = 2**64
+"""Number of values of the 64-bit hash."""
 
 IsFar = Callable[[TargetLoad], bool]
 Rank = tuple[float, ...]
-"""The lowest one is the best; ranks of one read alone are compared."""
+"""Sort key, lowest is best; only ranks for the same read are comparable."""
 
 Ranking = Callable[[str], Rank]
 
 
-def add_outlook(
+def add_owner_loads(
     loads: Sequence[TargetLoad], owner_loads: OwnerLoads, owner: str, priority: int
 ) -> tuple[TargetLoad, ...]:
-    """Return loads with what is known of the databases through an owner.
+    """Return loads with the waits and service times that owners have reported.
 
     Parameters
     ----------
     loads : sequence of TargetLoad
-        This node's own work.
+        The loads, with this node's own outstanding requests.
     owner_loads : OwnerLoads
-        What owners have told.
+        Estimates from the owners' reports.
     owner : str
-        The owner through which the read would go; empty for none.
+        The owner through which the read would run; empty for none.
     priority : int
         The read's priority.
     """
     return tuple(
         load._replace(
             wait=owner_loads.get_wait(owner, load.database, priority),
-            work=owner_loads.get_service_time(load.database),
+            service_time=owner_loads.get_service_time(load.database),
         )
         for load in loads
     )
 
 
 def _get_load(loads: tuple[TargetLoad, ...], database: str) -> TargetLoad:
-    """Return this node's work at a database."""
+    """Return the load of a database; an empty one if it is not listed."""
     for load in loads:
         if load.database == database:
             return load
@@ -70,25 +71,25 @@
 
 
 def pick_replica(
-    ready: list[DatabaseView],
+    eligible: list[DatabaseView],
     request: ReadRequest,
     loads: tuple[TargetLoad, ...],
     policy: RoutingPolicy,
 ) -> str:
-    """Return the replica with the least work, a near one before a far one."""
-    if len(ready) == 1:
-        return ready[0].name
-    turn = request.sequence % len(ready)
-    rank = make_ranking(ready, request, loads, policy)
-    ranked = (
+    """Return the best replica; round robin among equals, by the request's sequence."""
+    if len(eligible) == 1:
+        return eligible[0].name
+    offset = request.sequence % len(eligible)
+    rank = make_ranking(eligible, request, loads, policy)
+    ranks = (
         (
             rank(item.name),
             place,
             item.name,
         )
-        for place, item in enumerate(ready[turn:] + ready[:turn])
+        for place, item in enumerate(eligible[offset:] + eligible[:offset])
     )
-    return min(ranked)[-1]
+    return min(ranks)[-1]
 
 
 def make_ranking(
@@ -97,73 +98,82 @@
     loads: tuple[TargetLoad, ...],
     policy: RoutingPolicy,
 ) -> Ranking:
-    """Return what ranks the replicas of a read by their names."""
-    is_far = _make_distance(replicas, request, loads, policy)
-    places = {item.name: _get_load(loads, item.name) for item in replicas}
-    works = [load.work for load in places.values() if load.work > 0.0]
-    longest = max((load.wait for load in places.values()), default=0.0)
-    if not policy.ranks_by_time or not (works or longest):
-        return lambda name: _rank_by_work(places[name], is_far)
-    usual = sum(works) / len(works) if works else USUAL_WORK
+    """Return a function that ranks the replicas for a read by their names."""
+    is_far = _make_distance_check(replicas, request, loads, policy)
+    loads_by_name = {item.name: _get_load(loads, item.name) for item in replicas}
+    service_times = [
+        load.service_time for load in loads_by_name.values() if load.service_time > 0.0
+    ]
+    longest = max((load.wait for load in loads_by_name.values()), default=0.0)
+    if not policy.ranks_by_time or not (service_times or longest):
+        return lambda name: _rank_by_outstanding(loads_by_name[name], is_far)
+    default_time = (
+        sum(service_times) / len(service_times)
+        if service_times
+        else DEFAULT_SERVICE_TIME
+    )
 
     def rank(name: str) -> Rank:
-        chance = SPREAD * longest * _draw(request, name)
-        return _rank_by_time(places[name], usual, chance, is_far)
+        jitter = WAIT_JITTER * longest * _draw_fraction(request, name)
+        return _rank_by_time(loads_by_name[name], default_time, jitter, is_far)
 
     return rank
 
 
-def _make_distance(
+def _make_distance_check(
     replicas: list[DatabaseView],
     request: ReadRequest,
     loads: tuple[TargetLoad, ...],
     policy: RoutingPolicy,
 ) -> IsFar:
-    """Return what says of a database that another one is preferred for a read.
+    """Return a function that tells whether a read prefers another database.
 
-    An account's read runs on a connection of its owner, so that the bytes of its answer
-    cross zones on the way from the database too, unless that is in the owner's zone.
+    An account's read runs on a connection of its owner, so its answer crosses zones
+    between database and owner too, unless the database is in the owner's zone.
     """
     if request.account and policy.prefers_account_replica and replicas:
         names = [item.name for item in replicas]
         near = [n for n in names if _get_load(loads, n).zone == request.via_zone]
-        fit = near if near and policy.prefers_near and request.via_zone else names
-        own = max(fit, key=lambda name: compute_rank(request.account, name))
-        return lambda load: load.database != own
+        eligible = near if near and policy.prefers_near and request.via_zone else names
+        preferred = max(eligible, key=lambda name: compute_rank(request.account, name))
+        return lambda load: load.database != preferred
     zone = request.via_zone or request.zone
     return lambda load: policy.prefers_near and load.zone != zone
 
 
-def _rank_by_work(load: TargetLoad, is_far: IsFar) -> Rank:
-    """Return the rank of a database by its queue, its work and its distance.
+def _rank_by_outstanding(load: TargetLoad, is_far: IsFar) -> Rank:
+    """Return the rank by this node's queue and outstanding requests, then distance.
 
-    A far database counts as if it had one request more, since a request there
-    costs about as much more as one that waits for a slot.
+    A far database counts as if it had one more outstanding request, since a request
+    there costs about as much more as one that waits for a slot.
     """
     far = is_far(load)
-    return _count_rounds(load), load.outstanding + far, far
+    return _count_full_rounds(load), load.outstanding + far, far
 
 
-def _rank_by_time(load: TargetLoad, usual: float, chance: float, is_far: IsFar) -> Rank:
-    """Return the rank of a database by the time until a read is done there.
+def _rank_by_time(
+    load: TargetLoad, default_time: float, jitter: float, is_far: IsFar
+) -> Rank:
+    """Return the rank by the expected completion time of a read, then distance.
 
-    What owners tell is as old as their last message, and this node's own requests are
-    in it in part: the longer of the two waits counts. `usual` is the time of a
-    statement where a database's is not known. `chance` is of the read's own: many nodes
-    are told the same, and would turn to the best place together.
+    Owners' reports are as old as their last message and include this node's own
+    requests in part, so the longer of the two waits counts. `default_time` is the
+    service time where a database's is unknown, seconds. `jitter`, seconds, is drawn for
+    each read: many nodes get the same reports, and without it they would all choose the
+    same replica at once (herd effect).
     """
-    work = load.work or usual
-    wait = max(load.wait, _count_rounds(load) * work)
+    service_time = load.service_time or default_time
+    wait = max(load.wait, _count_full_rounds(load) * service_time)
     far = is_far(load)
-    return wait + work + FAR_PRICE * far * usual + chance, far
+    return wait + service_time + FAR_PENALTY * far * default_time + jitter, far
 
 
-def _count_rounds(load: TargetLoad) -> int:
-    """Return how often the node's own requests fill what it may run there at once."""
+def _count_full_rounds(load: TargetLoad) -> int:
+    """Return how many times this node's requests fill its concurrency limit there."""
     return load.outstanding // max(load.limit, 1)
 
 
-def _draw(request: ReadRequest, database: str) -> float:
-    """Return a number from 0 to 1 for a read at a database, always the same one."""
+def _draw_fraction(request: ReadRequest, database: str) -> float:
+    """Return a pseudo-random number in [0, 1], fixed for a read and a database."""
     text = f"{request.sequence} {request.arrived_at!r} {database}"
-    return xxhash.xxh64_intdigest(text.encode()) / HASHES
+    return xxhash.xxh64_intdigest(text.encode()) / HASH_COUNT
--- a/beryltrack/routing/reads.py
+++ b/beryltrack/routing/reads.py
@@ -1,4 +1,4 @@
-"""The proof that a statement only reads, from its words and its syntax tree."""
+"""Proof that a statement only reads, from its tokens and its syntax tree."""
 
 from collections.abc import Iterator
 
@@ -13,25 +13,25 @@
     PAIRED_KEYWORDS,
     READ_ONLY_FUNCTIONS,
 )
-from beryltrack.routing.tokenizer import DIALECT, LITERAL, QUOTED, Words
+from beryltrack.routing.tokenizer import DIALECT, LITERAL, QUOTED, TokenTexts
 
-READ_OPENINGS = frozenset(("select", "with", "values", "table", "("))
-"""The first words of the statements that can be reads."""
+READ_FIRST_KEYWORDS = frozenset(("select", "with", "values", "table", "("))
+"""First tokens of statements that can be reads."""
 
 MAX_TOKENS = 1000
-"""Longer statements are not parsed: a token takes the parser about 40 us."""
+"""Maximum tokens of a statement that is parsed: the parser takes about 40 us each."""
 
 MAX_DEPTH = 64
-"""Deeper nesting is not parsed, as the parser works by recursion."""
+"""Maximum nesting levels of a statement that is parsed: the parser is recursive."""
 
 MAX_TYPE_DEPTH = 5
-"""Deeper nesting of types is not parsed: each level doubles the parser's work."""
+"""Maximum nesting levels of types: each one doubles the parser's work."""
 
-_WRITING_WORDS = frozenset(("insert", "update", "delete", "merge", "into"))
+_WRITE_KEYWORDS = frozenset(("insert", "update", "delete", "merge", "into"))
 _LOCK_STRENGTHS = frozenset(("update", "no", "share", "key"))
 _CATALOG_SCHEMA = "pg_catalog"
-_READING_ROOTS = (exp.Select, exp.SetOperation, exp.Values, exp.Subquery, exp.Table)
-_WRITING_NODES = (
+_READ_ROOTS = (exp.Select, exp.SetOperation, exp.Values, exp.Subquery, exp.Table)
+_WRITE_NODES = (
     exp.Insert,
     exp.Update,
     exp.Delete,
@@ -41,55 +41,55 @@
     exp.Create,
     exp.Command,
 )
-_OPENERS = (TokenType.L_PAREN, TokenType.L_BRACKET)
-_CLOSERS = (TokenType.R_PAREN, TokenType.R_BRACKET)
+_OPENING_BRACKETS = (TokenType.L_PAREN, TokenType.L_BRACKET)
+_CLOSING_BRACKETS = (TokenType.R_PAREN, TokenType.R_BRACKET)
 
 
-def is_read(words: Words, tokens: list[Token]) -> bool:
-    """Return whether a statement can be shown to only read.
+def is_read(texts: TokenTexts, tokens: list[Token]) -> bool:
+    """Return whether a statement provably only reads.
 
     Parameters
     ----------
-    words : tuple of str
-        The statement's words.
+    texts : tuple of str
+        The statement's normalized token texts.
     tokens : list of sqlglot.tokens.Token
         Its tokens.
 
     Returns
     -------
     bool
-        True only if it provably changes nothing and locks nothing.
+        True only if it provably neither changes nor locks anything.
     """
     return (
-        words[0] in READ_OPENINGS
-        and _WRITING_WORDS.isdisjoint(words)
-        and not _locks_rows(words)
+        texts[0] in READ_FIRST_KEYWORDS
+        and _WRITE_KEYWORDS.isdisjoint(texts)
+        and not _locks_rows(texts)
         and _is_cheap(tokens)
-        and all(is_harmless_call(words, index) for index in _find_lists(words))
+        and all(is_read_only_call(texts, index) for index in _find_parentheses(texts))
         and _parses_as_read(tokens)
     )
 
 
-def is_harmless_call(words: Words, index: int) -> bool:
-    """Return whether what stands before a parenthesis has no effect.
+def is_read_only_call(texts: TokenTexts, index: int) -> bool:
+    """Return whether the token before a parenthesis names nothing with side effects.
 
     Parameters
     ----------
-    words : tuple of str
-        The statement's words.
+    texts : tuple of str
+        The statement's normalized token texts.
     index : int
         Index of the parenthesis; at least 1.
 
     Returns
     -------
     bool
-        True for functions known to have no effect, types, aliases, keywords
-        and operators.
+        True for functions known to have no side effect, types, aliases,
+        keywords and operators.
     """
-    name = words[index - 1]
-    before = words[index - 2] if index > 1 else ""
+    name = texts[index - 1]
+    before = texts[index - 2] if index > 1 else ""
     if before == ".":
-        return words[index - 3] == _CATALOG_SCHEMA and _is_known(name)
+        return texts[index - 3] == _CATALOG_SCHEMA and _is_known(name)
     if before in ALIAS_KEYWORDS and name not in OPERAND_KEYWORDS:
         return True
     if name.startswith(QUOTED):
@@ -104,61 +104,63 @@
 
 
 def _is_known(name: str) -> bool:
-    """Return whether a name is that of a function without an effect."""
+    """Return whether a name is in `READ_ONLY_FUNCTIONS`."""
     return name.removeprefix(QUOTED) in READ_ONLY_FUNCTIONS
 
 
-def _ends_operand(word: str) -> bool:
-    """Return whether an operand can end in a word."""
-    if word in (")", "]", LITERAL) or word.startswith(QUOTED):
+def _ends_operand(text: str) -> bool:
+    """Return whether an operand can end in a token."""
+    if text in (")", "]", LITERAL) or text.startswith(QUOTED):
         return True
-    return word[:1].isidentifier() and word not in OPENING_KEYWORDS
+    return text[:1].isidentifier() and text not in OPENING_KEYWORDS
 
 
-def _find_lists(words: Words) -> Iterator[int]:
-    """Return the indexes of the parentheses that something stands before."""
-    return (index for index, word in enumerate(words) if word == "(" and index)
+def _find_parentheses(texts: TokenTexts) -> Iterator[int]:
+    """Return the indexes of the opening parentheses, except a leading one."""
+    return (index for index, text in enumerate(texts) if text == "(" and index)
 
 
-def _locks_rows(words: Words) -> bool:
-    """Return whether a query locks the rows that it finds."""
-    pairs = zip(words, words[1:], strict=False)
-    return any(word == "for" and then in _LOCK_STRENGTHS for word, then in pairs)
+def _locks_rows(texts: TokenTexts) -> bool:
+    """Return whether a query locks rows, as in ``FOR UPDATE``."""
+    pairs = zip(texts, texts[1:], strict=False)
+    return any(
+        text == "for" and following in _LOCK_STRENGTHS for text, following in pairs
+    )
 
 
 def _is_cheap(tokens: list[Token]) -> bool:
-    """Return whether a statement is so small and flat that it is safe to parse."""
+    """Return whether a statement is small and flat enough to be parsed safely."""
     if len(tokens) > MAX_TOKENS:
         return False
-    opened_types: list[bool] = []
-    depth = type_depth = types_opened = bounds_of_types = 0
+    opened_brackets: list[bool] = []
+    depth = type_depth = open_type_count = parameterized_types = 0
     for before, token in zip([None, *tokens], tokens, strict=False):
         is_type = before is not None and before.token_type in Parser.TYPE_TOKENS
-        if token.token_type in _OPENERS:
-            opened_types.append(is_type)
-            types_opened += is_type
-        elif token.token_type in _CLOSERS and opened_types:
-            types_opened -= opened_types.pop()
+        if token.token_type in _OPENING_BRACKETS:
+            opened_brackets.append(is_type)
+            open_type_count += is_type
+        elif token.token_type in _CLOSING_BRACKETS and opened_brackets:
+            open_type_count -= opened_brackets.pop()
         elif token.token_type == TokenType.LT:
-            bounds_of_types += is_type
-        depth = max(depth, len(opened_types))
-        type_depth = max(type_depth, types_opened)
-    return depth <= MAX_DEPTH and max(type_depth, bounds_of_types) <= MAX_TYPE_DEPTH
+            parameterized_types += is_type
+        depth = max(depth, len(opened_brackets))
+        type_depth = max(type_depth, open_type_count)
+    return depth <= MAX_DEPTH and max(type_depth, parameterized_types) <= MAX_TYPE_DEPTH
 
 
 def _parses_as_read(tokens: list[Token]) -> bool:
-    """Return whether a statement parses, with no part that writes."""
+    """Return whether a statement parses and no node of its tree writes."""
     try:
         trees = DIALECT.parser().parse(tokens, "")
     except Exception:
-        # The parser also fails with errors that are not its own on malformed
-        # input. Whatever the reason, there is no proof then.
+        # On malformed input the parser also raises errors other than its own. In
+        # each case the statement is not proven to be a read.
         return False
     return len(trees) == 1 and _only_reads(trees[0])
 
 
 def _only_reads(tree: exp.Expression | None) -> bool:
-    """Return whether a syntax tree has no part that writes."""
-    if not isinstance(tree, _READING_ROOTS):
+    """Return whether a syntax tree has a reading root and no node that writes."""
+    if not isinstance(tree, _READ_ROOTS):
         return False
-    return tree.find(*_WRITING_NODES) is None
+    return tree.find(*_WRITE_NODES) is None
--- a/beryltrack/routing/refresh.py
+++ b/beryltrack/routing/refresh.py
@@ -1,7 +1,7 @@
-"""Samples of the primary on behalf of reads to come.
+"""Background samples of the primary that renew the proofs of replicas' freshness.
 
-A read never waits for such a sample. One is under way at a time, as it serves
-all reads that come after it.
+No read waits for such a sample. At most one is in progress at a time, as it serves all
+later reads.
 """
 
 from typing import Protocol
@@ -17,7 +17,7 @@
 
 
 class AgeRefresher:
-    """Has the ages of a group's replicas proven anew.
+    """Renews the proofs of the freshness of a group's replicas.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     source : SampleSource
         Takes the samples.
     timeout : float
-        Seconds after which a sample is given up.
+        Seconds after which a sample is cancelled.
     """
 
     def __init__(self, reactor, source: SampleSource, timeout: float):
@@ -36,14 +36,14 @@
         self._is_sampling = False
 
     def refresh(self) -> None:
-        """Take a sample, unless one is under way."""
+        """Start a sample, unless one is in progress."""
         if self._is_sampling:
             return
         self._is_sampling = True
         sampling = self._source.sample_primary()
         sampling.addTimeout(self._timeout, self._reactor)
-        sampling.addBoth(self._end)
+        sampling.addBoth(self._finish)
 
-    def _end(self, result: object) -> None:
-        """Let the next sample be taken; a failed one is taken by a later read."""
+    def _finish(self, result: object) -> None:
+        """Allow the next sample; a failed one is not retried before a later read."""
         self._is_sampling = False
--- a/beryltrack/routing/tokenizer.py
+++ b/beryltrack/routing/tokenizer.py
@@ -1,8 +1,8 @@
-"""The words of a statement: its tokens in the form that the rules compare.
+"""Tokenizer of statements, and normalized token texts for the classification.
 
-Keywords and plain names are in lower case. Literals and quoted identifiers
-begin with a character that no word begins with, so that no text that a caller
-puts into a literal can be mistaken for a keyword.
+Keywords and unquoted names are in lower case. Literals and quoted identifiers begin
+with a character that no keyword begins with, so that the content of a literal cannot be
+mistaken for a keyword.
 """
 
 import re
@@ -12,10 +12,10 @@
 from sqlglot.tokens import Token, TokenType
 
 QUOTED = '"'
-"""Begins the word of a quoted identifier."""
+"""Prefix of the text of a quoted identifier."""
 
 LITERAL = "'"
-"""The word of a string or a number."""
+"""The text of any string or number."""
 
 _LITERAL_TYPES = frozenset(
     (
@@ -31,22 +31,23 @@
     )
 )
 
-Words = tuple[str, ...]
+TokenTexts = tuple[str, ...]
+"""The normalized token texts of one statement."""
 
-# The library takes the dollars in ``$1,$2`` for those of a quoted string. A
-# space after the parameter keeps them apart and changes no kind.
+# sqlglot takes the dollar signs in ``$1,$2`` for those of a quoted string. A space
+# after the parameter separates them and does not affect the kind.
 _PARAMETER = re.compile(r"(?<![\w$])\$\d+")
 
 
 class StatementDialect(Postgres):
-    """PostgreSQL, with the tokens of each statement.
+    """PostgreSQL's dialect, with the tokens of all statements.
 
-    The library's own dialect takes what follows words such as ``EXPLAIN`` as
-    one string up to the next semicolon, even one inside of a literal.
+    sqlglot's own dialect takes the text after keywords such as ``EXPLAIN`` as one
+    string up to the next semicolon, even one inside of a literal.
     """
 
     class Tokenizer(Postgres.Tokenizer):
-        """PostgreSQL's tokens, without the library's shortcut for commands."""
+        """PostgreSQL's tokenizer, without sqlglot's shortcut for commands."""
 
         COMMANDS = frozenset()
 
@@ -79,8 +80,8 @@
     return [list(tokens) for is_separator, tokens in groups if not is_separator]
 
 
-def get_words(tokens: list[Token]) -> Words:
-    """Return the words of one statement.
+def get_token_texts(tokens: list[Token]) -> TokenTexts:
+    """Return the normalized token texts of one statement.
 
     Parameters
     ----------
@@ -90,13 +91,13 @@
     Returns
     -------
     tuple of str
-        Its words; a token of several words gives several.
+        Its texts; a token of several words gives several.
     """
     return tuple(chain.from_iterable(map(_split_token, tokens)))
 
 
 def _split_token(token: Token) -> list[str]:
-    """Return the words of one token."""
+    """Return the normalized texts of one token."""
     if token.token_type in _LITERAL_TYPES:
         return [LITERAL]
     if token.token_type == TokenType.IDENTIFIER:
--- a/beryltrack/routing/waits.py
+++ b/beryltrack/routing/waits.py
@@ -1,7 +1,7 @@
-"""Waits for the first of some replicas that is ready to serve a read.
+"""Wait for the first of several replicas that has applied a position.
 
-The first to catch up of two replicas does so far sooner than a given one, as
-the time that each takes has a heavy tail and the stalls of the two are apart.
+The first of two replicas catches up far sooner than a given one, as catch-up times have
+a heavy tail and the stalls of the two are independent.
 """
 
 from typing import Protocol
@@ -13,55 +13,55 @@
 
 
 class AppliedSource(Protocol):
-    """Tells when a database has applied a position, as `GroupTask` does."""
+    """Reports when a database has applied a position, as `GroupTask` does."""
 
     def wait_applied(
         self, database: str, token: LogPosition, timeout: float
     ) -> Deferred:
-        """Return a Deferred of True, or of False at the timeout."""
+        """Return a Deferred of True, or of False after `timeout` seconds."""
 
 
 async def wait_for_target(
     source: AppliedSource, wait: WaitForTarget
 ) -> UseTarget | None:
-    """Wait as a choice says.
+    """Wait for the first replica of a choice that is ready.
 
     Parameters
     ----------
     source : AppliedSource
-        What tells of the replicas.
+        Reports the replicas' applied positions.
     wait : WaitForTarget
         The choice.
 
     Returns
     -------
     UseTarget or None
-        The first replica that is ready, None if there is none in time.
+        The first replica that is ready; None if none is before the timeout.
     """
     ready = Deferred()
     answers = [
-        _tell_if_ready(
+        _resolve_if_ready(
             ready,
             target.database,
             source.wait_applied(target.database, target.position, wait.timeout),
         )
         for target in wait.targets
     ]
-    DeferredList(answers).addCallback(lambda ignored: _tell(ready, None))
+    DeferredList(answers).addCallback(lambda ignored: _resolve_once(ready, None))
     return await ready
 
 
-def _tell_if_ready(ready: Deferred, database: str, answer: Deferred) -> Deferred:
-    """Tell of a database as soon as its own wait ends well."""
+def _resolve_if_ready(ready: Deferred, database: str, answer: Deferred) -> Deferred:
+    """Resolve `ready` with a database once its own wait succeeds."""
 
-    def take(is_ready: bool) -> None:
+    def handle_result(is_ready: bool) -> None:
         if is_ready:
-            _tell(ready, UseTarget(database, True))
+            _resolve_once(ready, UseTarget(database, True))
 
-    return answer.addCallback(take)
+    return answer.addCallback(handle_result)
 
 
-def _tell(ready: Deferred, use: UseTarget | None) -> None:
-    """End the wait, once."""
+def _resolve_once(ready: Deferred, use: UseTarget | None) -> None:
+    """Resolve the wait, unless it is resolved already."""
     if not ready.called:
         ready.callback(use)
--- a/tests/routing/test_checked_reads.py
+++ b/tests/routing/test_checked_reads.py
@@ -1,4 +1,4 @@
-"""Reads where databases check themselves what they show."""
+"""Routing where databases check the required position themselves."""
 
 from beryltrack.groups.lagging import Lag
 from beryltrack.groups.messages import PRIMARY, LogPosition
@@ -32,28 +32,28 @@
     return choose_target(view, request, (), now, POLICY)
 
 
-def test_a_replica_is_tried_and_told_what_it_must_show():
+def test_a_replica_is_tried_with_the_position_it_must_show():
     assert choose(make_view(), make_read()) == UseTarget("b", True, False, NEW)
 
 
-def test_it_must_also_show_what_the_session_wrote():
+def test_the_required_position_includes_the_sessions_writes():
     token = LogPosition(1, 12)
     found = choose(make_view(), make_read(token=token, written_at=5.0))
     assert found.after == token
 
 
-def test_just_after_a_write_of_the_session_the_primary_is_read():
+def test_just_after_a_write_of_the_session_the_primary_serves():
     request = make_read(token=LogPosition(1, 12), written_at=9.9)
     assert choose(make_view(), request).database == "a"
 
 
-def test_a_replica_that_was_behind_is_left_alone_for_a_while():
+def test_a_replica_that_was_behind_is_not_tried_for_a_while():
     view = make_view(lag=Lag(9.9, 9.9, NEW))
     assert choose(view, make_read()).database == "a"
     assert choose(view, make_read(), 10.5).database == "b"
 
 
-def test_a_replica_that_is_known_to_show_it_serves_in_any_case():
+def test_a_replica_known_to_have_applied_the_position_always_serves():
     view = make_view(lag=Lag(9.9, 9.9, NEW), applied=NEW)
     assert choose(view, make_read(written_at=9.99)).database == "b"
 
@@ -66,7 +66,7 @@
 CONFIRMING = POLICY._replace(samples_position=False)
 
 
-def test_where_others_confirm_the_term_no_position_is_asked_for():
+def test_where_other_databases_confirm_the_term_no_position_is_sampled():
     read = ReadRequest(10.0, None, 0.0, READS_PRIMARY, deadline=11.0)
     view = make_view()._replace(confirmed_at=9.0)
     choice = choose_target(view, read, (), 10.0, CONFIRMING)
@@ -81,8 +81,8 @@
     assert choice == UseTarget("a", False, after=NEW)
 
 
-def test_the_primary_too_must_show_what_it_has_shown_before():
-    """One that has started again empty between its word and the read shows nothing."""
+def test_the_primary_too_must_show_its_last_known_position():
+    """Guards against reads at a primary that restarted empty after its last status."""
     view = make_view()._replace(confirmed_at=10.0)
     read = make_read(reads=READS_PRIMARY, max_age=0.0, token=None)
     assert choose(view, read) == UseTarget("a", False, False, NEW)
@@ -96,24 +96,24 @@
 )
 
 
-def test_no_proof_is_asked_for_a_write_that_its_primary_cannot_take():
-    """Each waiting write asked for one each 25 ms, for as long as a loss lasted."""
+def test_no_proof_is_requested_for_a_write_while_the_primary_is_unreachable():
+    """Each waiting write requested a proof every 25 ms while a primary was lost."""
     choice = choose_target(LOST, WriteRequest(10.0), (), 10.0, CONFIRMING)
     assert isinstance(choice, Refuse)
 
 
-def test_a_read_asks_once_whether_a_proof_lets_a_replica_serve_it():
+def test_a_read_requests_one_proof_that_may_let_a_replica_serve_it():
     read = make_read(needed=None, deadline=11.0)
     lost = LOST._replace(confirmed_at=5.0)
     assert isinstance(choose_target(lost, read, (), 10.0, CONFIRMING), NeedSample)
     tried = read._replace(tried_proof=True)
     assert isinstance(choose_target(lost, tried, (), 10.0, CONFIRMING), Refuse)
-    # The primary can be reached again, so that a proof is of use again.
+    # The primary is reachable again, so a proof can help again.
     back = make_view()._replace(confirmed_at=5.0)
     assert isinstance(choose_target(back, tried, (), 10.0, CONFIRMING), NeedSample)
 
 
-def test_where_primaries_are_sampled_a_write_waits_for_the_next_one():
+def test_where_primaries_are_sampled_a_write_waits_for_the_next_primary():
     choice = choose_target(LOST, WriteRequest(10.0), (), 10.0, POLICY)
     assert isinstance(choice, NeedSample)
 
@@ -122,13 +122,13 @@
 CURRENT = ReadRequest(10.0, None, 0.0, READS_PRIMARY, may_run_unproven=True)
 
 
-def test_a_read_that_is_passed_on_runs_while_the_primary_is_asked_if_it_leads():
+def test_a_forwarded_read_runs_in_parallel_with_the_proof_of_the_lead():
     view = make_view()._replace(confirmed_at=9.8)
     found = choose_target(view, CURRENT, (), 10.0, RELAYED)
     assert found == UseTarget("a", False, False, NEW, needs_proof=True)
 
 
-def test_it_asks_first_where_that_saves_nothing_or_the_primary_was_long_not_heard():
+def test_the_proof_comes_first_without_forwarding_or_a_recent_confirmation():
     lately = make_view()._replace(confirmed_at=9.8)
     long_ago = make_view()._replace(confirmed_at=9.0)
     newer = CURRENT._replace(token=LogPosition(2, 1))
@@ -139,6 +139,6 @@
     assert isinstance(choose(lately, CURRENT), NeedSample)
 
 
-def test_with_a_proof_at_hand_nothing_is_held():
+def test_with_a_sample_no_further_proof_is_needed():
     read = CURRENT._replace(sample=NEW)
     assert not choose_target(make_view(), read, (), 10.0, RELAYED).needs_proof
--- a/tests/routing/test_decider.py
+++ b/tests/routing/test_decider.py
@@ -1,4 +1,4 @@
-"""The choice of a database."""
+"""The choice of the database that runs a request."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     assert _choose(view, _read()) == UseTarget("b", True)
 
 
-def test_token_goes_before_any_allowance():
+def test_the_token_is_required_whatever_staleness_is_accepted():
     view = _view(_database("a", 79))
     assert _choose(view, _read(max_age=3600.0)) == UseTarget("p", False)
 
@@ -70,7 +70,7 @@
     assert _choose(view, behind) == UseTarget("p", False)
 
 
-def test_waits_for_all_that_may_catch_up_soon_the_near_one_first():
+def test_waits_for_replicas_that_may_catch_up_soon_the_near_one_first():
     far, near = (_database(name, 79, fresh_at=99.8) for name in "ab")
     loads = (TargetLoad("a", "z1", 0, 4), TargetLoad("b", "z2", 0, 4))
     choice = _choose(_view(far, near), _read(zone="z2"), *loads)
@@ -90,7 +90,7 @@
     assert _choose(_view(stalled), _read()) == UseTarget("p", False)
 
 
-def test_replica_that_has_applied_all_that_is_known_is_not_behind():
+def test_replica_that_has_applied_the_head_is_not_behind():
     quiet = _database("a", 90, fresh_at=98.0)
     assert compute_lag(_view(quiet), quiet) == 0.0
 
@@ -137,17 +137,17 @@
 @pytest.mark.parametrize(
     "changes", [{"leaving": True}, {"reachable": False}, {"role": PRIMARY}]
 )
-def test_replica_that_takes_no_new_work_is_passed_over(changes):
+def test_replica_that_takes_no_new_reads_is_skipped(changes):
     view = _view(_database("a", 90)._replace(**changes))
     assert _choose(view, _read()) == UseTarget("p", False)
 
 
-def test_excluded_replica_is_passed_over():
+def test_excluded_replica_is_skipped():
     view = _view(_database("a", 90), _database("b", 90))
     assert _choose(view, _read(excluded=("a",))) == UseTarget("b", True)
 
 
-def test_reads_of_the_primary_stay_there():
+def test_reads_that_require_the_primary_run_there():
     view = _view(_database("a", 90))
     assert _choose(view, _read(reads=READS_PRIMARY)) == UseTarget("p", False)
 
@@ -167,7 +167,7 @@
     ("far", "near", "chosen"),
     [(0, 0, "b"), (1, 1, "b"), (0, 1, "b"), (0, 2, "a"), (3, 4, "a")],
 )
-def test_near_replica_goes_first_unless_it_has_more_work(far, near, chosen):
+def test_near_replica_is_preferred_unless_it_has_more_requests(far, near, chosen):
     view = _view(_database("a", 90), _database("b", 90))
     loads = TargetLoad("a", "z1", far, 4), TargetLoad("b", "z2", near, 4)
     assert _choose(view, _read(zone="z2"), *loads) == UseTarget(chosen, True)
@@ -183,7 +183,7 @@
     ("max_age", "proven_at", "refreshes"),
     [(1.0, 99.6, False), (1.0, 99.4, True), (0.1, 99.94, True), (5.0, 99.4, False)],
 )
-def test_ages_are_proven_anew_at_half_of_what_the_read_accepts(
+def test_freshness_is_proven_again_at_half_of_the_accepted_staleness(
     max_age, proven_at, refreshes
 ):
     view = _view(_database("a", 90, fresh_at=99.95), confirmed_at=proven_at)
@@ -191,7 +191,7 @@
     assert choice == UseTarget("a", True, refreshes)
 
 
-def test_primary_serves_while_the_ages_of_replicas_are_proven_anew():
+def test_primary_serves_while_the_freshness_of_replicas_is_proven_again():
     view = _view(_database("a", 85, fresh_at=98.0), confirmed_at=99.3)
     assert _choose(view, _read(may_wait=False)) == UseTarget("p", False, True)
 
@@ -207,7 +207,7 @@
     assert isinstance(_choose(view, refused), Refuse)
 
 
-def test_a_transaction_is_opened_at_a_primary_that_leads_since_it_arrived():
+def test_a_transaction_is_opened_at_a_primary_confirmed_since_its_arrival():
     """Guards against a transaction whose reads run at a primary that was replaced."""
     view = _view(confirmed_at=NOW - 0.01)
     proving = RoutingPolicy(proves_transactions=True)
@@ -219,11 +219,11 @@
     assert isinstance(choose(opening), NeedSample)
     assert choose(opening._replace(sampled=True)) == UseTarget("p", False)
     assert choose(opening, view._replace(confirmed_at=NOW)) == UseTarget("p", False)
-    # What a single write changes counts only once it is confirmed.
+    # A single write is acknowledged only once it is confirmed.
     assert choose(WriteRequest(NOW)) == UseTarget("p", False)
 
 
-def test_a_far_replica_is_as_good_as_a_near_one_where_near_ones_are_not_preferred():
+def test_without_the_preference_far_replicas_rank_as_near_ones():
     view = _view(_database("b", 90), _database("c", 90))
     loads = (TargetLoad("b", "far", 0, 4), TargetLoad("c", "a", 0, 4))
     chosen = {
@@ -234,8 +234,8 @@
     assert chosen == {"b", "c"}
 
 
-def test_an_accounts_reads_stay_with_one_replica_while_that_has_no_more_work():
-    """On whatever node: the account's connections are there."""
+def test_an_accounts_reads_stay_at_one_replica_while_loads_are_equal():
+    """On all nodes alike, since the account's connections are to that replica."""
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "ab"))
     idle = [TargetLoad(name, zone, 0, 4) for name, zone in (("a", "z1"), ("b", "z2"))]
     chosen = {
@@ -250,7 +250,7 @@
     assert len(set.union(*chosen.values())) == 2
 
 
-def test_an_accounts_reads_go_elsewhere_where_its_replica_has_more_work():
+def test_an_accounts_reads_leave_its_replica_when_that_has_more_requests():
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "ab"))
     request = _read(account="one")
     own = _choose(view, request).database
@@ -262,7 +262,7 @@
 
 
 def choose_for(account, via_zone, policy=None, zone="z1"):
-    """Return where an account's read runs, of replicas in two zones."""
+    """Return the replica, of three in two zones, that serves an account's read."""
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "abc"))
     request = _read(zone=zone, account=account, via_zone=via_zone)
     policy = policy or RoutingPolicy()
@@ -270,7 +270,7 @@
 
 
 def test_an_accounts_reads_run_in_the_zone_of_the_instance_that_runs_them():
-    """Whichever zone they came in; in it the account has a replica of its own."""
+    """Whatever zone receives them; there the account prefers one replica."""
     accounts = list(map(str, range(20)))
     assert {choose_for(each, "z1", zone="z2") for each in accounts} == {"a"}
     for account in accounts:
@@ -279,20 +279,20 @@
     assert {choose_for(each, "z2") for each in accounts} == {"b", "c"}
 
 
-def test_where_that_zone_has_no_replica_the_accounts_own_one_of_all_serves():
+def test_without_a_replica_in_that_zone_the_accounts_preferred_one_serves():
     for account in map(str, range(20)):
         assert choose_for(account, "z9") == choose_for(account, "")
 
 
-@pytest.mark.parametrize("figure", ["prefers_near", "prefers_account_replica"])
-def test_reads_in_the_zone_of_their_way_can_be_switched_off(figure):
-    policy = RoutingPolicy(**{figure: False})
+@pytest.mark.parametrize("field", ["prefers_near", "prefers_account_replica"])
+def test_the_preference_for_the_zone_of_the_owner_can_be_disabled(field):
+    policy = RoutingPolicy(**{field: False})
     chosen = {choose_for(str(each), "z1", policy) for each in range(20)}
-    # By their own replica alone accounts use all; by nearness alone the way's zone.
-    assert chosen == ({"a", "b", "c"} if figure == "prefers_near" else {"a"})
+    # By affinity alone accounts use all replicas; by zone alone those of the owner's.
+    assert chosen == ({"a", "b", "c"} if field == "prefers_near" else {"a"})
 
 
-def test_without_that_preference_an_accounts_reads_stay_near():
+def test_without_affinity_an_accounts_reads_stay_in_the_zone():
     view = _view(*(_database(name, 80, fresh_at=99.8) for name in "ab"))
     loads = TargetLoad("a", "z1", 0, 4), TargetLoad("b", "z2", 0, 4)
     policy = RoutingPolicy(prefers_account_replica=False)
--- a/tests/routing/test_refresh.py
+++ b/tests/routing/test_refresh.py
@@ -1,4 +1,4 @@
-"""Samples on behalf of reads to come."""
+"""Background samples that renew the proofs of freshness."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
@@ -7,7 +7,7 @@
 
 
 class _Source:
-    """Counts samples and lets a test end them."""
+    """Records samples and lets a test resolve them."""
 
     def __init__(self):
         self.samples = []
@@ -17,7 +17,7 @@
         return self.samples[-1]
 
 
-def test_one_sample_is_under_way_at_a_time():
+def test_one_sample_is_in_progress_at_a_time():
     source = _Source()
     refresher = AgeRefresher(Clock(), source, 1.0)
     refresher.refresh()
@@ -28,7 +28,7 @@
     assert len(source.samples) == 2
 
 
-def test_sample_that_is_not_answered_is_given_up():
+def test_sample_without_an_answer_is_cancelled():
     clock, source = Clock(), _Source()
     refresher = AgeRefresher(clock, source, 1.0)
     refresher.refresh()
--- a/tests/routing/test_statements.py
+++ b/tests/routing/test_statements.py
@@ -1,4 +1,4 @@
-"""Kinds of statements."""
+"""Classification of statements."""
 
 import pytest
 from hypothesis import given, settings
@@ -129,12 +129,12 @@
 
 
 @pytest.mark.parametrize("text", READS)
-def test_what_provably_reads_is_a_read(text):
+def test_statements_that_provably_read_are_reads(text):
     assert classify(text) == StatementKind.READ
 
 
 @pytest.mark.parametrize("text", WRITES)
-def test_what_may_write_is_a_write(text):
+def test_statements_that_may_write_are_writes(text):
     assert classify(text) == StatementKind.WRITE
 
 
@@ -157,7 +157,7 @@
     ],
     ids=["arrays", "types", "parentheses", "tokens", "form", "text"],
 )
-def test_what_would_take_long_to_parse_is_a_write(text):
+def test_statements_that_are_expensive_to_parse_are_writes(text):
     assert classify(text) == StatementKind.WRITE
 
 
@@ -179,24 +179,24 @@
 
 @REPEATABLE
 @given(st.sampled_from(WRITES[:20]), st.sampled_from(READS), st.sampled_from(" \n;"))
-def test_write_among_reads_is_never_a_read(write, read, separator):
+def test_a_text_with_a_write_is_never_a_read(write, read, separator):
     assert classify(f"{read};{separator}{write}") != StatementKind.READ
     assert classify(f"{write} ; {read}") != StatementKind.READ
 
 
 @REPEATABLE
 @given(TEXTS)
-def test_stripped_text_is_stripped_once_for_all(text):
+def test_stripping_is_idempotent(text):
     stripped = strip_literals(text)
     assert strip_literals(stripped) == stripped
 
 
-def test_values_are_stripped_and_names_are_not():
+def test_literals_are_stripped_and_names_are_not():
     text = """select t1."a 1", 'it''s', 2.5, $1 from t1 -- 'x'"""
     assert strip_literals(text) == """select t1."a 1", '''', $1 from t1  """
 
 
-def test_lists_of_any_length_have_one_form():
+def test_lists_of_any_length_are_normalized_alike():
     short, long = "select a from t where b in (1)", "select a from t where b in ({})"
     values = ", ".join(["1"] * 5000)
     assert strip_literals(long.format(values)) == strip_literals(short)
--- a/tests/routing/test_waits.py
+++ b/tests/routing/test_waits.py
@@ -1,4 +1,4 @@
-"""The wait for the first replica that is ready."""
+"""Waits for the first replica that is ready."""
 
 from twisted.internet.defer import Deferred
 
@@ -12,7 +12,7 @@
 
 
 class _Source:
-    """Lets a test end each wait."""
+    """Lets a test resolve each wait."""
 
     def __init__(self):
         self.answers = {}
@@ -37,7 +37,7 @@
     assert results == [UseTarget("b", True)]
 
 
-def test_replica_may_be_ready_after_another_has_given_up():
+def test_replica_may_be_ready_after_another_has_timed_out():
     answers, results = _begin()
     answers["a"].callback(False)
     assert results == []
