--- a/beryltrack/connections/loan_links.py
+++ b/beryltrack/connections/loan_links.py
@@ -24,7 +24,7 @@
     LISTED,
     LOANS,
     PRESENT_STATES,
-    KnowledgeItem,
+    GossipItem,
     Member,
     Message,
 )
@@ -101,7 +101,7 @@
         """Begin to hand on messages and seats, and tell who this process is."""
         self._receive = receive
         self._observe_seats = observe_seats
-        self._peers.set_owner(LOANS, self)
+        self._peers.set_link_handler(LOANS, self)
         self._peers.subscribe(HOLDER_KIND, self._learn_holder)
         self._peers.subscribe(SEAT_KIND, self._learn_seat)
         self.publish_era(0)
@@ -130,29 +130,29 @@
             now = self._reactor.seconds()
             self._waiting[name].append(_Waiting(message, now))
             self._open(name, now)
-        elif self._get_holder(link) == holder and not link.is_stuck:
+        elif self._get_holder(link) == holder and not link.is_blocked:
             link.send(message)
 
     def publish_seat(self, record: SeatRecord) -> None:
         """Tell all proxies of a seat's object."""
         self._peers.publish(
-            KnowledgeItem(SEAT_KIND, str(record.seat), (record.version,), record.holder)
+            GossipItem(SEAT_KIND, str(record.seat), (record.version,), record.holder)
         )
 
     def publish_era(self, era: int) -> None:
         """Tell all proxies who this process is, and what era its seats are of."""
         version = (self._incarnation, era)
-        own = KnowledgeItem(HOLDER_KIND, self._peers.name, version, self.holder)
+        own = GossipItem(HOLDER_KIND, self._peers.name, version, self.holder)
         self._peers.publish(own)
 
-    def accept_link(self, link: PeerLink) -> None:
+    def handle_link_opened(self, link: PeerLink) -> None:
         """Send what waited for this link, if it is not too old."""
         now = self._reactor.seconds()
         for waiting in self._waiting.pop(link.peer.name, ()):
             if now - waiting.sent_at <= LONGEST_WAIT:
                 link.send(waiting.message)
 
-    def accept_message(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Hand a budget's message on."""
         if isinstance(message, BudgetMessage):
             self._receive(self._get_holder(link), message)
@@ -161,13 +161,13 @@
                 "connections: %s sent a message that is not for loans", link.peer.name
             )
 
-    def resume_link(self, link: PeerLink) -> None:
+    def handle_link_writable(self, link: PeerLink) -> None:
         """Do nothing: what could not be sent was dropped."""
 
-    def lose_link(self, link: PeerLink, orderly: bool) -> None:
+    def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Do nothing: the next message opens a link again."""
 
-    def fail_link(self, peer: str, purpose: str) -> None:
+    def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Drop what waited for a link that could not be opened."""
         self._waiting.pop(peer, None)
 
@@ -191,12 +191,12 @@
         listed = self._peers.listed
         return is_latest and (is_present or listed is None or name in listed)
 
-    def _learn_holder(self, item: KnowledgeItem) -> None:
+    def _learn_holder(self, item: GossipItem) -> None:
         if isinstance(item.value, str):
             self._holders[item.key] = item.value
             self._eras[item.value] = item.version[1] if len(item.version) > 1 else 0
 
-    def _learn_seat(self, item: KnowledgeItem) -> None:
+    def _learn_seat(self, item: GossipItem) -> None:
         is_known = item.key.isdecimal() and isinstance(item.value, str)
         if not is_known or len(item.version) != 1:
             log.warning("connections: a peer told of a malformed seat")
--- a/beryltrack/groups/sharing.py
+++ b/beryltrack/groups/sharing.py
@@ -13,7 +13,7 @@
 from beryltrack.findings import Finding, format_finding
 from beryltrack.groups.task import GroupTask
 from beryltrack.groups.view import GroupView
-from beryltrack.peers.messages import MEMBER_KIND, KnowledgeItem
+from beryltrack.peers.messages import MEMBER_KIND, GossipItem
 
 log = logging.getLogger(__name__)
 
@@ -25,10 +25,10 @@
 class PeerKnowledge(Protocol):
     """What `GroupSharing` needs of the peers' task."""
 
-    def publish(self, item: KnowledgeItem) -> None:
+    def publish(self, item: GossipItem) -> None:
         """Send an item to all instances."""
 
-    def subscribe(self, kind: str, callback: Callable[[KnowledgeItem], None]) -> None:
+    def subscribe(self, kind: str, callback: Callable[[GossipItem], None]) -> None:
         """Call back with each new item of a kind, and with those already known."""
 
 
@@ -70,7 +70,7 @@
         if view.primary:
             self._peers.publish(make_view_item(view))
 
-    def _handle_view_item(self, item: KnowledgeItem) -> None:
+    def _handle_view_item(self, item: GossipItem) -> None:
         view, findings = parse_view_item(item)
         if view is None:
             log.warning(
@@ -83,12 +83,12 @@
         if task is not None:
             task.learn_view(view)
 
-    def _handle_member_item(self, item: KnowledgeItem) -> None:
+    def _handle_member_item(self, item: GossipItem) -> None:
         for group, task in self._tasks.items():
             task.set_nodes(self._get_nodes(group))
 
 
-def make_view_item(view: GroupView) -> KnowledgeItem:
+def make_view_item(view: GroupView) -> GossipItem:
     """Return the item that announces the primary of a group.
 
     Parameters
@@ -99,20 +99,20 @@
 
     Returns
     -------
-    KnowledgeItem
+    GossipItem
         Its version is the term.
     """
-    return KnowledgeItem(VIEW_KIND, view.group, (view.term,), view.primary)
+    return GossipItem(VIEW_KIND, view.group, (view.term,), view.primary)
 
 
 def parse_view_item(
-    item: KnowledgeItem,
+    item: GossipItem,
 ) -> tuple[GroupView | None, tuple[Finding, ...]]:
     """Return the hint that an item contains, or the reasons why it is malformed.
 
     Parameters
     ----------
-    item : KnowledgeItem
+    item : GossipItem
         An item of the kind `VIEW_KIND`.
 
     Returns
--- a/beryltrack/peers/actions.py
+++ b/beryltrack/peers/actions.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from beryltrack.peers.messages import KnowledgeItem, Message
+from beryltrack.peers.messages import GossipItem, Message
 
 
 class SendMessage(NamedTuple):
@@ -48,7 +48,7 @@
 class ItemChanged(NamedTuple):
     """Tell subscribers of an item that is new here."""
 
-    item: KnowledgeItem
+    item: GossipItem
 
 
 Action = SendMessage | OpenLink | CloseLink | ItemChanged
--- a/beryltrack/peers/codec.py
+++ b/beryltrack/peers/codec.py
@@ -28,12 +28,12 @@
 )
 from beryltrack.peers.messages import (
     Challenge,
+    GossipItem,
     Heartbeat,
     Hello,
     ItemKey,
     Items,
     ItemVersion,
-    KnowledgeItem,
     Message,
     Proof,
     SyncDigests,
@@ -142,7 +142,7 @@
 
 
 read_items = make_list_reader(
-    make_tuple_reader(KnowledgeItem, (read_text, read_text, read_version, read_plain))
+    make_tuple_reader(GossipItem, (read_text, read_text, read_version, read_plain))
 )
 read_versions = make_list_reader(
     make_tuple_reader(ItemVersion, (read_text, read_text, read_version))
--- a/beryltrack/peers/decider.py
+++ b/beryltrack/peers/decider.py
@@ -18,7 +18,7 @@
     ItemChanged,
     SendMessage,
 )
-from beryltrack.peers.knowledge import KnowledgeStore, is_about_member
+from beryltrack.peers.gossip_store import GossipStore, is_about_member
 from beryltrack.peers.links import LinkPlanner
 from beryltrack.peers.membership import (
     ListedInstance,
@@ -32,9 +32,9 @@
     MEMBER_KIND,
     PRESENT_STATES,
     SUSPECTED,
+    GossipItem,
     Heartbeat,
     Items,
-    KnowledgeItem,
     Member,
     Message,
     SyncDigests,
@@ -92,7 +92,7 @@
     ):
         self.findings: list[Finding] = []
         self._membership = MembershipDecider(own)
-        self._store = KnowledgeStore()
+        self._store = GossipStore()
         self._planner = LinkPlanner(own.name, seeds, rng)
         self._sync = SyncDecider(self._store, rng, now)
         self._pushes = PushQueues()
@@ -111,7 +111,7 @@
         return self._membership.members
 
     @property
-    def store(self) -> KnowledgeStore:
+    def store(self) -> GossipStore:
         """All that is known."""
         return self._store
 
@@ -134,16 +134,16 @@
         """Tell of this proxy, now that it listens on a port."""
         return self._announce(self._membership.join(port), "")
 
-    def publish(self, item: KnowledgeItem) -> list[Action]:
+    def publish(self, item: GossipItem) -> list[Action]:
         """Take an item of this proxy's own, to be told to everybody."""
         return self._learn((item,), "", forward=True, now=self._ticked_at)
 
-    def flush(self, stuck: Container[str] = ()) -> list[Action]:
+    def flush(self, blocked: Container[str] = ()) -> list[Action]:
         """Return the messages that carry all pending items.
 
         Parameters
         ----------
-        stuck : container of str
+        blocked : container of str
             Peers whose links take no more now; their items stay pending.
 
         Returns
@@ -151,7 +151,7 @@
         list of Action
             Messages to send.
         """
-        return list(self._pushes.flush(stuck))
+        return list(self._pushes.flush(blocked))
 
     def open_link(self, peer: str, opened_here: bool, now: float) -> list[Action]:
         """Take a control link that is open; it replaces an earlier one."""
@@ -166,7 +166,7 @@
             self._pushes.push_to(peer, [make_member_item(member)])
         return [SendMessage(peer, Heartbeat(self._store.digest))]
 
-    def fail_link(self, peer: str, now: float) -> list[Action]:
+    def handle_connect_failure(self, peer: str, now: float) -> list[Action]:
         """Note that a control link could not be opened."""
         self._opening.discard(peer)
         failures = self._planner.record_failure(peer, now)
@@ -243,7 +243,7 @@
         return self._announce(self._membership.finish(), "")
 
     def _learn(
-        self, items: Iterable[KnowledgeItem], source: str, forward: bool, now: float
+        self, items: Iterable[GossipItem], source: str, forward: bool, now: float
     ) -> list[Action]:
         """Take items, and push those that are new to the other links."""
         news = [
@@ -265,7 +265,7 @@
         ]
 
     def _take(
-        self, item: KnowledgeItem, source: str, now: float
+        self, item: GossipItem, source: str, now: float
     ) -> tuple[bool, tuple[Member, ...]]:
         """Take one item; return whether it is new, and what to answer."""
         if item.kind != MEMBER_KIND:
@@ -285,16 +285,14 @@
         member = self._membership.get_member(name)
         return member is not None and member.state in PRESENT_STATES
 
-    def _keep_member(self, item: KnowledgeItem, member: Member) -> bool:
+    def _keep_member(self, item: GossipItem, member: Member) -> bool:
         """Keep a member's state; what else is known of one that went is dropped."""
         gone = member.state in GONE_STATES
         if gone:
             self._store.remove_member(member.name)
         return self._store.accept(item, counted=not gone)
 
-    def _is_worth_forwarding(
-        self, items: tuple[KnowledgeItem, ...], now: float
-    ) -> bool:
+    def _is_worth_forwarding(self, items: tuple[GossipItem, ...], now: float) -> bool:
         """Return whether items that a comparison brought may be news to others.
 
         What a young proxy learns is old to all others, except where many
--- a/beryltrack/peers/forward_entry.py
+++ b/beryltrack/peers/forward_entry.py
@@ -77,7 +77,7 @@
         self._sent: dict[int, _Sent] = {}
         self._open: set[str] = set()
         self._opening: set[str] = set()
-        self._stuck: set[str] = set()
+        self._blocked: set[str] = set()
 
     @property
     def stream_count(self) -> int:
@@ -128,10 +128,10 @@
         actions = self._end_sent(peer, "the link to the owner was replaced")
         self._opening.discard(peer)
         self._open.add(peer)
-        self._stuck.discard(peer)
+        self._blocked.discard(peer)
         return [*actions, *self._place_again(peer, now)]
 
-    def fail_link(self, peer: str, now: float) -> list[ForwardAction]:
+    def handle_connect_failure(self, peer: str, now: float) -> list[ForwardAction]:
         """Note that a link could not be opened; others are tried."""
         self._opening.discard(peer)
         waiting = self._get_waiting(peer)
@@ -143,18 +143,18 @@
             for action in self._place(stream, self._waiting.pop(stream), now)
         ]
 
-    def lose_link(self, peer: str) -> list[ForwardAction]:
+    def handle_link_closed(self, peer: str) -> list[ForwardAction]:
         """Note that a link has closed; what was sent over it may have run."""
         self._open.discard(peer)
-        self._stuck.discard(peer)
+        self._blocked.discard(peer)
         return self._end_sent(peer, "the link to the owner was lost")
 
-    def set_stuck(self, peer: str, is_stuck: bool) -> None:
+    def set_blocked(self, peer: str, is_blocked: bool) -> None:
         """Note whether a link takes messages; if not, it gets no request."""
-        if is_stuck:
-            self._stuck.add(peer)
+        if is_blocked:
+            self._blocked.add(peer)
         else:
-            self._stuck.discard(peer)
+            self._blocked.discard(peer)
 
     def observe_gone(self, peer: str) -> list[ForwardAction]:
         """Break the link to a peer that is dead by the word of others."""
@@ -181,7 +181,7 @@
                 return [FinishStream(stream, ForwardResult(meaning, reason, trailer))]
         return []
 
-    def take(self, stream: int, size: int) -> list[ForwardAction]:
+    def consume(self, stream: int, size: int) -> list[ForwardAction]:
         """Note that so many bytes were passed on to the caller."""
         sent = self._sent.get(stream)
         if sent is None:
@@ -226,7 +226,7 @@
     def _can_take(self, peer: str) -> bool:
         """Return whether a peer may get one more stream."""
         streams = sum(sent.peer == peer for sent in self._sent.values())
-        return peer not in self._stuck and streams < MAX_STREAMS_PER_PEER
+        return peer not in self._blocked and streams < MAX_STREAMS_PER_PEER
 
     def _send(
         self, stream: int, peer: str, entry: _Waiting, now: float
--- a/beryltrack/peers/forward_serving.py
+++ b/beryltrack/peers/forward_serving.py
@@ -60,7 +60,7 @@
         self._served: dict[StreamKey, _Served] = {}
         self._links: dict[str, _ServedLink] = {}
         self._link_numbers = count(1)
-        self._stuck: set[str] = set()
+        self._blocked: set[str] = set()
         self._is_leaving = False
 
     @property
@@ -74,14 +74,14 @@
 
     def open_link(self, peer: str) -> list[ForwardAction]:
         """Note a new link; the streams of an earlier one have ended with it."""
-        actions = self.lose_link(peer)
+        actions = self.handle_link_closed(peer)
         self._links[peer] = _ServedLink(next(self._link_numbers), 0)
         return actions
 
-    def lose_link(self, peer: str) -> list[ForwardAction]:
+    def handle_link_closed(self, peer: str) -> list[ForwardAction]:
         """Cancel the requests of a peer that is gone."""
         self._links.pop(peer, None)
-        self._stuck.discard(peer)
+        self._blocked.discard(peer)
         lost = [key for key in self._served if key.peer == peer]
         running = [key for key in lost if self._served[key].result is None]
         for key in lost:
@@ -147,12 +147,12 @@
         served.result = result
         return self._send_pending(key, served)
 
-    def set_stuck(self, peer: str, is_stuck: bool) -> list[ForwardAction]:
+    def set_blocked(self, peer: str, is_blocked: bool) -> list[ForwardAction]:
         """Note whether a link takes messages; send what waited if it does again."""
-        if is_stuck:
-            self._stuck.add(peer)
+        if is_blocked:
+            self._blocked.add(peer)
             return []
-        self._stuck.discard(peer)
+        self._blocked.discard(peer)
         waiting = [item for item in self._served.items() if item[0].peer == peer]
         return [a for key, served in waiting for a in self._send_pending(key, served)]
 
@@ -184,7 +184,7 @@
 
     def _send_pending(self, key: StreamKey, served: _Served) -> list[ForwardAction]:
         """Send as much of an answer as there is credit for, then its end."""
-        if key.peer in self._stuck:
+        if key.peer in self._blocked:
             return []
         was_waiting = bool(served.pending)
         actions: list[ForwardAction] = []
--- a/beryltrack/peers/forwarder.py
+++ b/beryltrack/peers/forwarder.py
@@ -38,7 +38,7 @@
     FORWARDING,
     GONE_STATES,
     MEMBER_KIND,
-    KnowledgeItem,
+    GossipItem,
     Message,
 )
 from beryltrack.peers.task import PeerTask
@@ -52,7 +52,7 @@
     """Who takes the answer to a forwarded request."""
 
     def write(self, data: bytes) -> None:
-        """Take a part of the answer; `ForwardStream.take` asks for more."""
+        """Take a part of the answer; `ForwardStream.consume` asks for more."""
 
     def finish(self, result: ForwardResult) -> None:
         """Take what came of the request; nothing follows."""
@@ -86,9 +86,9 @@
         self._forwarder = forwarder
         self._number = number
 
-    def take(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Say that so many bytes of the answer have gone to the caller."""
-        self._forwarder.take(self._number, size)
+        self._forwarder.consume(self._number, size)
 
     def cancel(self) -> None:
         """Cancel the request; its sink still hears what came of it."""
@@ -171,7 +171,7 @@
 
     def start(self) -> None:
         """Take the forwarding links of the peers."""
-        self._peers.set_owner(FORWARDING, self)
+        self._peers.set_link_handler(FORWARDING, self)
         self._peers.subscribe(MEMBER_KIND, self._observe_member)
         self._ticking.start(TICK_PERIOD)
 
@@ -214,16 +214,16 @@
         """
         owners = tuple(n for n in self._get_owners(group) if n != self._peers.name)
         now = self._seconds()
-        self._note_stuck(owners)
+        self._update_blocked(owners)
         number, actions = self._entry.forward(owners, group, request, deadline, now)
         self._sinks[number] = sink
         self.forwarded_count += 1
         self._carry_out(actions)
         return ForwardStream(self, number)
 
-    def take(self, number: int, size: int) -> None:
-        """See `ForwardStream.take`."""
-        self._carry_out(self._entry.take(number, size))
+    def consume(self, number: int, size: int) -> None:
+        """See `ForwardStream.consume`."""
+        self._carry_out(self._entry.consume(number, size))
 
     def cancel(self, number: int) -> None:
         """See `ForwardStream.cancel`."""
@@ -231,20 +231,20 @@
 
     def write(self, key: StreamKey, data: bytes) -> None:
         """See `ForwardWriter.write`."""
-        self._note_stuck((key.peer,))
+        self._update_blocked((key.peer,))
         self._carry_out(self._serving.write(key, data))
 
     def is_held_back(self, key: StreamKey) -> bool:
         """Return whether a part of an answer waits to be sent."""
         return self._serving.is_held_back(key)
 
-    def accept_link(self, link: PeerLink) -> None:
+    def handle_link_opened(self, link: PeerLink) -> None:
         """Take a forwarding link whose peer is proved."""
         peer = link.peer.name
         self._carry_out(self._serving.open_link(peer))
         self._carry_out(self._entry.open_link(peer, self._seconds()))
 
-    def accept_message(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Take a message of a peer."""
         peer = link.peer.name
         if isinstance(message, ForwardData | ForwardEnd):
@@ -255,42 +255,42 @@
         else:
             log.warning("peers: %s sent what is not for forwarding", peer)
 
-    def resume_link(self, link: PeerLink) -> None:
+    def handle_link_writable(self, link: PeerLink) -> None:
         """Send what waited while a link was stuck."""
         peer = link.peer.name
-        self._entry.set_stuck(peer, False)
-        self._carry_out(self._serving.set_stuck(peer, False))
+        self._entry.set_blocked(peer, False)
+        self._carry_out(self._serving.set_blocked(peer, False))
 
-    def lose_link(self, link: PeerLink, orderly: bool) -> None:
+    def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that a forwarding link has closed."""
         self._lose(link.peer.name)
 
-    def fail_link(self, peer: str, purpose: str) -> None:
+    def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Take that a forwarding link could not be opened."""
-        self._carry_out(self._entry.fail_link(peer, self._seconds()))
+        self._carry_out(self._entry.handle_connect_failure(peer, self._seconds()))
 
     def _lose(self, peer: str) -> None:
         """End the streams of a link that is gone."""
-        self._carry_out(self._entry.lose_link(peer))
-        self._carry_out(self._serving.lose_link(peer))
+        self._carry_out(self._entry.handle_link_closed(peer))
+        self._carry_out(self._serving.handle_link_closed(peer))
 
     def _tick(self) -> None:
         """Refuse what waited too long."""
         self._carry_out(self._entry.tick(self._seconds()))
 
-    def _observe_member(self, item: KnowledgeItem) -> None:
+    def _observe_member(self, item: GossipItem) -> None:
         """Break the link to a member that is gone."""
         member = next((m for m in self._peers.members if m.name == item.key), None)
         if member is not None and member.state in GONE_STATES:
             self._carry_out(self._entry.observe_gone(item.key))
 
-    def _note_stuck(self, peers: tuple[str, ...]) -> None:
+    def _update_blocked(self, peers: tuple[str, ...]) -> None:
         """Tell the deciders which links take no messages now."""
         links = ((peer, self._peers.get_link(peer, FORWARDING)) for peer in peers)
         for peer, link in links:
-            if link is not None and link.is_stuck:
-                self._entry.set_stuck(peer, True)
-                self._serving.set_stuck(peer, True)
+            if link is not None and link.is_blocked:
+                self._entry.set_blocked(peer, True)
+                self._serving.set_blocked(peer, True)
 
     def _carry_out(self, actions: list[ForwardAction]) -> None:
         """Do what the deciders asked for."""
@@ -324,7 +324,7 @@
         """Open a link to an owner."""
         member = next((m for m in self._peers.members if m.name == peer), None)
         if member is None:
-            self.fail_link(peer, FORWARDING)
+            self.handle_connect_failure(peer, FORWARDING)
         else:
             self._peers.open_link(member, FORWARDING)
 
--- a/beryltrack/peers/knowledge.py
+++ b/beryltrack/peers/gossip_store.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from beryltrack.peers.messages import MEMBER_KIND, ItemKey, ItemVersion, KnowledgeItem
+from beryltrack.peers.messages import MEMBER_KIND, GossipItem, ItemKey, ItemVersion
 
 BUCKET_COUNT = 128
 BUCKET_DIGEST_BYTES = 4
@@ -25,12 +25,12 @@
     ----------
     wanted : tuple of ItemKey
         Items that the other side knows better.
-    offered : tuple of KnowledgeItem
+    offered : tuple of GossipItem
         Items that this side knows better.
     """
 
     wanted: tuple[ItemKey, ...]
-    offered: tuple[KnowledgeItem, ...]
+    offered: tuple[GossipItem, ...]
 
 
 def compute_bucket(key: ItemKey) -> int:
@@ -38,7 +38,7 @@
     return xxhash.xxh64_intdigest(f"{key.kind}\0{key.key}".encode()) % BUCKET_COUNT
 
 
-def compute_item_digest(item: KnowledgeItem) -> int:
+def compute_item_digest(item: GossipItem) -> int:
     """Return a 64 bit digest of an item's name and version."""
     version = ".".join(map(str, item.version))
     return xxhash.xxh64_intdigest(f"{item.kind}\0{item.key}\0{version}".encode())
@@ -49,11 +49,11 @@
     return kind == MEMBER_KIND or kind.startswith(f"{MEMBER_KIND}.")
 
 
-class KnowledgeStore:
+class GossipStore:
     """All items of the highest version that this proxy has seen."""
 
     def __init__(self):
-        self._buckets: list[dict[ItemKey, KnowledgeItem]] = [
+        self._buckets: list[dict[ItemKey, GossipItem]] = [
             {} for _ in range(BUCKET_COUNT)
         ]
         self._digests = [0] * BUCKET_COUNT
@@ -71,11 +71,11 @@
         """The number of items."""
         return self._size
 
-    def get(self, key: ItemKey) -> KnowledgeItem | None:
+    def get(self, key: ItemKey) -> GossipItem | None:
         """Return the item under a key, or None if there is none."""
         return self._buckets[compute_bucket(key)].get(key)
 
-    def get_items(self, kind: str) -> tuple[KnowledgeItem, ...]:
+    def get_items(self, kind: str) -> tuple[GossipItem, ...]:
         """Return all items of one kind, ordered by key."""
         found = (
             item
@@ -85,12 +85,12 @@
         )
         return tuple(sorted(found, key=lambda item: item.key))
 
-    def accept(self, item: KnowledgeItem, counted: bool = True) -> bool:
+    def accept(self, item: GossipItem, counted: bool = True) -> bool:
         """Take an item if its version is higher than the one known.
 
         Parameters
         ----------
-        item : KnowledgeItem
+        item : GossipItem
             What was published or heard.
         counted : bool
             False leaves the item out of the digests, for items that each
@@ -214,7 +214,7 @@
         known = self.get(key)
         return known is None or version > known.version
 
-    def _toggle_digest(self, key: ItemKey, item: KnowledgeItem) -> None:
+    def _toggle_digest(self, key: ItemKey, item: GossipItem) -> None:
         """Add an item's digest, or take it out if it is in."""
         digest = compute_item_digest(item)
         self._digests[compute_bucket(key)] ^= digest
--- a/beryltrack/peers/link.py
+++ b/beryltrack/peers/link.py
@@ -45,19 +45,19 @@
 REFUSED_CODE = 1008
 
 
-class LinkOwner(Interface):
+class LinkHandler(Interface):
     """Who a link reports to."""
 
-    def accept_link(self, link: "PeerLink") -> None:
+    def handle_link_opened(self, link: "PeerLink") -> None:
         """Take a link whose peer is proved."""
 
-    def accept_message(self, link: "PeerLink", message: Message) -> None:
+    def handle_message(self, link: "PeerLink", message: Message) -> None:
         """Take a message of an accepted link."""
 
-    def resume_link(self, link: "PeerLink") -> None:
+    def handle_link_writable(self, link: "PeerLink") -> None:
         """Take that a link whose queue was full takes messages again."""
 
-    def lose_link(self, link: "PeerLink", orderly: bool) -> None:
+    def handle_link_closed(self, link: "PeerLink", orderly: bool) -> None:
         """Take that a link, accepted or not, has closed."""
 
 
@@ -79,9 +79,9 @@
         Where traffic is counted.
     """
 
-    def __init__(self, owner: LinkOwner, clock, websocket, handshake, counters):
+    def __init__(self, owner: LinkHandler, clock, websocket, handshake, counters):
         self.peer: PeerIdentity | None = None
-        self.is_stuck = False
+        self.is_blocked = False
         self._owner = owner
         self._clock = clock
         self._websocket = websocket
@@ -123,7 +123,7 @@
     def connectionLost(self, reason) -> None:
         """Report the end of the link."""
         self._stop_timeout()
-        self._owner.lose_link(self, self._orderly)
+        self._owner.handle_link_closed(self, self._orderly)
 
     def send(self, message: Message) -> None:
         """Send a message; closes the link if far too much is queued.
@@ -131,14 +131,14 @@
         Parameters
         ----------
         message : Message
-            Any message. The owner keeps back what can wait while `is_stuck`.
+            Any message. The owner keeps back what can wait while `is_blocked`.
         """
         if self._websocket.state is not State.OPEN:
             return
         self._counters.messages_sent += 1
         self._websocket.send_binary(encode_message(message))
         self._write_out()
-        if self.is_stuck and self._queued_bytes > MAX_QUEUED_BYTES:
+        if self.is_blocked and self._queued_bytes > MAX_QUEUED_BYTES:
             log.warning("peers: queue to %s is full, link closed", self._get_name())
             self.transport.abortConnection()
 
@@ -165,14 +165,14 @@
 
     def pauseProducing(self) -> None:
         """Note that the peer takes less than was sent."""
-        self.is_stuck = True
+        self.is_blocked = True
 
     def resumeProducing(self) -> None:
         """Note that the queue is empty again."""
-        self.is_stuck = False
+        self.is_blocked = False
         self._queued_bytes = 0
         if self.peer is not None and not self._orderly:
-            self._owner.resume_link(self)
+            self._owner.handle_link_writable(self)
 
     def stopProducing(self) -> None:
         """Note that the connection is gone; `connectionLost` reports it."""
@@ -224,7 +224,7 @@
         elif self.peer is None:
             self._continue_handshake(message)
         else:
-            self._owner.accept_message(self, message)
+            self._owner.handle_message(self, message)
 
     def _continue_handshake(self, message: Message) -> None:
         """Feed the handshake; report the link when the peer is proved."""
@@ -240,7 +240,7 @@
         if step.peer is not None:
             self._stop_timeout()
             self.peer = step.peer
-            self._owner.accept_link(self)
+            self._owner.handle_link_opened(self)
 
     def _refuse(self, fault: str) -> None:
         """Close the link for a fault of the peer."""
@@ -279,7 +279,7 @@
 
 
 def make_opened_link(
-    owner: LinkOwner, clock, handshake: OpeningHandshake, counters: LinkCounters
+    owner: LinkHandler, clock, handshake: OpeningHandshake, counters: LinkCounters
 ) -> PeerLink:
     """Return the protocol of a connection that this side opens."""
     # The name in the address is of no use: proofs tell who is who.
@@ -289,7 +289,7 @@
 
 
 def make_answered_link(
-    owner: LinkOwner, clock, handshake: AnsweringHandshake, counters: LinkCounters
+    owner: LinkHandler, clock, handshake: AnsweringHandshake, counters: LinkCounters
 ) -> PeerLink:
     """Return the protocol of a connection that a peer opened."""
     websocket = ServerProtocol(max_size=MAX_HANDSHAKE_FRAME, logger=websocket_log)
--- a/beryltrack/peers/linktable.py
+++ b/beryltrack/peers/linktable.py
@@ -21,22 +21,22 @@
 MAX_UNPROVED_LINKS = 64
 
 
-class LinkTableOwner(Interface):
+class LinkTableHandler(Interface):
     """Who hears of the links of a table."""
 
-    def accept_link(self, link: PeerLink) -> None:
+    def handle_link_opened(self, link: PeerLink) -> None:
         """Take a link whose peer is proved; it is the only one to that peer."""
 
-    def accept_message(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Take a message of an accepted link."""
 
-    def resume_link(self, link: PeerLink) -> None:
+    def handle_link_writable(self, link: PeerLink) -> None:
         """Take that a stuck link takes messages again."""
 
-    def lose_link(self, link: PeerLink, orderly: bool) -> None:
+    def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that an accepted link has closed."""
 
-    def fail_link(self, peer: str, purpose: str) -> None:
+    def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Take that a link could not be opened."""
 
 
@@ -92,7 +92,7 @@
     def __init__(
         self,
         reactor,
-        owner: LinkTableOwner,
+        owner: LinkTableHandler,
         counters: LinkCounters,
         own: Member,
         settings: InstanceSettings,
@@ -120,12 +120,12 @@
         """Return the link to a peer, or None."""
         return self._links.get((purpose, peer))
 
-    def get_stuck(self, purpose: str) -> frozenset[str]:
+    def get_blocked(self, purpose: str) -> frozenset[str]:
         """Return the peers whose links take no more messages now."""
         return frozenset(
             peer
             for (link_purpose, peer), link in self._links.items()
-            if link_purpose == purpose and link.is_stuck
+            if link_purpose == purpose and link.is_blocked
         )
 
     def open(self, peer: str, host: str, port: int, purpose: str) -> None:
@@ -198,7 +198,7 @@
         self._check_stopped()
         return gatherResults(filter(None, (listening, self._stopped)))
 
-    def accept_link(self, link: PeerLink) -> None:
+    def handle_link_opened(self, link: PeerLink) -> None:
         """Take a proved link, unless the present one to its peer is better."""
         expected, _ = self._expected.get(link, ("", ""))
         key = (link.peer.purpose, link.peer.name)
@@ -211,26 +211,26 @@
             old.close(reason="there is a newer link")
         if expected and expected != link.peer.name:
             self._report_failure(expected, link.peer.purpose)
-        self._owner.accept_link(link)
+        self._owner.handle_link_opened(link)
 
-    def accept_message(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Hand on a message of a link that is the present one to its peer."""
         if self._is_present(link):
-            self._owner.accept_message(link, message)
+            self._owner.handle_message(link, message)
 
-    def resume_link(self, link: PeerLink) -> None:
+    def handle_link_writable(self, link: PeerLink) -> None:
         """Hand on that a link takes messages again."""
         if self._is_present(link):
-            self._owner.resume_link(link)
+            self._owner.handle_link_writable(link)
 
-    def lose_link(self, link: PeerLink, orderly: bool) -> None:
+    def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that a connection has closed."""
         expected, purpose = self._expected.pop(link, ("", ""))
         if link.peer is None and expected:
             self._report_failure(expected, purpose)
         elif self._is_present(link):
             del self._links[(link.peer.purpose, link.peer.name)]
-            self._owner.lose_link(link, orderly)
+            self._owner.handle_link_closed(link, orderly)
         self._check_stopped()
 
     def _is_present(self, link: PeerLink) -> bool:
@@ -247,7 +247,7 @@
     def _report_failure(self, peer: str, purpose: str) -> None:
         """Report a link that could not be opened, unless all is closing."""
         if self._stopped is None:
-            self._owner.fail_link(peer, purpose)
+            self._owner.handle_connect_failure(peer, purpose)
 
     def _abort_all(self) -> None:
         """Break the connections that did not close in time."""
--- a/beryltrack/peers/membership.py
+++ b/beryltrack/peers/membership.py
@@ -22,7 +22,7 @@
     MEMBER_KIND,
     STATE_RANKS,
     SUSPECTED,
-    KnowledgeItem,
+    GossipItem,
     Member,
 )
 
@@ -88,21 +88,21 @@
 ACCEPTED = Observation(True, ())
 
 
-def make_member_item(member: Member) -> KnowledgeItem:
+def make_member_item(member: Member) -> GossipItem:
     """Return the item by which a member's state spreads."""
     version = (member.incarnation, STATE_RANKS[member.state])
     value = [member.host, member.port, member.zone]
-    return KnowledgeItem(MEMBER_KIND, member.name, version, value)
+    return GossipItem(MEMBER_KIND, member.name, version, value)
 
 
 def parse_member_item(
-    item: KnowledgeItem, source: str
+    item: GossipItem, source: str
 ) -> tuple[Member | None, list[Finding]]:
     """Return the member that an item describes, or what is wrong with it.
 
     Parameters
     ----------
-    item : KnowledgeItem
+    item : GossipItem
         An item of the kind `MEMBER_KIND`.
     source : str
         Who sent it, for the findings.
--- a/beryltrack/peers/messages.py
+++ b/beryltrack/peers/messages.py
@@ -27,7 +27,7 @@
 Version = tuple[int, ...]
 
 
-class KnowledgeItem(NamedTuple):
+class GossipItem(NamedTuple):
     """One fact that every proxy should know.
 
     Parameters
@@ -154,7 +154,7 @@
     Parameters
     ----------
     digest : int
-        Digest of all that the sender knows; see `KnowledgeStore.digest`.
+        Digest of all that the sender knows; see `GossipStore.digest`.
     """
 
     digest: int
@@ -163,7 +163,7 @@
 class Items(NamedTuple):
     """Items that have just changed."""
 
-    items: tuple[KnowledgeItem, ...]
+    items: tuple[GossipItem, ...]
 
 
 class SyncDigests(NamedTuple):
@@ -196,7 +196,7 @@
 class SyncItems(NamedTuple):
     """Items that the receiver lacked when buckets were compared."""
 
-    items: tuple[KnowledgeItem, ...]
+    items: tuple[GossipItem, ...]
 
 
 Message = (
--- a/beryltrack/peers/pushes.py
+++ b/beryltrack/peers/pushes.py
@@ -9,7 +9,7 @@
 
 from beryltrack.peers.actions import SendMessage
 from beryltrack.peers.batches import MAX_PENDING_ITEMS, split_items
-from beryltrack.peers.messages import ItemKey, Items, KnowledgeItem
+from beryltrack.peers.messages import GossipItem, ItemKey, Items
 
 
 class PushQueues:
@@ -17,7 +17,7 @@
 
     def __init__(self):
         self.dropped = 0
-        self._queues: dict[str, dict[ItemKey, KnowledgeItem]] = {}
+        self._queues: dict[str, dict[ItemKey, GossipItem]] = {}
 
     @property
     def has_pending(self) -> bool:
@@ -32,14 +32,14 @@
         """Forget what waited for a link that has closed."""
         self._queues.pop(peer, None)
 
-    def push(self, items: Iterable[KnowledgeItem], source: str = "") -> None:
+    def push(self, items: Iterable[GossipItem], source: str = "") -> None:
         """Have items sent over all links but the one that they came from."""
         items = tuple(items)
         for peer in self._queues:
             if peer != source:
                 self.push_to(peer, items)
 
-    def push_to(self, peer: str, items: Iterable[KnowledgeItem]) -> None:
+    def push_to(self, peer: str, items: Iterable[GossipItem]) -> None:
         """Have items sent over one link."""
         queue = self._queues[peer]
         for item in items:
@@ -49,12 +49,12 @@
             else:
                 self.dropped += 1
 
-    def flush(self, stuck: Container[str] = ()) -> list[SendMessage]:
+    def flush(self, blocked: Container[str] = ()) -> list[SendMessage]:
         """Return the messages that carry all that waits.
 
         Parameters
         ----------
-        stuck : container of str
+        blocked : container of str
             Peers whose links take no more now; their items go on waiting.
 
         Returns
@@ -62,7 +62,7 @@
         list of SendMessage
             Messages to send.
         """
-        ready = [peer for peer in self._queues if peer not in stuck]
+        ready = [peer for peer in self._queues if peer not in blocked]
         messages = [
             SendMessage(peer, Items(batch))
             for peer in ready
--- a/beryltrack/peers/sharing.py
+++ b/beryltrack/peers/sharing.py
@@ -16,7 +16,7 @@
 
 from beryltrack.findings import Finding, format_finding
 from beryltrack.objects.messages import InstanceEntry, PlatformError, PlatformObject
-from beryltrack.peers.messages import MEMBER_KIND, KnowledgeItem
+from beryltrack.peers.messages import MEMBER_KIND, GossipItem
 from beryltrack.peers.repeater import Repeater
 from beryltrack.peers.task import PeerTask
 from beryltrack.settings.paths import PREFIX
@@ -43,20 +43,20 @@
         """Return the instance list."""
 
 
-def make_settings_item(found: PlatformObject) -> KnowledgeItem:
+def make_settings_item(found: PlatformObject) -> GossipItem:
     """Return the item by which an object of the settings spreads."""
     value = [found.value, found.deleted]
-    return KnowledgeItem(SETTINGS_KIND, found.path, (found.version,), value)
+    return GossipItem(SETTINGS_KIND, found.path, (found.version,), value)
 
 
 def parse_settings_item(
-    item: KnowledgeItem,
+    item: GossipItem,
 ) -> tuple[PlatformObject | None, list[Finding]]:
     """Return the object that an item carries, or what is wrong with it.
 
     Parameters
     ----------
-    item : KnowledgeItem
+    item : GossipItem
         An item of the kind `SETTINGS_KIND`.
 
     Returns
@@ -125,7 +125,7 @@
             for found in objects:
                 self._peers.publish(make_settings_item(found))
 
-    def _collect(self, item: KnowledgeItem) -> None:
+    def _collect(self, item: GossipItem) -> None:
         """Gather what peers told, because settings are put in force as a whole."""
         found, findings = parse_settings_item(item)
         for finding in findings:
@@ -142,7 +142,7 @@
         news, self._news = self._news, []
         self._settings.learn(news)
 
-    def _schedule_choice(self, item: KnowledgeItem) -> None:
+    def _schedule_choice(self, item: GossipItem) -> None:
         """Choose anew shortly, once for many changes of the fleet."""
         if self._choosing is None and not self._stopped:
             self._choosing = self._reactor.callLater(ROLES_DELAY, self._choose_watchers)
--- a/beryltrack/peers/sync.py
+++ b/beryltrack/peers/sync.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Iterator
 
 from beryltrack.peers.batches import MAX_BATCH_BYTES, compute_item_size, split_items
-from beryltrack.peers.knowledge import KnowledgeStore
+from beryltrack.peers.gossip_store import GossipStore
 from beryltrack.peers.messages import (
+    GossipItem,
     ItemKey,
     ItemVersion,
-    KnowledgeItem,
     Message,
     SyncDigests,
     SyncItems,
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    store : KnowledgeStore
+    store : GossipStore
         What this proxy knows.
     rng : random.Random
         Source of jitter.
@@ -45,7 +45,7 @@
         The current time, seconds.
     """
 
-    def __init__(self, store: KnowledgeStore, rng: random.Random, now: float):
+    def __init__(self, store: GossipStore, rng: random.Random, now: float):
         self._store = store
         self._rng = rng
         self._started_at = now
@@ -144,9 +144,9 @@
         if listed:
             yield SyncVersions(tuple(listed), tuple(versions))
 
-    def _send_items(self, items: Iterable[KnowledgeItem]) -> list[Message]:
+    def _send_items(self, items: Iterable[GossipItem]) -> list[Message]:
         """Return items as messages, as many as one answer may hold."""
-        chosen: list[KnowledgeItem] = []
+        chosen: list[GossipItem] = []
         space = MAX_ANSWER_BYTES
         for item in items:
             space -= compute_item_size(item)
--- a/beryltrack/peers/task.py
+++ b/beryltrack/peers/task.py
@@ -24,15 +24,15 @@
 )
 from beryltrack.peers.counters import LinkCounters
 from beryltrack.peers.decider import HEARTBEAT_PERIOD, PeerDecider
-from beryltrack.peers.knowledge import KnowledgeStore
+from beryltrack.peers.gossip_store import GossipStore
 from beryltrack.peers.link import PeerLink
-from beryltrack.peers.linktable import LinkTable, LinkTableOwner
+from beryltrack.peers.linktable import LinkTable, LinkTableHandler
 from beryltrack.peers.membership import ListedInstance
 from beryltrack.peers.messages import (
     CONTROL,
     JOINED,
+    GossipItem,
     Items,
-    KnowledgeItem,
     Member,
     Message,
 )
@@ -43,7 +43,7 @@
 
 FLUSH_DELAY = 0.01
 
-ItemCallback = Callable[[KnowledgeItem], None]
+ItemCallback = Callable[[GossipItem], None]
 
 
 class PeerTask:
@@ -89,7 +89,7 @@
         self._table = LinkTable(reactor, self, self.counters, own, instance_settings)
         self._subscribers: dict[str, list[ItemCallback]] = defaultdict(list)
         # Who takes the links of purposes other than control.
-        self._owners: dict[str, LinkTableOwner] = {}
+        self._owners: dict[str, LinkTableHandler] = {}
         self._listed: frozenset[str] | None = None
         self._ticking = LoopingCall(self._tick)
         self._ticking.clock = reactor
@@ -113,7 +113,7 @@
         return self._decider.members
 
     @property
-    def knowledge(self) -> KnowledgeStore:
+    def gossip_store(self) -> GossipStore:
         """All that is known; to be read only."""
         return self._decider.store
 
@@ -148,12 +148,12 @@
             delay, self._ticking.start, HEARTBEAT_PERIOD
         )
 
-    def publish(self, item: KnowledgeItem) -> None:
+    def publish(self, item: GossipItem) -> None:
         """Tell all proxies of an item.
 
         Parameters
         ----------
-        item : KnowledgeItem
+        item : GossipItem
             Ignored if one of the same or a higher version is known.
         """
         self._carry_out(self._decider.publish(item))
@@ -167,7 +167,7 @@
         for item in self._decider.store.get_items(kind):
             callback(item)
 
-    def set_owner(self, purpose: str, owner: LinkTableOwner) -> None:
+    def set_link_handler(self, purpose: str, owner: LinkTableHandler) -> None:
         """Have the links of a purpose other than control reported to `owner`."""
         self._owners[purpose] = owner
 
@@ -209,7 +209,7 @@
         self._stop_timers()
         return self._table.abort()
 
-    def accept_link(self, link: PeerLink) -> None:
+    def handle_link_opened(self, link: PeerLink) -> None:
         """Take a link whose peer is proved."""
         if link.peer.purpose != CONTROL:
             self._accept_other(link)
@@ -219,37 +219,37 @@
         log.info("peers: linked with %s", link.peer.name)
         self._carry_out(actions)
 
-    def accept_message(self, link: PeerLink, message: Message) -> None:
+    def handle_message(self, link: PeerLink, message: Message) -> None:
         """Take a message of a peer."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].accept_message(link, message)
+            self._owners[link.peer.purpose].handle_message(link, message)
             return
         now = self._seconds()
         self._carry_out(self._decider.receive(link.peer.name, message, now))
         self._report_findings()
 
-    def resume_link(self, link: PeerLink) -> None:
+    def handle_link_writable(self, link: PeerLink) -> None:
         """Send what waited while the link was stuck."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].resume_link(link)
+            self._owners[link.peer.purpose].handle_link_writable(link)
             return
         self._schedule_flush()
 
-    def lose_link(self, link: PeerLink, orderly: bool) -> None:
+    def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that the link to a peer has closed."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].lose_link(link, orderly)
+            self._owners[link.peer.purpose].handle_link_closed(link, orderly)
             return
         log.info("peers: link to %s closed", link.peer.name)
         now = self._seconds()
         self._carry_out(self._decider.close_link(link.peer.name, orderly, now))
 
-    def fail_link(self, peer: str, purpose: str) -> None:
+    def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Take that a link could not be opened."""
         if purpose != CONTROL:
-            self._owners[purpose].fail_link(peer, purpose)
+            self._owners[purpose].handle_connect_failure(peer, purpose)
             return
-        self._carry_out(self._decider.fail_link(peer, self._seconds()))
+        self._carry_out(self._decider.handle_connect_failure(peer, self._seconds()))
 
     def _accept_other(self, link: PeerLink) -> None:
         """Hand on a link that is not for control, if somebody takes its purpose."""
@@ -257,7 +257,7 @@
         if owner is None:
             self._table.close(link.peer.name, link.peer.purpose, "nobody takes it")
         else:
-            owner.accept_link(link)
+            owner.handle_link_opened(link)
 
     def _tick(self) -> None:
         """Let the decider do what time asks for; a fault must not end the ticks."""
@@ -283,11 +283,11 @@
     def _send(self, peer: str, message: Message) -> None:
         """Send a message unless its link is stuck and it can be made up for."""
         link = self._table.get(peer, CONTROL)
-        if link is None or (link.is_stuck and not isinstance(message, Items)):
+        if link is None or (link.is_blocked and not isinstance(message, Items)):
             return
         link.send(message)
 
-    def _tell_subscribers(self, item: KnowledgeItem) -> None:
+    def _tell_subscribers(self, item: GossipItem) -> None:
         """Call who subscribed; one that fails does not harm the others."""
         for callback in self._subscribers[item.kind]:
             try:
@@ -305,7 +305,7 @@
         if self._flushing is not None and self._flushing.active():
             self._flushing.cancel()
         self._flushing = None
-        for action in self._decider.flush(self._table.get_stuck(CONTROL)):
+        for action in self._decider.flush(self._table.get_blocked(CONTROL)):
             self._send(action.peer, action.message)
 
     def _report_findings(self) -> None:
--- a/beryltrack/requests/forward_course.py
+++ b/beryltrack/requests/forward_course.py
@@ -33,7 +33,7 @@
 class Stream(Protocol):
     """A request that was passed on."""
 
-    def take(self, size: int) -> None:
+    def consume(self, size: int) -> None:
         """Say that so many bytes of the answer have gone to the caller."""
 
     def cancel(self) -> None:
@@ -121,7 +121,7 @@
         """Ask for as much as has gone to the caller."""
         if self._untaken and not self._is_paused and self.stream is not None:
             size, self._untaken = self._untaken, 0
-            self.stream.take(size)
+            self.stream.consume(size)
 
 
 class ForwardCourse:
--- a/beryltrack_bench/cost/control.py
+++ b/beryltrack_bench/cost/control.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import deferLater
 
 from beryltrack.daemon.local_site import LocalProxies
-from beryltrack.peers.messages import KnowledgeItem
+from beryltrack.peers.messages import GossipItem
 from beryltrack_bench.cost.memory import read_resident_bytes
 from beryltrack_bench.fleet.figures import Rates, compute_rates, read_traffic
 from beryltrack_bench.fleet.fleet import Fleet
@@ -89,7 +89,7 @@
     fleet = Fleet(reactor, seed)
     await fleet.start(sizes[0])
     for number in range(groups):
-        view = KnowledgeItem(GROUP_KIND, f"group-{number}", (1,), f"database-{number}")
+        view = GossipItem(GROUP_KIND, f"group-{number}", (1,), f"database-{number}")
         fleet.nodes[number % sizes[0]].peers.publish(view)
     costs = []
     for size in sizes:
--- a/beryltrack_bench/fleet/control.py
+++ b/beryltrack_bench/fleet/control.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.task import deferLater
 
-from beryltrack.peers.messages import KnowledgeItem
+from beryltrack.peers.messages import GossipItem
 from beryltrack_bench.cost.memory import read_resident_bytes
 from beryltrack_bench.fleet.figures import Rates, compute_rates, read_traffic
 from beryltrack_bench.fleet.fleet import Fleet
@@ -97,7 +97,7 @@
     """Have all nodes know each other, the settings and a view of each group."""
     await fleet.wait(fleet.is_joined, SETTLE_TIMEOUT)
     for number in range(groups):
-        item = KnowledgeItem(VIEW_KIND, f"group-{number}", (1,), "db-0")
+        item = GossipItem(VIEW_KIND, f"group-{number}", (1,), "db-0")
         fleet.nodes[0].peers.publish(item)
     await fleet.wait(lambda: _knows_all(fleet, groups), SETTLE_TIMEOUT)
     await deferLater(reactor, SETTLE_TIME, int)
@@ -105,7 +105,7 @@
 
 def _knows_all(fleet: Fleet, groups: int) -> bool:
     """Return whether all nodes know the same, and all the settings."""
-    stores = [node.peers.knowledge for node in fleet.nodes]
+    stores = [node.peers.gossip_store for node in fleet.nodes]
     return len({store.digest for store in stores}) == 1 and all(
         len(node.settings.current.groups) == groups + 1 for node in fleet.nodes
     )
--- a/tests/groups/test_sharing.py
+++ b/tests/groups/test_sharing.py
@@ -3,7 +3,7 @@
 from beryltrack.groups.messages import LogPosition
 from beryltrack.groups.sharing import GroupSharing, parse_view_item
 from beryltrack.groups.view import NEVER, GroupView
-from beryltrack.peers.messages import MEMBER_KIND, KnowledgeItem
+from beryltrack.peers.messages import MEMBER_KIND, GossipItem
 from tests.group_site import GroupSite
 
 NODES = ("proxy-1", "proxy-2")
@@ -52,17 +52,17 @@
     sharing.add(task)
     task.report_view(GroupView("g", 3, ""))
     task.report_view(GroupView("g", 3, "b", head=LogPosition(3, 9)))
-    assert peers.published == [KnowledgeItem("group", "g", (3,), "b")]
+    assert peers.published == [GossipItem("group", "g", (3,), "b")]
 
 
 def test_a_hint_from_before_a_task_was_added_is_passed_to_it():
     sharing, peers, task, _ = share()
-    peers.callbacks["group"](KnowledgeItem("group", "g", (3,), "b"))
-    peers.callbacks["group"](KnowledgeItem("group", "other", (9,), "x"))
+    peers.callbacks["group"](GossipItem("group", "g", (3,), "b"))
+    peers.callbacks["group"](GossipItem("group", "other", (9,), "x"))
     sharing.add(task)
     assert task.hints == [GroupView("g", 3, "b")]
     sharing.remove(task)
-    peers.callbacks["group"](KnowledgeItem("group", "g", (4,), "c"))
+    peers.callbacks["group"](GossipItem("group", "g", (4,), "c"))
     assert len(task.hints) == 1
 
 
@@ -78,9 +78,9 @@
 def test_a_malformed_item_is_ignored():
     sharing, peers, task, _ = share()
     sharing.add(task)
-    peers.callbacks["group"](KnowledgeItem("group", "g", (1, 2), 7))
+    peers.callbacks["group"](GossipItem("group", "g", (1, 2), 7))
     assert task.hints == []
-    view, findings = parse_view_item(KnowledgeItem("group", "g", (1, 2), 7))
+    view, findings = parse_view_item(GossipItem("group", "g", (1, 2), 7))
     assert view is None
     assert len(findings) == 2
 
--- a/tests/peers/network.py
+++ b/tests/peers/network.py
@@ -133,7 +133,7 @@
         if name not in self.deciders:
             return
         if peer not in self.deciders or self.is_cut(name, peer):
-            self.do(name, self.deciders[name].fail_link(peer, self.now))
+            self.do(name, self.deciders[name].handle_connect_failure(peer, self.now))
             return
         self._links |= {(name, peer), (peer, name)}
         self.do(name, self.deciders[name].open_link(peer, True, self.now))
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -8,12 +8,12 @@
 from beryltrack.peers.codec import decode_message, encode_message
 from beryltrack.peers.messages import (
     Challenge,
+    GossipItem,
     Heartbeat,
     Hello,
     ItemKey,
     Items,
     ItemVersion,
-    KnowledgeItem,
     Proof,
     SyncDigests,
     SyncItems,
@@ -22,7 +22,7 @@
     Welcome,
 )
 
-ITEM = KnowledgeItem("k", "a", (1, 2), {"x": [1, b"y", None]})
+ITEM = GossipItem("k", "a", (1, 2), {"x": [1, b"y", None]})
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_decider.py
+++ b/tests/peers/test_decider.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from beryltrack.peers.messages import ItemKey, Items, KnowledgeItem
+from beryltrack.peers.messages import GossipItem, ItemKey, Items
 from tests.peers.network import Network, make_instance
 
 
 def make_item(version, value="v", key="a"):
-    return KnowledgeItem("k", key, (version,), value)
+    return GossipItem("k", key, (version,), value)
 
 
 @pytest.fixture
@@ -166,7 +166,7 @@
 
 
 def test_members_gone_for_long_are_forgotten_with_what_is_about_them(network):
-    publish(network, "n3", KnowledgeItem("member.load", "n3", (1,), 5))
+    publish(network, "n3", GossipItem("member.load", "n3", (1,), 5))
     network.run(1.0)
     watcher = network.deciders["n0"]
     size = watcher.store.size
@@ -197,10 +197,10 @@
     peer = decider.linked[0]
     before = decider.members
     bad = [
-        KnowledgeItem("member", "x", (1, 1), ["not an ip", 1, "z"]),
-        KnowledgeItem("member", "x", (1, 99), ["127.0.0.1", 1, "z"]),
-        KnowledgeItem("member", "x", (1,), "text"),
-        KnowledgeItem("member", "", (1, 1), ["127.0.0.1", 0, 5]),
+        GossipItem("member", "x", (1, 1), ["not an ip", 1, "z"]),
+        GossipItem("member", "x", (1, 99), ["127.0.0.1", 1, "z"]),
+        GossipItem("member", "x", (1,), "text"),
+        GossipItem("member", "", (1, 1), ["127.0.0.1", 0, 5]),
     ]
     decider.receive(peer, Items(tuple(bad)), network.now)
     assert len(decider.findings) == 6
--- a/tests/peers/test_forwarder.py
+++ b/tests/peers/test_forwarder.py
@@ -45,7 +45,7 @@
     def write(self, data):
         self.size += len(data)
         if self.is_reading:
-            reactor.callLater(0, self.stream.take, len(data))
+            reactor.callLater(0, self.stream.consume, len(data))
 
     def finish(self, result):
         self.result = result
--- a/tests/peers/test_forwarding.py
+++ b/tests/peers/test_forwarding.py
@@ -63,8 +63,8 @@
     entry = make_entry()
     _, actions = entry.forward(("b", "c"), "g", b"r", 9.0, 0.0)
     assert actions == [OpenForwardLink("b")]
-    assert entry.fail_link("b", 1.0) == [OpenForwardLink("c")]
-    assert get_outcomes(entry.fail_link("c", 2.0)) == ["NOT_RUN"]
+    assert entry.handle_connect_failure("b", 1.0) == [OpenForwardLink("c")]
+    assert get_outcomes(entry.handle_connect_failure("c", 2.0)) == ["NOT_RUN"]
 
 
 def test_a_request_that_no_owner_took_in_time_was_not_run():
@@ -79,7 +79,7 @@
     entry = make_entry("b")
     entry.forward(("b",), "g", b"r", 9.0, 0.0)
     assert entry.tick(100.0) == []
-    assert get_outcomes(entry.lose_link("b")) == ["UNKNOWN"]
+    assert get_outcomes(entry.handle_link_closed("b")) == ["UNKNOWN"]
 
 
 @pytest.mark.parametrize("outcome", ForwardOutcome)
@@ -115,7 +115,7 @@
 
 def test_a_stuck_link_takes_no_request():
     entry = make_entry("b")
-    entry.set_stuck("b", True)
+    entry.set_blocked("b", True)
     _, actions = entry.forward(("b",), "g", b"r", 9.0, 0.0)
     assert get_outcomes(actions) == ["NOT_RUN"]
 
@@ -190,7 +190,7 @@
                     self.received[stream] += data
                     assert stream not in self.results
                     if self.rng.random() < 0.8:
-                        self.do(self.entry.take(stream, len(data)))
+                        self.do(self.entry.consume(stream, len(data)))
                 case FinishStream(stream, result):
                     assert stream not in self.results
                     self.results[stream] = result.outcome
@@ -213,7 +213,9 @@
         self.linked = False
         self.to_owner.clear()
         self.to_entry.clear()
-        self.do(self.entry.lose_link("b") + self.serving.lose_link("a"))
+        self.do(
+            self.entry.handle_link_closed("b") + self.serving.handle_link_closed("a")
+        )
 
     def link(self):
         self.linked = True
--- a/tests/peers/test_knowledge.py
+++ b/tests/peers/test_knowledge.py
@@ -3,18 +3,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beryltrack.peers.knowledge import KnowledgeStore
-from beryltrack.peers.messages import ItemKey, KnowledgeItem
+from beryltrack.peers.gossip_store import GossipStore
+from beryltrack.peers.messages import GossipItem, ItemKey
 
 items = st.builds(
-    lambda key, version: KnowledgeItem("k", key, (version,), f"{key}{version}"),
+    lambda key, version: GossipItem("k", key, (version,), f"{key}{version}"),
     st.sampled_from("abcdefgh"),
     st.integers(1, 5),
 )
 
 
 def fill(entries):
-    store = KnowledgeStore()
+    store = GossipStore()
     for item in entries:
         store.accept(item)
     return store
@@ -45,18 +45,18 @@
 
 
 def test_versions_compare_as_tuples():
-    store = fill([KnowledgeItem("k", "a", (2, 9), "low")])
-    assert store.accept(KnowledgeItem("k", "a", (10, 0), "high"))
-    assert not store.accept(KnowledgeItem("k", "a", (9, 9), "between"))
+    store = fill([GossipItem("k", "a", (2, 9), "low")])
+    assert store.accept(GossipItem("k", "a", (10, 0), "high"))
+    assert not store.accept(GossipItem("k", "a", (9, 9), "between"))
 
 
 def test_items_that_do_not_count_leave_the_digest_alone():
-    store = fill([KnowledgeItem("k", "a", (1,), "v")])
-    store.accept(KnowledgeItem("k", "a", (2,), "gone"), counted=False)
+    store = fill([GossipItem("k", "a", (1,), "v")])
+    store.accept(GossipItem("k", "a", (2,), "gone"), counted=False)
     assert store.digest == 0
     store.remove(ItemKey("k", "a"))
     assert (store.digest, store.size) == (0, 0)
 
 
 def test_digests_of_another_length_differ_everywhere():
-    assert len(KnowledgeStore().find_different_buckets(b"x")) == 128
+    assert len(GossipStore().find_different_buckets(b"x")) == 128
--- a/tests/peers/test_pushes.py
+++ b/tests/peers/test_pushes.py
@@ -2,12 +2,12 @@
 
 from beryltrack.peers.actions import SendMessage
 from beryltrack.peers.batches import MAX_PENDING_ITEMS, split_items
-from beryltrack.peers.messages import Items, KnowledgeItem
+from beryltrack.peers.messages import GossipItem, Items
 from beryltrack.peers.pushes import PushQueues
 
 
 def make_item(key="a", version=1, value="v"):
-    return KnowledgeItem("k", key, (version,), value)
+    return GossipItem("k", key, (version,), value)
 
 
 def make_queues(*peers):
@@ -28,7 +28,7 @@
 def test_the_newest_takes_the_place_of_what_waits_for_a_stuck_link():
     queues = make_queues("a")
     queues.push([make_item(version=1)])
-    assert queues.flush(stuck={"a"}) == []
+    assert queues.flush(blocked={"a"}) == []
     queues.push([make_item(version=2)])
     assert queues.flush() == [SendMessage("a", Items((make_item(version=2),)))]
 
--- a/tests/peers/test_sharing.py
+++ b/tests/peers/test_sharing.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet import reactor
 
-from beryltrack.peers.messages import KnowledgeItem
+from beryltrack.peers.messages import GossipItem
 from beryltrack.peers.sharing import parse_settings_item
 from beryltrack_bench.fleet.fleet import Fleet
 from tests.peers.fleet import wait_for
@@ -31,10 +31,10 @@
 @pytest.mark.parametrize(
     "item",
     [
-        KnowledgeItem("settings", "status/x", (1,), [{}, False]),
-        KnowledgeItem("settings", "settings/a/b/c", (1, 2), [{}, False]),
-        KnowledgeItem("settings", "settings/a/b/c", (1,), "text"),
-        KnowledgeItem("settings", "settings/a/b/c", (1,), [{}, 0]),
+        GossipItem("settings", "status/x", (1,), [{}, False]),
+        GossipItem("settings", "settings/a/b/c", (1, 2), [{}, False]),
+        GossipItem("settings", "settings/a/b/c", (1,), "text"),
+        GossipItem("settings", "settings/a/b/c", (1,), [{}, 0]),
     ],
 )
 def test_what_is_no_settings_object_is_a_finding(item):
--- a/tests/peers/test_task.py
+++ b/tests/peers/test_task.py
@@ -8,12 +8,12 @@
 from websockets.client import ClientProtocol
 from websockets.uri import parse_uri
 
-from beryltrack.peers.messages import KnowledgeItem
+from beryltrack.peers.messages import GossipItem
 from beryltrack.settings.messages import Endpoint
 from tests.peers.fleet import make_task, start_fleet, wait_for
 from tests.reactor_thread import run
 
-ITEM = KnowledgeItem("k", "a", (1,), {"term": 3})
+ITEM = GossipItem("k", "a", (1,), {"term": 3})
 
 
 @pytest.fixture
@@ -62,7 +62,7 @@
     run(tasks[0].publish, ITEM)
     run(wait_for, lambda: heard == [ITEM])
     run(tasks[1].publish, ITEM._replace(version=(2,)))
-    run(wait_for, lambda: tasks[0].knowledge.get_items("k")[0].version == (2,))
+    run(wait_for, lambda: tasks[0].gossip_store.get_items("k")[0].version == (2,))
     run(tasks[0].leave)
     run(wait_for, lambda: get_state(tasks[1], "n1") == "leaving")
 
@@ -82,7 +82,7 @@
 def test_a_large_item_crosses_the_link(tasks):
     start(tasks, ["n1", "n2"])
     run(tasks[0].publish, ITEM._replace(value=b"x" * 1_000_000))
-    run(wait_for, lambda: tasks[1].knowledge.get_items("k"))
+    run(wait_for, lambda: tasks[1].gossip_store.get_items("k"))
 
 
 def test_a_proxy_without_the_key_is_not_let_in(tasks):
@@ -114,7 +114,7 @@
             send(client, connection, data)
             read_to_end(connection)
     run(tasks[0].publish, ITEM)
-    run(wait_for, lambda: tasks[1].knowledge.get_items("k"))
+    run(wait_for, lambda: tasks[1].gossip_store.get_items("k"))
     assert tasks[0].linked == ("n2",)
 
 
@@ -133,6 +133,6 @@
     run(link._websocket.send_binary, cbor2.dumps([77, "new"]))
     run(link._websocket.send_binary, b"\xff")
     run(tasks[0].publish, ITEM)
-    run(wait_for, lambda: tasks[1].knowledge.get_items("k"))
+    run(wait_for, lambda: tasks[1].gossip_store.get_items("k"))
     assert tasks[1].counters.malformed == 2
     assert tasks[1].linked == ("n1",)
