--- a/beryltrack/callers/batches.py
+++ b/beryltrack/callers/batches.py
@@ -16,7 +16,7 @@
     def touch(self, name: str) -> None:
         """Note that the statement exists and is used now."""
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Note that the statement does not exist."""
 
     def is_stale(self, name: str) -> bool:
--- a/beryltrack/callers/extended.py
+++ b/beryltrack/callers/extended.py
@@ -234,7 +234,7 @@
         if effect.added:
             names.touch(effect.added)
         if effect.closed:
-            names.forget(effect.closed)
+            names.remove(effect.closed)
         if effect.name is not None:
             _apply_to_table(effect, table)
 
--- a/beryltrack/connections/borrower.py
+++ b/beryltrack/connections/borrower.py
@@ -123,7 +123,7 @@
             lender
             for lender in lenders[start:] + lenders[:start]
             if lender not in pending and not self._is_paused(lender, now)
-        ][: max(0, self._policy.most_asked - len(pending))]
+        ][: max(0, self._policy.max_asked_lenders - len(pending))]
         self._turn += len(free)
         return [self._ask(lender, missing, now) for lender in free]
 
@@ -225,6 +225,6 @@
 
     def _pause(self, lender: str, now: float) -> None:
         """Leave a lender alone for a while, twice as long each time."""
-        last = self._pauses.get(lender, _Pause(now, self._policy.first_pause / 2))
-        length = min(2 * last.length, self._policy.most_pause)
+        last = self._pauses.get(lender, _Pause(now, self._policy.first_backoff / 2))
+        length = min(2 * last.length, self._policy.max_backoff)
         self._pauses[lender] = _Pause(now + length, length)
--- a/beryltrack/connections/exclusive.py
+++ b/beryltrack/connections/exclusive.py
@@ -48,8 +48,8 @@
         self.closed: Deferred[None] = Deferred()
         self.run_since: float | None = None
         self.run_until = math.inf
-        self.way = ""  # The instance that it goes through, if any.
-        self.heard_at = -math.inf
+        self.via = ""  # The instance that it goes through, if any.
+        self.last_received_at = -math.inf
         # True if that instance need not count the next operation of the account.
         self.is_counted = False
         # What the next operation asks for, as that instance is told.
@@ -57,7 +57,7 @@
         # Number of that instance's process if it understands demands; else zero.
         self.incarnation = 0
         # Whose statement that instance was last told.
-        self.terms = b""
+        self.account_message = b""
         # Called with what that instance tells of its load, and with when the statement
         # was sent that it came with an answer to.
         self.on_report: Callable[[TimedReport, float], object] = lambda told, since: (
@@ -67,7 +67,7 @@
         self.observer: RunObserver | None = None
         # Called if that instance says that it does not reach the database, or (True)
         # that it gives connections to none of the group's.
-        self.on_useless: Callable[[bool], object] = lambda has_left: None
+        self.on_target_unreachable: Callable[[bool], object] = lambda has_left: None
         self._start = start
         self._limits = limits
         self._seconds = seconds
@@ -79,7 +79,7 @@
         """True while a statement runs on the connection."""
         return self._answer is not None
 
-    def take_bytes(self, data: bytes) -> None:
+    def receive_bytes(self, data: bytes) -> None:
         """Take bytes of the target.
 
         Raises
@@ -160,9 +160,9 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Take bytes of the target; what is malformed ends the connection."""
-        self.heard_at = self._seconds()
+        self.last_received_at = self._seconds()
         try:
-            self.take_bytes(data)
+            self.receive_bytes(data)
         except MalformedMessage:
             self.close()
 
--- a/beryltrack/connections/loan_policy.py
+++ b/beryltrack/connections/loan_policy.py
@@ -22,9 +22,9 @@
         Time after a recall from which a loan is not renewed.
     repeat_period : float
         Time after which an unanswered request or recall is sent again.
-    first_pause, most_pause : float
+    first_backoff, max_backoff : float
         Bounds of the doubling pause after a lender's refusal.
-    most_asked : int
+    max_asked_lenders : int
         Most lenders to ask at the same time.
     """
 
@@ -35,6 +35,6 @@
     demand_window: float = 1.0
     recall_limit: float = 10.0
     repeat_period: float = 0.3
-    first_pause: float = 0.25
-    most_pause: float = 4.0
-    most_asked: int = 2
+    first_backoff: float = 0.25
+    max_backoff: float = 4.0
+    max_asked_lenders: int = 2
--- a/beryltrack/connections/messages.py
+++ b/beryltrack/connections/messages.py
@@ -20,14 +20,14 @@
     """What a pool needs of a connection to a target.
 
     `run_since` is when the request that it runs was sent, by the node's clock;
-    None while it runs none. `run_until` is when that run is to be given up. `way`
+    None while it runs none. `run_until` is when that run is to be given up. `via`
     names the instance that the connection goes through; empty if it goes straight.
     `observer` is told of each statement, if there is one.
     """
 
     run_since: float | None
     run_until: float
-    way: str
+    via: str
     observer: "RunObserver | None"
 
     @property
@@ -132,15 +132,15 @@
     ----------
     sqlstate : str
         The target's SQLSTATE; 53300 means that its connections are used up.
-    is_useless : bool
+    is_target_unreachable : bool
         True if another instance refused it that serves the group, and does not reach
         this database alone.
     """
 
-    def __init__(self, sqlstate: str, is_useless: bool = False):
+    def __init__(self, sqlstate: str, is_target_unreachable: bool = False):
         super().__init__(f"the target refused the connection: {sqlstate}")
         self.sqlstate = sqlstate
-        self.is_useless = is_useless
+        self.is_target_unreachable = is_target_unreachable
 
 
 class TargetLost(Exception):
--- a/beryltrack/connections/open_backoff.py
+++ b/beryltrack/connections/open_backoff.py
@@ -52,4 +52,4 @@
 
     def _compute_wait(self) -> float:
         doubled = self._policy.first_backoff * 2 ** min(self._failures - 1, 16)
-        return min(doubled, self._policy.most_backoff) * self._rng.uniform(0.5, 1.0)
+        return min(doubled, self._policy.max_backoff) * self._rng.uniform(0.5, 1.0)
--- a/beryltrack/connections/pool.py
+++ b/beryltrack/connections/pool.py
@@ -136,7 +136,7 @@
         """
         if self._state is not _State.ACTIVE:
             return [self._refuse(waiter, RefusalReason.LEAVING, now)]
-        if self._policy.kept_part:
+        if self._policy.retained_fraction:
             self._resting.rates.observe(account, now)
         idle = self._stock.find_idle(account)
         if idle is not None and now + self._compute_service() <= deadline:
@@ -154,7 +154,7 @@
             return [self._refuse(waiter, RefusalReason.TOO_LATE, now)]
         # A connection that is opened for it is no queue, however long that takes.
         is_queued = place >= model.free
-        if refuses_early and is_queued and wait > self._policy.most_wait:
+        if refuses_early and is_queued and wait > self._policy.max_wait:
             return [self._refuse(waiter, RefusalReason.QUEUE_FULL, now)]
         self._waiters.add(queued, account, now)
         # Whoever now waits behind may have lost its last chance.
@@ -324,12 +324,12 @@
     def _get_next_scan(self, now: float) -> float:
         """Return when to look at the waiters again."""
         scan = now + SCAN_PERIOD
-        ends = (since + self._policy.open_patience for since in self._waiters.times)
+        ends = (since + self._policy.open_delay for since in self._waiters.times)
         return min(scan, next((end for end in ends if end > now), scan))
 
     def _list_wanted(self, now: float) -> list[str]:
         """Return whose connections to open besides those on the way."""
-        latest = now - self._policy.open_patience
+        latest = now - self._policy.open_delay
         wanted = self._waiters.list_wanted(self._stock, latest)
         for_warmth = self._policy.warm - self._stock.live_count - len(wanted)
         return wanted + [""] * for_warmth
@@ -456,7 +456,7 @@
         has_room = self._stock.open_count + 1 < self._get_most_open(now)
         if has_room or not self._waiters:
             return None
-        latest = now - self._policy.open_patience
+        latest = now - self._policy.open_delay
         return self._waiters.find_poorer(account, self._stock, latest)
 
     def _close(self, connection: int) -> list[PoolAction]:
@@ -474,7 +474,7 @@
             return []
         # After a failure one attempt is enough to learn that the target is back.
         is_in_doubt = self._backoff.has_failed or self._room.is_in_doubt(now)
-        most = 1 if is_in_doubt else self._policy.most_opening
+        most = 1 if is_in_doubt else self._policy.max_opening
         at_once = max(0, most - len(self._stock.opening))
         wanted = self._list_wanted(now)[:at_once]
         room = max(0, self._get_most_open(now) - self._stock.open_count)
--- a/beryltrack/connections/pool_policy.py
+++ b/beryltrack/connections/pool_policy.py
@@ -10,23 +10,23 @@
     ----------
     queue_limit : int
         Most requests that wait.
-    most_wait : float
+    max_wait : float
         Longest expected wait, seconds; a longer queue would serve no more
         requests and only make all of them late.
     warm : int
         Connections to keep open while nothing asks for them.
     idle_timeout : float
         Seconds after which a surplus idle connection is closed.
-    kept_part : float
+    retained_fraction : float
         Part of the limit that may rest for longer, those whose accounts ask most often.
-    kept_time : float
+    retained_idle_timeout : float
         Seconds after which these are closed too.
-    open_patience : float
+    open_delay : float
         Seconds that a request waits for a connection that is in use before another
         one is opened for it.
-    most_opening : int
+    max_opening : int
         Most connections to open at the same time.
-    first_backoff, most_backoff : float
+    first_backoff, max_backoff : float
         Bounds of the wait after a failed open, seconds.
     deviations : float
         Mean deviations added to the hold time when a deadline is judged.
@@ -40,15 +40,15 @@
     """
 
     queue_limit: int = 256
-    most_wait: float = 0.25
+    max_wait: float = 0.25
     warm: int = 1
     idle_timeout: float = 30.0
-    kept_part: float = 0.0
-    kept_time: float = 0.0
-    open_patience: float = 0.0
-    most_opening: int = 4
+    retained_fraction: float = 0.0
+    retained_idle_timeout: float = 0.0
+    open_delay: float = 0.0
+    max_opening: int = 4
     first_backoff: float = 0.05
-    most_backoff: float = 0.5
+    max_backoff: float = 0.5
     deviations: float = 2.0
     share_wait: float = 0.25
     by_deadline: bool = True
--- a/beryltrack/connections/prepared.py
+++ b/beryltrack/connections/prepared.py
@@ -33,7 +33,7 @@
         self._names.move_to_end(name)
         self._stale.discard(name)
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Note that the statement does not exist any more."""
         self._names.pop(name, None)
         self._stale.discard(name)
--- a/beryltrack/connections/resting.py
+++ b/beryltrack/connections/resting.py
@@ -103,10 +103,12 @@
             for number, since in self._stock.idle.items()
             if since + policy.idle_timeout <= now
         ]
-        kept = int(limit * policy.kept_part)
+        kept = int(limit * policy.retained_fraction)
         if not kept:
             return tuple(over[:surplus])
-        ends = [n for n in over if self._stock.idle[n] + policy.kept_time <= now]
+        ends = [
+            n for n in over if self._stock.idle[n] + policy.retained_idle_timeout <= now
+        ]
         beyond = len(over) - len(ends) - kept
         if beyond <= 0:
             return tuple(ends[:surplus])
@@ -123,7 +125,7 @@
             return now
         # The first ends are over for connections that are kept: only the last is left.
         ends = (since + policy.idle_timeout for since in idle)
-        last = next(iter(idle)) + max(policy.idle_timeout, policy.kept_time)
+        last = next(iter(idle)) + max(policy.idle_timeout, policy.retained_idle_timeout)
         return min((end for end in ends if end > now), default=last)
 
     def rank(self, policy: PoolPolicy, now: float) -> list[int]:
@@ -132,7 +134,7 @@
         Without a part that is kept the one that rested longest goes first.
         """
         oldest = list(self._stock.idle)
-        if not policy.kept_part:
+        if not policy.retained_fraction:
             return oldest
         prices = self._compute_prices(now)
         return sorted(oldest, key=prices.__getitem__)
--- a/beryltrack/connections/target.py
+++ b/beryltrack/connections/target.py
@@ -59,7 +59,7 @@
         Whom to log on as.
     """
 
-    way = ""
+    via = ""
     """Connections of this protocol go straight to their target."""
 
     def __init__(self, reactor, endpoint: Endpoint, credentials: Credentials):
--- a/beryltrack/connections/task.py
+++ b/beryltrack/connections/task.py
@@ -144,15 +144,15 @@
         return result
 
     def acquire_briefly(
-        self, patience: float, open_patience: float
+        self, wait_limit: float, open_limit: float
     ) -> Deferred[PooledConnection | None]:
         """Get a connection for a short request of the proxy's own.
 
         Parameters
         ----------
-        patience : float
+        wait_limit : float
             Seconds to wait for one that is in use.
-        open_patience : float
+        open_limit : float
             Seconds to wait while none is open.
 
         Returns
@@ -165,7 +165,7 @@
         self._waiters[waiter] = result
         self._perform(self._decider.acquire_briefly(waiter, self._now))
         if not result.called:
-            limit = patience if self._connections else open_patience
+            limit = wait_limit if self._connections else open_limit
             result.addTimeout(limit, self._reactor)
         return result.addErrback(_give_none)
 
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_kit.py
@@ -190,8 +190,8 @@
                 self._directory.is_unreachable(database.name)
                 and self._directory.counts_here(account)
             ),
-            admit_ingress=lambda way, demand: self._judge(way, database.name, demand),
-            estimate=lambda way, demand: self._expect(way, database.name, demand),
+            admit_ingress=lambda via, demand: self._judge(via, database.name, demand),
+            estimate=lambda via, demand: self._expect(via, database.name, demand),
             seconds=self._seconds,
             may_retry=lambda: self._retries is None or self._retries.draw(),
             make_gate=self._make_gate,
@@ -205,17 +205,17 @@
         access = self._by_database.get(database)
         return access.get_report() if access is not None else None
 
-    def _expect(self, way: str, database: str, demand: Demand) -> ExpectedTimes:
+    def _expect(self, via: str, database: str, demand: Demand) -> ExpectedTimes:
         """Return what an operation may expect of a database through an instance."""
         owner_loads = self.owner_loads
-        wait = owner_loads.get_wait(way, database, demand.priority)
+        wait = owner_loads.get_wait(via, database, demand.priority)
         return ExpectedTimes(wait, owner_loads.get_service_time(database))
 
-    def _judge(self, way: str, database: str, demand: Demand) -> float:
+    def _judge(self, via: str, database: str, demand: Demand) -> float:
         """Decide whether an operation goes to another instance."""
         if not self._policies.takes_reports:
             return 0.0
-        return self._ingress.decide(way, database, demand, self._seconds())
+        return self._ingress.decide(via, database, demand, self._seconds())
 
     def _make_gate(self) -> GateTask:
         """Return what decides which operations run at a database."""
--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -81,7 +81,7 @@
 # surplus one is closed soon. Callers wait 1 s and more for an answer, so that a queue
 # of 0.6 s is still served in time after a restart, when each has one connection.
 # A queue of 0.25 s earned up to 0.04 less of what callers were owed, and never more.
-POOLS = PoolPolicy(most_wait=0.6, idle_timeout=0.5, most_opening=2, open_patience=0.03)
+POOLS = PoolPolicy(max_wait=0.6, idle_timeout=0.5, max_opening=2, open_delay=0.03)
 
 # Accounts outnumber the connections, and a new one costs as much as a statement: one
 # that rests is kept for its account's next request, until another account needs it. Not
@@ -99,11 +99,15 @@
 room for 24 of 54 new connections while the database still counts those."""
 
 ACCOUNT_POOLS = POOLS._replace(
-    idle_timeout=1.0, kept_time=KEPT_TIME, kept_part=KEPT_PART, warm=0, most_opening=4
+    idle_timeout=1.0,
+    retained_idle_timeout=KEPT_TIME,
+    retained_fraction=KEPT_PART,
+    warm=0,
+    max_opening=4,
 )
 
 # A session at another instance takes no slot: it is opened at once and kept.
-RELAYED_POOLS = POOLS._replace(idle_timeout=10.0, open_patience=0.0)
+RELAYED_POOLS = POOLS._replace(idle_timeout=10.0, open_delay=0.0)
 
 # A database that is cut off is noticed by its control requests within 0.5 s; the
 # kernel clears up what they leave after 2 to 4 s.
--- a/beryltrack/groups/control_calls.py
+++ b/beryltrack/groups/control_calls.py
@@ -37,7 +37,7 @@
     """A pool that lends idle connections for single requests, as `PoolTask` does."""
 
     def acquire_briefly(
-        self, patience: float, open_patience: float
+        self, wait_limit: float, open_limit: float
     ) -> Deferred[RelayedConnection | None]:
         """Return a Deferred of a connection, or of None if none is idle in time."""
 
@@ -117,7 +117,7 @@
         """
         self._allowed_vias = vias
         for name, connection in tuple(self._connections.items()):
-            if connection.way not in vias:
+            if connection.via not in vias:
                 self._connections.pop(name).end_session()
 
     def close(self) -> None:
@@ -225,7 +225,7 @@
         sink = CollectingSink()
         running = connection.run(wire, sink)
         since = connection.run_since
-        factor = self._limits.relayed_factor if connection.way else 1.0
+        factor = self._limits.relayed_factor if connection.via else 1.0
         limit = self._limits.request_timeout * fraction * factor
         check_after = min(self._limits.reconnect_after * factor, limit)
 
@@ -249,7 +249,7 @@
         if item is None:
             raise ConnectionError("the database is no longer a member of the group")
         connection = await self._open(item)
-        if self._allowed_vias is not None and connection.way not in self._allowed_vias:
+        if self._allowed_vias is not None and connection.via not in self._allowed_vias:
             # The allowed owners have changed while the connection was opened.
             connection.end_session()
             raise ConnectionError("the path to the database is no longer allowed")
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -143,7 +143,7 @@
         policy = plan.policy
         # An owner that is at work only has a queue; to break a read off there would
         # throw its work away and open another connection to a full database.
-        is_repeatable = plan.is_read and not (caller.in_transaction or connection.way)
+        is_repeatable = plan.is_read and not (caller.in_transaction or connection.via)
         limit = policy.read_timeout if is_repeatable else policy.run_timeout
         limit = math.inf if limit is None else limit
         state, account = caller.lines, caller.account
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -65,7 +65,7 @@
         self.transport.write(b"TERMINATE\r\n")
         self.transport.loseConnection()
 
-    def take_bytes(self, data: bytes) -> None:
+    def receive_bytes(self, data: bytes) -> None:
         """Take bytes of the database."""
         for line in self._buffer.feed(data):
             self._take(line)
@@ -113,8 +113,8 @@
             self.ready.callback(self)
             return
         self.broken = True
-        state, is_useless = decode_error(line).sqlstate, line.startswith(_USELESS)
-        self.ready.errback(ConnectRefused(state, is_useless))
+        state = decode_error(line).sqlstate
+        self.ready.errback(ConnectRefused(state, line.startswith(_USELESS)))
         self.transport.abortConnection()
 
     def _take_ready(self, line: bytes) -> None:
@@ -137,7 +137,7 @@
         )
         if self._error_frame.startswith((_USELESS, _LEFT)):
             # Whoever used it next would only be told the same.
-            self.on_useless(self._error_frame.startswith(_LEFT))
+            self.on_target_unreachable(self._error_frame.startswith(_LEFT))
             self.end_session()
         self.end_run().callback(end)
 
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -232,7 +232,7 @@
             self._finish_lost(session, connection, result)
             return
         _observe_end(task, session.database, unit, result, sent_at, is_first)
-        if is_first and _is_lagging(unit, result) and not connection.way:
+        if is_first and _is_lagging(unit, result) and not connection.via:
             task.observe_lagging(session.database, unit.after)
         self._reporter.report_load(session, pool)
         session.send_end(result, _get_new_proof(session, task))
--- a/beryltrack/relay/opener.py
+++ b/beryltrack/relay/opener.py
@@ -108,8 +108,8 @@
 
     def observe_silence(self, connection: RelayedConnection) -> None:
         """Avoid the instance that relays a connection over which nothing arrives."""
-        if connection.way:
-            self._directory.avoid(connection.way)
+        if connection.via:
+            self._directory.avoid(connection.via)
 
     async def _open(
         self, group: str, database: DatabaseSettings, timeout: float
@@ -165,7 +165,7 @@
             # Avoiding an instance that does not reach one database would lose it for
             # all others: after the loss of a primary all owners of its group were
             # avoided.
-            if refused.is_useless or directory.is_unreachable(name):
+            if refused.is_target_unreachable or directory.is_unreachable(name):
                 directory.observe_target_unreachable(name, owner.name)
             else:
                 directory.observe_refusal(owner.name)
@@ -173,12 +173,12 @@
         except OSError:
             directory.avoid(owner.name)
             raise
-        connection.way = owner.name
+        connection.via = owner.name
         self._owner_loads.observe_owner(owner.name, connection.incarnation)
         connection.on_report = lambda report, sent_at: self._owner_loads.observe(
             owner.name, name, report, sent_at
         )
-        connection.on_useless = lambda has_left: (
+        connection.on_target_unreachable = lambda has_left: (
             directory.observe_refusal(owner.name)
             if has_left
             else directory.observe_target_unreachable(name, owner.name)
--- a/beryltrack/relay/relayed_connections.py
+++ b/beryltrack/relay/relayed_connections.py
@@ -19,22 +19,22 @@
 class RelayedConnection(PooledConnection, Protocol):
     """A connection to a database, direct or relayed by another instance.
 
-    `heard_at` is when bytes last arrived, in seconds of the node's clock; `busy` is
-    True while a statement runs. The relaying instance counts the next operation unless
-    `is_counted` is True, and is sent its `demand`. `incarnation` is the number of that
-    instance's process, zero for an earlier release.
-
-    `on_useless` is called when the relaying instance answers that it does not reach the
-    database, with True if it lends no connections to the group at all. `on_report` is
-    called with each load report, and with the time at which the statement was sent
-    whose answer the report came with.
+    `last_received_at` is when bytes last arrived, in seconds of the node's clock;
+    `busy` is True while a statement runs. The relaying instance counts the next
+    operation unless `is_counted` is True, and is sent its `demand`. `incarnation` is
+    the number of that instance's process, zero for an earlier release.
+
+    `on_target_unreachable` is called when the relaying instance answers that it does
+    not reach the database, with True if it lends no connections to the group at all.
+    `on_report` is called with each load report, and with the time at which the
+    statement was sent whose answer the report came with.
     """
 
-    heard_at: float
+    last_received_at: float
     is_counted: bool
     demand: Demand
     busy: bool
-    on_useless: Callable[[bool], object]
+    on_target_unreachable: Callable[[bool], object]
     incarnation: int
     on_report: Callable[[TimedReport, float], object]
 
@@ -68,14 +68,14 @@
     silent only because its database hangs, so `has_answered` says whether it has
     answered this instance elsewhere since a time.
     """
-    since, way = connection.run_since, connection.way
-    if not way or since is None or has_answered(way, since):
+    since, via = connection.run_since, connection.via
+    if not via or since is None or has_answered(via, since):
         return False
     return not any(
-        each.heard_at > since
+        each.last_received_at > since
         for pool in pools
         for each in pool.get_connections()
-        if each.way == way
+        if each.via == via
     )
 
 
@@ -109,10 +109,10 @@
     log.warning(
         "relay: %s does not answer; closing its idle connections and using other "
         "owners.",
-        connection.way,
+        connection.via,
     )
     for pool in pools:
         for each in pool.get_connections():
-            if each.way == connection.way:
+            if each.via == connection.via:
                 pool.close_idle(each)
-    return connection.way
+    return connection.via
--- a/beryltrack/relay/wire_format.py
+++ b/beryltrack/relay/wire_format.py
@@ -91,7 +91,7 @@
     ValueError
         If a direct connection belongs to another account.
     """
-    if not connection.way:
+    if not connection.via:
         if connection.account != account:
             raise ValueError(
                 "the statement and the connection belong to different accounts"
@@ -99,9 +99,11 @@
         return []
     counted = COUNTED if connection.is_counted else b"new"
     message = b"%s%s %s" % (ACCOUNT, account.encode(), counted)
-    if message == connection.terms or not (account or connection.terms):
+    if message == connection.account_message or not (
+        account or connection.account_message
+    ):
         return []
-    connection.terms = message
+    connection.account_message = message
     return [message]
 
 
@@ -112,7 +114,7 @@
     other end understands it.
     """
     demand, connection.demand = connection.demand, DEFAULT_DEMAND
-    takes_demands = connection.way and connection.incarnation
+    takes_demands = connection.via and connection.incarnation
     return format_demand(demand) if takes_demands else b""
 
 
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/course.py
@@ -91,7 +91,7 @@
                 reason,
                 found.unwrap().database,
                 self._attempts,
-                found.unwrap().connection.way,
+                found.unwrap().connection.via,
             )
             if self._is_passed_on:
                 continue
@@ -159,13 +159,13 @@
         """
         if isinstance(result, RunLost) or result.error is None:
             return False
-        way, context = target.connection.way, self._context
-        is_refused = result.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED and way
+        via, context = target.connection.via, self._context
+        is_refused = result.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED and via
         if not is_refused or self._sink.is_answered:
             return False
         if self._attempts >= MOST_ATTEMPTS:
             return False
-        return context.services.ways.observe_quota_refusal(context.caller.account, way)
+        return context.services.ways.observe_quota_refusal(context.caller.account, via)
 
     async def _run_on(self, target: FoundTarget) -> RunResult:
         """Run the unit on a connection."""
@@ -180,7 +180,7 @@
 
     def _note_refusal(self, target: FoundTarget, error: SqlError) -> None:
         """Keep when another instance says to come back, and whether it is full."""
-        if not (target.connection.way and error.retry_after):
+        if not (target.connection.via and error.retry_after):
             return
         self._refusal = error
         if error.sqlstate == TOO_MANY_CONNECTIONS:
@@ -328,7 +328,7 @@
             reason,
             target.database,
             self._attempts,
-            target.connection.way,
+            target.connection.via,
         )
 
     async def _wait_to_retry(self) -> bool:
--- a/beryltrack/requests/pinned.py
+++ b/beryltrack/requests/pinned.py
@@ -194,5 +194,5 @@
     count_request(context, TargetKind.REPLICA if is_replica else TargetKind.PRIMARY)
     step = RequestStep.SERVED if end.error is None else RequestStep.TARGET_ERROR
     reason = end.error.message if end.error is not None else ""
-    way = pinned.connection.way
-    record_step(context, step, reason, pinned.database, way=way)
+    via = pinned.connection.via
+    record_step(context, step, reason, pinned.database, way=via)
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -21,7 +21,7 @@
 class AccountWays(Protocol):
     """Which instances run the operations of accounts."""
 
-    def observe_quota_refusal(self, account: str, way: str) -> bool:
+    def observe_quota_refusal(self, account: str, via: str) -> bool:
         """Take in that one refused an operation as over the account's limit.
 
         Returns True if another one may run it.
@@ -34,7 +34,7 @@
 class NoWays:
     """Where there are no accounts all instances run all operations."""
 
-    def observe_quota_refusal(self, account: str, way: str) -> bool:
+    def observe_quota_refusal(self, account: str, via: str) -> bool:
         """Return False: no other instance may run what one refused."""
         return False
 
--- a/beryltrack_bench/experiments/overload.py
+++ b/beryltrack_bench/experiments/overload.py
@@ -32,7 +32,7 @@
 SMALL_LOAD = 0.3
 TRICKLE = 0.02
 UNEVEN = 1.3
-FIXED_SHARES = BudgetPolicy(loans=LoanPolicy(most_asked=0))
+FIXED_SHARES = BudgetPolicy(loans=LoanPolicy(max_asked_lenders=0))
 
 
 class RunResult(NamedTuple):
--- a/beryltrack_bench/overload/target.py
+++ b/beryltrack_bench/overload/target.py
@@ -157,7 +157,7 @@
         Where it leads to.
     """
 
-    way = ""
+    via = ""
 
     def __init__(self, database: SlotDatabase):
         self.broken = False
--- a/tests/connections/test_account_pool.py
+++ b/tests/connections/test_account_pool.py
@@ -17,8 +17,10 @@
 from beryltrack.connections.pool_policy import PoolPolicy
 from beryltrack.connections.room import FULL_TIME
 
-POLICY = PoolPolicy(warm=0, idle_timeout=5.0, open_patience=0.03, most_wait=1.0)
-KEEPING = POLICY._replace(idle_timeout=1.0, kept_part=0.5, kept_time=20.0)
+POLICY = PoolPolicy(warm=0, idle_timeout=5.0, open_delay=0.03, max_wait=1.0)
+KEEPING = POLICY._replace(
+    idle_timeout=1.0, retained_fraction=0.5, retained_idle_timeout=20.0
+)
 
 
 def make_pool(limit=2, policy=POLICY):
--- a/tests/connections/test_pool.py
+++ b/tests/connections/test_pool.py
@@ -90,7 +90,7 @@
 
 
 def test_a_failed_open_backs_off_and_refuses_meanwhile():
-    pool = make_pool(first_backoff=1.0, most_backoff=1.0)
+    pool = make_pool(first_backoff=1.0, max_backoff=1.0)
     assert pool.acquire(1, 9.0, 0.0) == [OpenConnection(1)]
     (refusal,) = pool.observe_open_failed(1, 0.0)
     assert refusal.refusal.reason is RefusalReason.UNREACHABLE
@@ -103,7 +103,7 @@
 
 
 def test_opens_that_fail_together_count_once():
-    pool = make_pool(limit=4, first_backoff=0.1, most_backoff=60.0)
+    pool = make_pool(limit=4, first_backoff=0.1, max_backoff=60.0)
     for number in range(1, 5):
         pool.acquire(number, 9.0, 0.0)
     for number in range(1, 5):
@@ -114,7 +114,7 @@
 
 
 def test_a_target_that_answers_elsewhere_ends_the_back_off():
-    pool = make_pool(first_backoff=9.0, most_backoff=9.0)
+    pool = make_pool(first_backoff=9.0, max_backoff=9.0)
     pool.acquire(1, 99.0, 0.0)
     pool.observe_open_failed(1, 0.0)
     assert pool.tick(1.0) == []
@@ -270,7 +270,7 @@
 
 
 def test_another_connection_is_opened_only_for_a_request_that_has_waited():
-    pool = make_pool(limit=2, open_patience=0.03)
+    pool = make_pool(limit=2, open_delay=0.03)
     pool.acquire(1, 10.0, 0.0)
     pool.observe_opened(1, 0.0)
     assert pool.acquire(2, 10.0, 1.0) == []
@@ -281,7 +281,7 @@
 
 
 def test_a_request_that_gets_a_connection_in_time_opens_none():
-    pool = make_pool(limit=2, open_patience=0.03)
+    pool = make_pool(limit=2, open_delay=0.03)
     pool.acquire(1, 10.0, 0.0)
     pool.observe_opened(1, 0.0)
     pool.acquire(2, 10.0, 1.0)
@@ -290,7 +290,7 @@
 
 
 def test_without_any_connection_one_is_opened_at_once():
-    pool = make_pool(limit=2, open_patience=0.03)
+    pool = make_pool(limit=2, open_delay=0.03)
     assert pool.acquire(1, 10.0, 0.0) == [OpenConnection(1)]
 
 
@@ -322,7 +322,7 @@
 
 
 def test_a_policy_that_changes_holds_for_the_next_request():
-    pool = make_pool(limit=2, open_patience=0.03)
+    pool = make_pool(limit=2, open_delay=0.03)
     pool.acquire(1, 10.0, 0.0)
     pool.observe_opened(1, 0.0)
     assert pool.acquire(2, 10.0, 1.0) == []
@@ -351,7 +351,7 @@
 
 def test_a_slow_open_is_no_full_queue():
     """Nobody waits, nothing is lent: one is opened, however long that takes."""
-    pool = PoolDecider(PoolPolicy(warm=0, most_wait=0.25), 9, random.Random(1))
+    pool = PoolDecider(PoolPolicy(warm=0, max_wait=0.25), 9, random.Random(1))
     for number, now in ((1, 0.0), (2, 10.0)):
         assert pool.acquire(number, now + 9.0, now) == [OpenConnection(number)]
         pool.observe_opened(number, now + 1.0)
--- a/tests/connections/test_resting.py
+++ b/tests/connections/test_resting.py
@@ -11,7 +11,9 @@
 from beryltrack.connections.service_estimate import ServiceEstimate
 from beryltrack.connections.stock import ConnectionStock
 
-POLICY = PoolPolicy(warm=0, idle_timeout=1.0, kept_part=0.5, kept_time=20.0)
+POLICY = PoolPolicy(
+    warm=0, idle_timeout=1.0, retained_fraction=0.5, retained_idle_timeout=20.0
+)
 
 
 def make_resting(*accounts, hold=0.02):
@@ -72,7 +74,7 @@
 def test_without_a_part_that_is_kept_the_one_that_rested_longest_goes_first():
     resting = make_resting("seldom", "often", "seldom")
     ask(resting.rates, "seldom", 2.0)
-    assert resting.rank(POLICY._replace(kept_part=0.0), 10.0) == [1, 2, 3]
+    assert resting.rank(POLICY._replace(retained_fraction=0.0), 10.0) == [1, 2, 3]
 
 
 def count_opened(policy, seed=3):
@@ -98,5 +100,5 @@
 
 
 def test_fewer_connections_are_opened_than_by_the_time_of_rest():
-    standing = POLICY._replace(kept_part=0.0)
+    standing = POLICY._replace(retained_fraction=0.0)
     assert count_opened(POLICY) < 0.8 * count_opened(standing)
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -91,7 +91,7 @@
     assert set(site.pool.ways) == {"front-1", "front-2"}
     # Where no other reaches it either, an attempt of its own is the quickest answer.
     assert site.pool.limit == 9
-    assert site.pool.is_stale(SimpleNamespace(way=""))
+    assert site.pool.is_stale(SimpleNamespace(via=""))
     assert site.connections.get_lender("orders", "a") is None
 
 
--- a/tests/daemon/test_node_policies.py
+++ b/tests/daemon/test_node_policies.py
@@ -29,7 +29,7 @@
 def test_switches_add_up():
     both = {Mechanism.LONG_QUEUE, Mechanism.DEADLINE_ORDER}
     pools = make_policies(True, frozenset(both)).pools
-    assert pools.most_wait < options.POOLS.most_wait and not pools.by_deadline
+    assert pools.max_wait < options.POOLS.max_wait and not pools.by_deadline
 
 
 def test_without_early_refusals_owners_refuse_none_early_either():
--- a/tests/groups/test_control_calls.py
+++ b/tests/groups/test_control_calls.py
@@ -17,7 +17,7 @@
 class Connection:
     """Answers at once unless it is silent."""
 
-    way = ""
+    via = ""
 
     def __init__(self, clock, is_silent=False):
         self.clock, self.is_silent = clock, is_silent
@@ -53,8 +53,8 @@
         self.free = connection
         self.returned = []
 
-    def acquire_briefly(self, patience, open_patience):
-        self.patience = patience
+    def acquire_briefly(self, wait_limit, open_limit):
+        self.wait_limit = wait_limit
         taken, self.free = self.free, None
         return succeed(taken)
 
@@ -102,7 +102,7 @@
     assert site.call().result.end is END
     assert len(site.opened) == 1 and site.opened[0].requests == 2
     # With a dedicated connection it does not wait for the pool.
-    assert site.pool.patience == 0.0
+    assert site.pool.wait_limit == 0.0
 
 
 def test_an_unused_dedicated_connection_is_closed():
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -243,7 +243,7 @@
 
 def test_a_connection_is_brought_to_the_session(session):
     connection = SimpleNamespace(
-        values={}, prepared={}, numbers=iter(range(1, 9)), way="", account=""
+        values={}, prepared={}, numbers=iter(range(1, 9)), via="", account=""
     )
     session.send("QUERY 1 SET a b", "QUERY 2 PREPARE s READ q")
     setups = make_setups(connection, session, b"QUERY 3 EXECUTE s x")
@@ -259,11 +259,11 @@
 
     values: dict = {}
     prepared: dict = {}
-    account, terms, is_counted = "", b"", False
+    account, account_message, is_counted = "", b"", False
     demand, incarnation = DEFAULT_DEMAND, 0
 
-    def __init__(self, way=""):
-        self.limits, self.way = [], way
+    def __init__(self, via=""):
+        self.limits, self.via = [], via
 
     def run(self, wire, sink, setups, limit):
         self.limits.append(limit)
--- a/tests/platform/test_group.py
+++ b/tests/platform/test_group.py
@@ -169,7 +169,7 @@
         reactor.callLater(0.25, take, data)
 
     first.dataReceived = answer_late
-    site.calls._connections["db-1"].way = "owner"
+    site.calls._connections["db-1"].via = "owner"
     assert site.call("get_status").unwrap().role == PRIMARY
     assert len(site.database.sessions) == 1 and site.silent == []
 
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -131,7 +131,7 @@
         async def go():
             session = await self.connect(endpoint)
             told = []
-            session.way, session.demand = "owner", demand
+            session.via, session.demand = "owner", demand
             session.on_report = lambda report, since: told.append(report)
             running = run_statement(
                 session, KeptState(), unit, None, "", CollectingSink()
--- a/tests/platform/test_target.py
+++ b/tests/platform/test_target.py
@@ -151,7 +151,9 @@
         target = await connect_line_target(
             reactor, database.endpoint, "group", "db-1", 2.0, LIMITS
         )
-        target.on_useless = lambda has_left: told.append((target.broken, has_left))
+        target.on_target_unreachable = lambda has_left: told.append(
+            (target.broken, has_left)
+        )
         end = await target.run(b"QUERY 1 READ a\r\n", Sink())
         return end.error.sqlstate, target.broken
 
--- a/tests/relay/test_access.py
+++ b/tests/relay/test_access.py
@@ -45,7 +45,7 @@
             self.refunds.append,
             observe_quota_refusal=self.observe_quota_refusal,
             counts_here=lambda account: account in self.owned,
-            admit_ingress=lambda way, demand: self.ingress_waits.get(way, 0.0),
+            admit_ingress=lambda via, demand: self.ingress_waits.get(via, 0.0),
             seconds=self.clock.seconds,
             may_retry=lambda: self.has_budget,
             make_gate=self.make_gate,
@@ -69,18 +69,18 @@
         self.access.set_capacity(SharedCapacity(slots=1, owners=1, connections=1))
 
     def set_way(self, connection, name):
-        connection.way = name
+        connection.via = name
         return connection
 
     def admit(self, account):
         self.counted.append(account)
         return self.waits.get(account, 0.0)
 
-    def observe_quota_refusal(self, account, way):
+    def observe_quota_refusal(self, account, via):
         """Send the account's operations to another owner if one is set."""
         if account not in self.next_owners:
             return False
-        self.quota_refusals.append((account, way))
+        self.quota_refusals.append((account, via))
         self.owned.discard(account)
         self.paths[account] = self.next_owners.pop(account)
         return True
@@ -123,7 +123,7 @@
     site.waits["own"] = 0.4
     site.next_owners["own"] = "two"
     given = site.acquire("own")
-    assert given.way == "two" and not given.is_counted
+    assert given.via == "two" and not given.is_counted
     # The operation is counted only where it runs.
     site.access.release(given, True, False)
     assert site.refunds == []
@@ -153,7 +153,7 @@
     waiting = site.access.acquire(10.0, Demand(account="a"))
     site.paths["a"] = "three"
     site.targets["two"].pending[0].errback(ConnectRefused(CANNOT_CONNECT_NOW))
-    assert get_result(waiting).way == "three"
+    assert get_result(waiting).via == "three"
 
 
 def test_a_second_attempt_is_sent_the_time_left_after_the_first(site):
@@ -197,13 +197,13 @@
     site.paths["own"], site.owned = "three", {"own"}
     site.waits["own"] = 0.3
     site.next_owners["own"] = "two"
-    assert site.acquire("own").way == "two"
+    assert site.acquire("own").via == "two"
     assert site.quota_refusals == [("own", "")]
 
 
 def test_short_requests_of_the_proxy_use_the_path_of_no_account(site):
     given = get_result(site.access.acquire_briefly(0.1, 0.1).addCallback(lambda c: c))
-    assert given is None or given.way == "two"
+    assert given is None or given.via == "two"
     site.paths[""] = ""
     held = site.acquire("own")
     site.access.release(held, True)
@@ -257,7 +257,7 @@
     site.paths["own"] = "three"
     site.ingress_waits["three"] = 0.4
     passed = get_result(site.access.lend(10.0, Demand(account="own"), False))
-    assert passed.way == "three"
+    assert passed.via == "three"
 
 
 def test_an_owner_is_sent_the_time_left_after_the_wait_for_a_session(site):
@@ -287,7 +287,7 @@
     """The operation has not run, and no owner is asked twice."""
     site.has_budget = False
     site.waits["own"], site.next_owners["own"] = 0.3, "two"
-    assert site.acquire("own").way == "two"
+    assert site.acquire("own").via == "two"
 
 
 def test_without_owners_only_connections_limit_concurrency(site):
@@ -326,7 +326,7 @@
     site.paths["a"] = "two"
     site.limit_to_one()
     site.acquire("own")
-    assert site.acquire("a").way == "two"
+    assert site.acquire("a").via == "two"
 
 
 def test_short_requests_of_the_proxy_bypass_the_gate(site):
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -138,11 +138,11 @@
     def get_lender(self, group, database):
         return Lender(self.pool, self.task) if self.pool is not None else None
 
-    def give(self, name="c1", way=""):
+    def give(self, name="c1", via=""):
         """Lend a connection to the last session that asked."""
         closed = []
         connection = SimpleNamespace(
-            name=name, way=way, close=lambda: closed.append(name)
+            name=name, via=via, close=lambda: closed.append(name)
         )
         connection.closings = closed
         self.pool.asked[-1].callback(connection)
--- a/tests/relay/test_opener.py
+++ b/tests/relay/test_opener.py
@@ -50,7 +50,7 @@
             return fail(error)
         return succeed(
             SimpleNamespace(
-                way="", end_session=lambda: None, incarnation=self.incarnation
+                via="", end_session=lambda: None, incarnation=self.incarnation
             )
         )
 
@@ -69,32 +69,32 @@
 
 def test_a_database_that_is_reached_is_opened_directly():
     site = Site()
-    assert site.open().way == "" and site.tried == ["10.0.0.9"]
+    assert site.open().via == "" and site.tried == ["10.0.0.9"]
 
 
 def test_an_unreachable_database_is_opened_through_another_instance_at_once():
     site = cut_off()
     connection = site.open()
-    assert connection.way in OTHERS
-    assert site.tried == ["10.0.0.9", connection.way]
+    assert connection.via in OTHERS
+    assert site.tried == ["10.0.0.9", connection.via]
     # The next connection does not try the direct path first.
-    assert site.open().way == connection.way and len(site.tried) == 1
+    assert site.open().via == connection.via and len(site.tried) == 1
 
 
 def test_instances_that_do_not_reach_it_either_are_skipped():
     site = cut_off()
-    first = site.open().way
+    first = site.open().via
     site.answers[first] = ConnectRefused("57P03")
-    second = site.open().way
+    second = site.open().via
     assert second not in ("", first) and site.tried == [first, second]
-    assert site.open().way == second
+    assert site.open().via == second
 
 
 def test_an_instance_that_stops_reaching_it_is_skipped():
     site = cut_off()
     first = site.open()
-    first.on_useless(False)
-    assert site.open().way not in ("", first.way)
+    first.on_target_unreachable(False)
+    assert site.open().via not in ("", first.via)
 
 
 def test_a_database_that_no_instance_reaches_fails_after_one_round():
@@ -120,14 +120,14 @@
     site.answers.clear()
     site.clock.advance(DIRECT_RETRY_INTERVAL)
     assert not site.directory.is_unreachable("db-1") and len(site.changes) == 2
-    assert site.open().way == ""
+    assert site.open().via == ""
 
 
 def test_an_instance_that_does_not_answer_is_avoided():
     site = cut_off()
-    first = site.open().way
+    first = site.open().via
     site.answers[first] = TargetUnreachable("nothing came back")
-    assert site.open().way not in ("", first)
+    assert site.open().via not in ("", first)
 
 
 REPORT = DatabaseReport(4, 4, (0.5,), 0.01, 7)
@@ -137,7 +137,7 @@
     site = cut_off()
     connection = site.open()
     connection.on_report(TimedReport(REPORT, 3.0), site.clock.seconds())
-    assert site.owner_loads.get_wait(connection.way, "db-1", 0) == 0.5
+    assert site.owner_loads.get_wait(connection.via, "db-1", 0) == 0.5
 
 
 def test_a_session_to_a_later_process_voids_earlier_reports():
@@ -145,8 +145,8 @@
     connection = site.open()
     connection.on_report(TimedReport(REPORT, 3.0), site.clock.seconds())
     site.incarnation = 8
-    assert site.open().way == connection.way
-    assert site.owner_loads.get_wait(connection.way, "db-1", 0) == 0.0
+    assert site.open().via == connection.via
+    assert site.owner_loads.get_wait(connection.via, "db-1", 0) == 0.0
 
 
 def test_an_owner_that_does_not_reach_one_database_is_not_avoided():
--- a/tests/relay/test_ways.py
+++ b/tests/relay/test_ways.py
@@ -8,8 +8,12 @@
 class Connection:
     """A connection through an owner."""
 
-    def __init__(self, way, run_since=None, heard_at=0.0):
-        self.way, self.run_since, self.heard_at = way, run_since, heard_at
+    def __init__(self, via, run_since=None, last_received_at=0.0):
+        self.via, self.run_since, self.last_received_at = (
+            via,
+            run_since,
+            last_received_at,
+        )
         self.closed = False
 
     def close(self):
@@ -33,7 +37,7 @@
 
 
 def test_an_owner_that_answered_on_another_connection_is_kept():
-    late, idle = Connection("n1", 5.0), Connection("n1", heard_at=5.1)
+    late, idle = Connection("n1", 5.0), Connection("n1", last_received_at=5.1)
     assert close_overdue(late, [make_pool(late, idle)]) == ""
     assert late.closed and not idle.closed
 
@@ -48,7 +52,9 @@
     direct, late = Connection("", 5.0), Connection("n1", 5.0)
     assert not is_silent(direct, [make_pool(direct)])
     assert is_silent(late, [make_pool(late)])
-    assert not is_silent(late, [make_pool(late, Connection("n1", heard_at=5.1))])
+    assert not is_silent(
+        late, [make_pool(late, Connection("n1", last_received_at=5.1))]
+    )
 
 
 def test_an_owner_that_has_answered_elsewhere_is_kept():
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -68,9 +68,9 @@
 
 
 def test_a_demand_is_sent_once_and_only_to_instances_that_understand_it():
-    def take(way, incarnation):
+    def take(via, incarnation):
         connection = SimpleNamespace(
-            demand=Demand(1, 0.25, 0.8), way=way, incarnation=incarnation
+            demand=Demand(1, 0.25, 0.8), via=via, incarnation=incarnation
         )
         return take_demand_prefix(connection), take_demand_prefix(connection)
 
--- a/tests/requests/scripted.py
+++ b/tests/requests/scripted.py
@@ -40,7 +40,7 @@
 class ScriptedConnection:
     """Answers each run with the next entry of its script."""
 
-    way = ""
+    via = ""
 
     def __init__(self, *script):
         self.script = list(script)
--- a/tests/requests/test_course.py
+++ b/tests/requests/test_course.py
@@ -78,14 +78,14 @@
     return make_end()._replace(error=error)
 
 
-def run_through(monkeypatch, way, is_replica, *ends):
+def run_through(monkeypatch, via, is_replica, *ends):
     """Run a read on databases that refuse it; return what was sent and the attempts."""
     left, excluded = list(ends), []
 
     async def find_target(search, request):
         excluded.append(request.excluded)
         connection = ScriptedConnection(left.pop(0))
-        connection.way = way
+        connection.via = via
         name = f"main-{len(excluded)}"
         return Success(FoundTarget(name, is_replica, FakePool(), connection))
 
@@ -147,7 +147,7 @@
 
     async def find_target(search, request):
         connection = connections.pop(0)
-        connection.way = "owner"
+        connection.via = "owner"
         return Success(FoundTarget("main-1", True, FakePool(), connection, after))
 
     monkeypatch.setattr(course, "find_target", find_target)
--- a/tests/requests/test_passed_on.py
+++ b/tests/requests/test_passed_on.py
@@ -17,16 +17,16 @@
 )
 
 
-def make_connection(way, *script):
+def make_connection(via, *script):
     connection = ScriptedConnection(*script)
-    connection.way = way
+    connection.via = via
     return connection
 
 
-def refuse(way):
-    text = f"refused by {way}".encode()
+def refuse(via):
+    text = f"refused by {via}".encode()
     end = make_end(sqlstate=CONFIGURATION_LIMIT_EXCEEDED, tail=text)
-    return make_connection(way, end)
+    return make_connection(via, end)
 
 
 class Site:
@@ -46,8 +46,8 @@
         monkeypatch.setattr(course.RequestCourse, "_make_request", lambda self: None)
         monkeypatch.setattr(course.RequestCourse, "_wait_to_retry", wait_to_retry)
 
-    def observe_quota_refusal(self, account, way):
-        self.asked.append(way)
+    def observe_quota_refusal(self, account, via):
+        self.asked.append(via)
         self.left -= 1
         return self.left >= 0
 
--- a/tests/requests/test_runtime.py
+++ b/tests/requests/test_runtime.py
@@ -44,7 +44,7 @@
 
 def test_a_database_that_came_back_is_tried_at_once_but_not_again_and_again():
     clock, target, task = Clock(), FakeTarget(), StubTask()
-    policy = PoolPolicy(first_backoff=60.0, most_backoff=60.0)
+    policy = PoolPolicy(first_backoff=60.0, max_backoff=60.0)
     rng = random.Random(1)
     pool = PoolTask(clock, DATABASE, target.connect, policy, rng=rng)
     GroupRuntime(clock, GROUP, task, {"d": pool})
