--- a/beryltrack/peers/actions.py
+++ b/beryltrack/peers/actions.py
@@ -45,10 +45,10 @@
     reason: str
 
 
-class ItemChanged(NamedTuple):
+class NotifySubscribers(NamedTuple):
     """Tell subscribers of an item that is new here."""
 
     item: GossipItem
 
 
-Action = SendMessage | OpenLink | CloseLink | ItemChanged
+Action = SendMessage | OpenLink | CloseLink | NotifySubscribers
--- a/beryltrack/peers/decider.py
+++ b/beryltrack/peers/decider.py
@@ -15,11 +15,11 @@
 from beryltrack.peers.actions import (
     Action,
     CloseLink,
-    ItemChanged,
+    NotifySubscribers,
     SendMessage,
 )
 from beryltrack.peers.gossip_store import GossipStore, is_about_member
-from beryltrack.peers.links import LinkPlanner
+from beryltrack.peers.link_planner import LinkPlanner
 from beryltrack.peers.membership import (
     ListedInstance,
     MembershipDecider,
@@ -50,7 +50,7 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_PERIOD = 1.0
-SILENCE_LIMIT = 3.2
+SILENCE_TIMEOUT = 3.2
 PAUSE_LIMIT = 2.5
 CONNECT_FAILURES_TO_SUSPECT = 2
 MAX_FORWARDED_SYNC_ITEMS = 64
@@ -69,7 +69,7 @@
 
     def __init__(self, opened_here: bool, now: float):
         self.opened_here = opened_here
-        self.heard_at = now
+        self.last_received_at = now
 
 
 class PeerDecider:
@@ -136,7 +136,7 @@
 
     def publish(self, item: GossipItem) -> list[Action]:
         """Take an item of this proxy's own, to be told to everybody."""
-        return self._learn((item,), "", forward=True, now=self._ticked_at)
+        return self._merge_items((item,), "", forward=True, now=self._ticked_at)
 
     def flush(self, blocked: Container[str] = ()) -> list[Action]:
         """Return the messages that carry all pending items.
@@ -153,7 +153,9 @@
         """
         return list(self._pushes.flush(blocked))
 
-    def open_link(self, peer: str, opened_here: bool, now: float) -> list[Action]:
+    def handle_link_opened(
+        self, peer: str, opened_here: bool, now: float
+    ) -> list[Action]:
         """Take a control link that is open; it replaces an earlier one."""
         self._opening.discard(peer)
         self._planner.record_success(peer)
@@ -174,13 +176,13 @@
             return []
         # Others may reach a peer that this proxy does not: it is not suspected
         # again and again.
-        if self._membership.has_refuted_lately(peer, now):
+        if self._membership.has_refuted_recently(peer, now):
             return []
         return self._suspect(peer, "cannot be connected to", now)
 
-    def close_link(self, peer: str, orderly: bool, now: float) -> list[Action]:
+    def handle_link_closed(self, peer: str, orderly: bool, now: float) -> list[Action]:
         """Note that a control link has closed; suspect the peer if it broke."""
-        self._sync.forget_peer(peer)
+        self._sync.drop_peer(peer)
         self._pushes.drop_link(peer)
         if self._links.pop(peer, None) is None or orderly:
             return []
@@ -191,16 +193,16 @@
         link = self._links.get(peer)
         if link is None:
             return []
-        link.heard_at = now
+        link.last_received_at = now
         match message:
             case Heartbeat(digest):
                 replies = self._sync.compare_digest(peer, digest, link.opened_here, now)
             case Items(items):
-                return self._learn(items, peer, forward=True, now=now)
+                return self._merge_items(items, peer, forward=True, now=now)
             case SyncItems(items):
-                forward = self._is_worth_forwarding(items, now)
-                actions = self._learn(items, peer, forward, now)
-                self._sync.record_result(bool(actions))
+                forward = self._should_forward(items, now)
+                actions = self._merge_items(items, peer, forward, now)
+                self._sync.record_comparison(bool(actions))
                 return actions
             case SyncDigests(digests):
                 replies = self._sync.answer_digests(peer, digests, now)
@@ -221,10 +223,10 @@
         self._ticked_at = now
         return [
             *self._send_heartbeats(),
-            *self._drop_silent(now),
-            *self._review_members(now),
-            *self._close_unwanted(now),
-            *self._open_wanted(now),
+            *self._close_silent_links(now),
+            *self._expire_members(now),
+            *self._close_unwanted_links(now),
+            *self._open_missing_links(now),
         ]
 
     def observe_instances(
@@ -232,7 +234,7 @@
     ) -> list[Action]:
         """Take the platform's instance list."""
         leaving = self._membership.observe_instances(instances, now)
-        return [*self._announce_all(leaving), *self._open_wanted(now)]
+        return [*self._announce_all(leaving), *self._open_missing_links(now)]
 
     def leave(self) -> list[Action]:
         """Tell the others that this proxy is leaving."""
@@ -242,29 +244,29 @@
         """Tell the others that this proxy has left."""
         return self._announce(self._membership.finish(), "")
 
-    def _learn(
+    def _merge_items(
         self, items: Iterable[GossipItem], source: str, forward: bool, now: float
     ) -> list[Action]:
         """Take items, and push those that are new to the other links."""
         news = [
-            (item, answers)
-            for item, accepted, answers in (
-                (item, *self._take(item, source, now)) for item in items
+            (item, refutations)
+            for item, accepted, refutations in (
+                (item, *self._merge_item(item, source, now)) for item in items
             )
-            if accepted or answers
+            if accepted or refutations
         ]
-        taken = [item for item, answers in news if not answers]
+        taken = [item for item, refutations in news if not refutations]
         if forward:
             self._pushes.push(taken, source)
-        replies = chain.from_iterable(answers for _, answers in news)
+        replies = chain.from_iterable(refutations for _, refutations in news)
         changed = any(item.kind == MEMBER_KIND for item in taken)
         return [
-            *map(ItemChanged, taken),
+            *map(NotifySubscribers, taken),
             *self._announce_all(tuple(replies)),
-            *(self._open_wanted(now) if changed and self._lacks_links() else ()),
+            *(self._open_missing_links(now) if changed and self._lacks_links() else ()),
         ]
 
-    def _take(
+    def _merge_item(
         self, item: GossipItem, source: str, now: float
     ) -> tuple[bool, tuple[Member, ...]]:
         """Take one item; return whether it is new, and what to answer."""
@@ -277,7 +279,7 @@
             return False, ()
         observation = self._membership.observe_member(member, now)
         if observation.accepted:
-            self._keep_member(item, member)
+            self._store_member(item, member)
         return observation
 
     def _is_present(self, name: str) -> bool:
@@ -285,14 +287,14 @@
         member = self._membership.get_member(name)
         return member is not None and member.state in PRESENT_STATES
 
-    def _keep_member(self, item: GossipItem, member: Member) -> bool:
+    def _store_member(self, item: GossipItem, member: Member) -> bool:
         """Keep a member's state; what else is known of one that went is dropped."""
         gone = member.state in GONE_STATES
         if gone:
             self._store.remove_member(member.name)
-        return self._store.accept(item, counted=not gone)
+        return self._store.accept(item, in_digest=not gone)
 
-    def _is_worth_forwarding(self, items: tuple[GossipItem, ...], now: float) -> bool:
+    def _should_forward(self, items: tuple[GossipItem, ...], now: float) -> bool:
         """Return whether items that a comparison brought may be news to others.
 
         What a young proxy learns is old to all others, except where many
@@ -300,7 +302,7 @@
         """
         few = len(items) <= MAX_FORWARDED_SYNC_ITEMS
         about_members = all(is_about_member(item.kind) for item in items)
-        return few and (about_members or not self._sync.is_young(now))
+        return few and (about_members or not self._sync.is_warming_up(now))
 
     def _suspect(self, peer: str, cause: str, now: float) -> list[Action]:
         """Suspect a peer and tell the others, if that is news."""
@@ -312,10 +314,10 @@
     def _announce(self, member: Member, source: str) -> list[Action]:
         """Keep and push a member's state that was decided here."""
         item = make_member_item(member)
-        if not self._keep_member(item, member):
+        if not self._store_member(item, member):
             return []
         self._pushes.push([item], source)
-        return [ItemChanged(item)]
+        return [NotifySubscribers(item)]
 
     def _announce_all(self, members: Iterable[Member]) -> list[Action]:
         """Announce several members."""
@@ -328,44 +330,44 @@
         log.warning("peers: paused for %.1f s", now - self._ticked_at)
         self._membership.restart_suspicions(now)
         for link in self._links.values():
-            link.heard_at = now
+            link.last_received_at = now
 
     def _send_heartbeats(self) -> list[Action]:
         """Return a heartbeat for each link."""
         heartbeat = Heartbeat(self._store.digest)
         return [SendMessage(peer, heartbeat) for peer in self._links]
 
-    def _drop_silent(self, now: float) -> list[Action]:
+    def _close_silent_links(self, now: float) -> list[Action]:
         """Close links that have been silent too long, and suspect their peers."""
         silent = [
             peer
             for peer, link in self._links.items()
-            if now - link.heard_at > SILENCE_LIMIT
+            if now - link.last_received_at > SILENCE_TIMEOUT
         ]
-        self._forget_links(silent)
+        self._drop_links(silent)
         suspicions = (self._suspect(peer, "is silent", now) for peer in silent)
         closing = [CloseLink(peer, "no heartbeat") for peer in silent]
         return [*closing, *chain.from_iterable(suspicions)]
 
-    def _review_members(self, now: float) -> list[Action]:
+    def _expire_members(self, now: float) -> list[Action]:
         """Announce members that have died, and forget those gone long ago."""
-        review = self._membership.review(now)
-        for name in review.forgotten:
+        changes = self._membership.handle_timeouts(now)
+        for name in changes.expired:
             self._store.remove_member(name)
-        return self._announce_all(review.changed)
+        return self._announce_all(changes.changed)
 
-    def _close_unwanted(self, now: float) -> list[Action]:
+    def _close_unwanted_links(self, now: float) -> list[Action]:
         """Return the closing of links that are not wanted any more."""
         opened_here = [peer for peer, link in self._links.items() if link.opened_here]
         unwanted = self._planner.plan_closing(self.members, opened_here, now)
-        self._forget_links(unwanted)
+        self._drop_links(unwanted)
         return [CloseLink(peer, "not wanted") for peer in unwanted]
 
-    def _forget_links(self, peers: Iterable[str]) -> None:
+    def _drop_links(self, peers: Iterable[str]) -> None:
         """Drop the state of links that are being closed here."""
         for peer in peers:
             del self._links[peer]
-            self._sync.forget_peer(peer)
+            self._sync.drop_peer(peer)
             self._pushes.drop_link(peer)
 
     def _lacks_links(self) -> bool:
@@ -377,7 +379,7 @@
         opened_here = sum(link.opened_here for link in self._links.values())
         return opened_here < RING_COUNT
 
-    def _open_wanted(self, now: float) -> list[Action]:
+    def _open_missing_links(self, now: float) -> list[Action]:
         """Return the opening of links that are missing."""
         if self.own.state in GONE_STATES or not self.own.port:
             return []
--- a/beryltrack/peers/forward_entry.py
+++ b/beryltrack/peers/forward_client.py
@@ -25,14 +25,14 @@
     SendForward,
 )
 
-CREDIT_WINDOW = 256 * 1024
+CREDIT_WINDOW_BYTES = 256 * 1024
 MAX_STREAMS_PER_PEER = 1024
-MAX_WAITING = 1024
+MAX_WAITING_REQUESTS = 1024
 
-OUTCOMES = frozenset(ForwardOutcome)
+KNOWN_OUTCOMES = frozenset(ForwardOutcome)
 
 
-class _Waiting(NamedTuple):
+class _WaitingRequest(NamedTuple):
     """A request that no link has taken yet.
 
     Parameters
@@ -53,7 +53,7 @@
     request: bytes
 
 
-class _Sent:
+class _SentRequest:
     """A request that was handed to a link.
 
     Parameters
@@ -64,19 +64,19 @@
 
     def __init__(self, peer: str):
         self.peer = peer
-        self.credit = CREDIT_WINDOW
-        self.taken = 0
+        self.credit = CREDIT_WINDOW_BYTES
+        self.consumed = 0
 
 
-class ForwardDecider:
+class ForwardClient:
     """The requests that this proxy has passed on."""
 
     def __init__(self):
         self._numbers = count(1)
-        self._waiting: dict[int, _Waiting] = {}
-        self._sent: dict[int, _Sent] = {}
-        self._open: set[str] = set()
-        self._opening: set[str] = set()
+        self._waiting: dict[int, _WaitingRequest] = {}
+        self._sent: dict[int, _SentRequest] = {}
+        self._open_links: set[str] = set()
+        self._opening_links: set[str] = set()
         self._blocked: set[str] = set()
 
     @property
@@ -115,39 +115,39 @@
             What to do; with a refusal among it if the request cannot be sent.
         """
         stream = next(self._numbers)
-        waiting = _Waiting(owners, group, deadline, request)
-        if len(self._waiting) >= MAX_WAITING:
+        waiting = _WaitingRequest(owners, group, deadline, request)
+        if len(self._waiting) >= MAX_WAITING_REQUESTS:
             return stream, [_refuse(stream, "too many requests wait for owners")]
-        return stream, self._place(stream, waiting, now)
+        return stream, self._dispatch(stream, waiting, now)
 
-    def open_link(self, peer: str, now: float) -> list[ForwardAction]:
+    def handle_link_opened(self, peer: str, now: float) -> list[ForwardAction]:
         """Note that a link is open, and send what waits for it.
 
         A link that replaces another one ends the streams of that one.
         """
-        actions = self._end_sent(peer, "the link to the owner was replaced")
-        self._opening.discard(peer)
-        self._open.add(peer)
+        actions = self._end_sent_requests(peer, "the link to the owner was replaced")
+        self._opening_links.discard(peer)
+        self._open_links.add(peer)
         self._blocked.discard(peer)
-        return [*actions, *self._place_again(peer, now)]
+        return [*actions, *self._dispatch_waiting(peer, now)]
 
     def handle_connect_failure(self, peer: str, now: float) -> list[ForwardAction]:
         """Note that a link could not be opened; others are tried."""
-        self._opening.discard(peer)
-        waiting = self._get_waiting(peer)
+        self._opening_links.discard(peer)
+        waiting = self._list_waiting(peer)
         for stream, entry in waiting:
             self._waiting[stream] = entry._replace(owners=entry.owners[1:])
         return [
             action
             for stream, entry in waiting
-            for action in self._place(stream, self._waiting.pop(stream), now)
+            for action in self._dispatch(stream, self._waiting.pop(stream), now)
         ]
 
     def handle_link_closed(self, peer: str) -> list[ForwardAction]:
         """Note that a link has closed; what was sent over it may have run."""
-        self._open.discard(peer)
+        self._open_links.discard(peer)
         self._blocked.discard(peer)
-        return self._end_sent(peer, "the link to the owner was lost")
+        return self._end_sent_requests(peer, "the link to the owner was lost")
 
     def set_blocked(self, peer: str, is_blocked: bool) -> None:
         """Note whether a link takes messages; if not, it gets no request."""
@@ -156,9 +156,9 @@
         else:
             self._blocked.discard(peer)
 
-    def observe_gone(self, peer: str) -> list[ForwardAction]:
+    def handle_dead_peer(self, peer: str) -> list[ForwardAction]:
         """Break the link to a peer that is dead by the word of others."""
-        if peer not in self._open:
+        if peer not in self._open_links:
             return []
         return [BreakForwardLink(peer, "the owner is dead")]
 
@@ -176,7 +176,7 @@
             case ForwardEnd(stream, outcome, reason, trailer):
                 del self._sent[stream]
                 # A newer owner's word that is not known here proves nothing.
-                known = outcome in OUTCOMES
+                known = outcome in KNOWN_OUTCOMES
                 meaning = ForwardOutcome(outcome if known else ForwardOutcome.UNKNOWN)
                 return [FinishStream(stream, ForwardResult(meaning, reason, trailer))]
         return []
@@ -186,10 +186,10 @@
         sent = self._sent.get(stream)
         if sent is None:
             return []
-        sent.taken += size
-        if sent.taken < CREDIT_WINDOW // 2:
+        sent.consumed += size
+        if sent.consumed < CREDIT_WINDOW_BYTES // 2:
             return []
-        credit, sent.taken = sent.taken, 0
+        credit, sent.consumed = sent.consumed, 0
         sent.credit += credit
         return [SendForward(sent.peer, ForwardCredit(stream, credit))]
 
@@ -207,47 +207,49 @@
             del self._waiting[stream]
         return [_refuse(stream, "no owner took it in time") for stream in late]
 
-    def _place(self, stream: int, entry: _Waiting, now: float) -> list[ForwardAction]:
+    def _dispatch(
+        self, stream: int, entry: _WaitingRequest, now: float
+    ) -> list[ForwardAction]:
         """Send a request, or have a link opened for it, or refuse it."""
         if now >= entry.deadline:
             return [_refuse(stream, "no owner took it in time")]
-        usable = [owner for owner in entry.owners if self._can_take(owner)]
-        linked = [owner for owner in usable if owner in self._open]
+        usable = [owner for owner in entry.owners if self._has_capacity(owner)]
+        linked = [owner for owner in usable if owner in self._open_links]
         if linked:
             return [self._send(stream, linked[0], entry, now)]
         if not usable:
             return [_refuse(stream, "no owner of the group can be reached")]
         self._waiting[stream] = entry._replace(owners=tuple(usable))
-        if usable[0] in self._opening:
+        if usable[0] in self._opening_links:
             return []
-        self._opening.add(usable[0])
+        self._opening_links.add(usable[0])
         return [OpenForwardLink(usable[0])]
 
-    def _can_take(self, peer: str) -> bool:
+    def _has_capacity(self, peer: str) -> bool:
         """Return whether a peer may get one more stream."""
         streams = sum(sent.peer == peer for sent in self._sent.values())
         return peer not in self._blocked and streams < MAX_STREAMS_PER_PEER
 
     def _send(
-        self, stream: int, peer: str, entry: _Waiting, now: float
+        self, stream: int, peer: str, entry: _WaitingRequest, now: float
     ) -> ForwardAction:
         """Return the action that hands a request to a link."""
-        self._sent[stream] = _Sent(peer)
+        self._sent[stream] = _SentRequest(peer)
         timeout = entry.deadline - now
         message = ForwardOpen(
-            stream, entry.group, timeout, CREDIT_WINDOW, entry.request
+            stream, entry.group, timeout, CREDIT_WINDOW_BYTES, entry.request
         )
         return SendForward(peer, message)
 
-    def _place_again(self, peer: str, now: float) -> list[ForwardAction]:
+    def _dispatch_waiting(self, peer: str, now: float) -> list[ForwardAction]:
         """Place the requests that wait for a peer."""
         return [
             action
-            for stream, entry in self._get_waiting(peer)
-            for action in self._place(stream, self._waiting.pop(stream), now)
+            for stream, entry in self._list_waiting(peer)
+            for action in self._dispatch(stream, self._waiting.pop(stream), now)
         ]
 
-    def _get_waiting(self, peer: str) -> list[tuple[int, _Waiting]]:
+    def _list_waiting(self, peer: str) -> list[tuple[int, _WaitingRequest]]:
         """Return the requests that wait for a link to a peer."""
         return [
             (stream, entry)
@@ -255,7 +257,7 @@
             if entry.owners[0] == peer
         ]
 
-    def _end_sent(self, peer: str, reason: str) -> list[ForwardAction]:
+    def _end_sent_requests(self, peer: str, reason: str) -> list[ForwardAction]:
         """End the streams of a link that is gone; nobody can tell what ran."""
         lost = [stream for stream, sent in self._sent.items() if sent.peer == peer]
         for stream in lost:
--- a/beryltrack/peers/forward_serving.py
+++ b/beryltrack/peers/forward_server.py
@@ -25,12 +25,12 @@
     StreamKey,
 )
 
-MAX_SERVED = 4096
-MAX_DATA = 32 * 1024
-MAX_CREDIT = 4 * 1024 * 1024
+MAX_SERVED_STREAMS = 4096
+MAX_DATA_BYTES = 32 * 1024
+MAX_CREDIT_BYTES = 4 * 1024 * 1024
 
 
-class _Served:
+class _ServedRequest:
     """A request that runs here for a peer.
 
     Parameters
@@ -50,18 +50,18 @@
     """A link: its number, and the highest number of a stream on it."""
 
     number: int
-    highest: int
+    highest_stream: int
 
 
-class ServingDecider:
+class ForwardServer:
     """The requests that peers have passed on to this proxy."""
 
     def __init__(self):
-        self._served: dict[StreamKey, _Served] = {}
+        self._served: dict[StreamKey, _ServedRequest] = {}
         self._links: dict[str, _ServedLink] = {}
         self._link_numbers = count(1)
         self._blocked: set[str] = set()
-        self._is_leaving = False
+        self._is_draining = False
 
     @property
     def stream_count(self) -> int:
@@ -70,9 +70,9 @@
 
     def leave(self) -> None:
         """Take no new requests; those that run are finished."""
-        self._is_leaving = True
+        self._is_draining = True
 
-    def open_link(self, peer: str) -> list[ForwardAction]:
+    def handle_link_opened(self, peer: str) -> list[ForwardAction]:
         """Note a new link; the streams of an earlier one have ended with it."""
         actions = self.handle_link_closed(peer)
         self._links[peer] = _ServedLink(next(self._link_numbers), 0)
@@ -118,7 +118,7 @@
             return []
         match message:
             case ForwardCredit(_, credit):
-                served.credit = min(MAX_CREDIT, served.credit + credit)
+                served.credit = min(MAX_CREDIT_BYTES, served.credit + credit)
                 return self._send_pending(key, served)
             case ForwardCancel():
                 return self._cancel(key, served)
@@ -134,7 +134,7 @@
         actions = self._send_pending(key, served)
         return [item for item in actions if not isinstance(item, ResumeRequest)]
 
-    def is_held_back(self, key: StreamKey) -> bool:
+    def has_pending(self, key: StreamKey) -> bool:
         """Return whether a part of the answer waits, so that no more is wanted."""
         served = self._served.get(key)
         return served is not None and bool(served.pending)
@@ -161,20 +161,20 @@
     ) -> list[ForwardAction]:
         """Begin a request, or refuse it before anything of it has run."""
         link = self._links[key.peer]
-        if key.stream <= link.highest:
+        if key.stream <= link.highest_stream:
             return [BreakForwardLink(key.peer, "it used a stream's number again")]
-        self._links[key.peer] = link._replace(highest=key.stream)
-        if self._is_leaving:
+        self._links[key.peer] = link._replace(highest_stream=key.stream)
+        if self._is_draining:
             return [_refuse(key, "the owner is leaving")]
-        if len(self._served) >= MAX_SERVED:
+        if len(self._served) >= MAX_SERVED_STREAMS:
             return [_refuse(key, "the owner is full")]
         if message.timeout <= 0.0:
             return [_refuse(key, "its time was over")]
-        self._served[key] = _Served(min(MAX_CREDIT, message.credit))
+        self._served[key] = _ServedRequest(min(MAX_CREDIT_BYTES, message.credit))
         deadline = now + message.timeout
         return [StartRequest(key, message.group, deadline, message.request)]
 
-    def _cancel(self, key: StreamKey, served: _Served) -> list[ForwardAction]:
+    def _cancel(self, key: StreamKey, served: _ServedRequest) -> list[ForwardAction]:
         """Drop what is left of an answer that nobody takes, but not its end."""
         served.pending.clear()
         served.is_cancelled = True
@@ -182,14 +182,16 @@
             return self._send_pending(key, served)
         return [CancelRequest(key)]
 
-    def _send_pending(self, key: StreamKey, served: _Served) -> list[ForwardAction]:
+    def _send_pending(
+        self, key: StreamKey, served: _ServedRequest
+    ) -> list[ForwardAction]:
         """Send as much of an answer as there is credit for, then its end."""
         if key.peer in self._blocked:
             return []
         was_waiting = bool(served.pending)
         actions: list[ForwardAction] = []
         while served.pending and served.credit > 0:
-            size = min(MAX_DATA, served.credit, len(served.pending))
+            size = min(MAX_DATA_BYTES, served.credit, len(served.pending))
             data = bytes(served.pending[:size])
             del served.pending[:size]
             served.credit -= size
@@ -198,11 +200,14 @@
             return actions
         if served.result is not None:
             del self._served[key]
-            return [*actions, SendForward(key.peer, _make_end(key, served.result))]
+            return [
+                *actions,
+                SendForward(key.peer, _make_end_message(key, served.result)),
+            ]
         return [*actions, ResumeRequest(key)] if was_waiting else actions
 
 
-def _make_end(key: StreamKey, result: ForwardResult) -> ForwardEnd:
+def _make_end_message(key: StreamKey, result: ForwardResult) -> ForwardEnd:
     """Return the message that ends a stream."""
     return ForwardEnd(key.stream, int(result.outcome), result.reason, result.trailer)
 
@@ -210,4 +215,4 @@
 def _refuse(key: StreamKey, reason: str) -> SendForward:
     """Return the end of a request of which nothing has run."""
     result = ForwardResult(ForwardOutcome.NOT_RUN, reason)
-    return SendForward(key.peer, _make_end(key, result))
+    return SendForward(key.peer, _make_end_message(key, result))
--- a/beryltrack/peers/forwarder.py
+++ b/beryltrack/peers/forwarder.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import LoopingCall
 
 from beryltrack.clock import get_monotonic_clock
-from beryltrack.peers.forward_entry import ForwardDecider
+from beryltrack.peers.forward_client import ForwardClient
 from beryltrack.peers.forward_messages import (
     BreakForwardLink,
     CancelRequest,
@@ -32,7 +32,7 @@
     StartRequest,
     StreamKey,
 )
-from beryltrack.peers.forward_serving import ServingDecider
+from beryltrack.peers.forward_server import ForwardServer
 from beryltrack.peers.link import PeerLink
 from beryltrack.peers.messages import (
     FORWARDING,
@@ -117,7 +117,7 @@
 
     def wait_ready(self) -> Deferred:
         """Return a Deferred that fires once the peer takes more."""
-        if not self._forwarder.is_held_back(self._key):
+        if not self._forwarder.has_pending(self._key):
             return succeed(None)
         waiting = Deferred()
         self._ready.append(waiting)
@@ -156,8 +156,8 @@
         self._peers = peers
         self._handler = handler
         self._get_owners = get_owners
-        self._entry = ForwardDecider()
-        self._serving = ServingDecider()
+        self._client = ForwardClient()
+        self._server = ForwardServer()
         self._sinks: dict[int, ForwardSink] = {}
         self.forwarded_count = 0
         self._running: dict[StreamKey, tuple[Deferred, ForwardWriter]] = {}
@@ -167,7 +167,7 @@
     @property
     def stream_count(self) -> int:
         """The number of streams in both directions that have not ended."""
-        return self._entry.stream_count + self._serving.stream_count
+        return self._client.stream_count + self._server.stream_count
 
     def start(self) -> None:
         """Take the forwarding links of the peers."""
@@ -177,7 +177,7 @@
 
     def leave(self) -> None:
         """Refuse new requests of other proxies; those that run are finished."""
-        self._serving.leave()
+        self._server.leave()
 
     def stop(self) -> None:
         """Stop the timer and cancel what runs for other proxies."""
@@ -215,7 +215,7 @@
         owners = tuple(n for n in self._get_owners(group) if n != self._peers.name)
         now = self._seconds()
         self._update_blocked(owners)
-        number, actions = self._entry.forward(owners, group, request, deadline, now)
+        number, actions = self._client.forward(owners, group, request, deadline, now)
         self._sinks[number] = sink
         self.forwarded_count += 1
         self._carry_out(actions)
@@ -223,74 +223,74 @@
 
     def consume(self, number: int, size: int) -> None:
         """See `ForwardStream.consume`."""
-        self._carry_out(self._entry.consume(number, size))
+        self._carry_out(self._client.consume(number, size))
 
     def cancel(self, number: int) -> None:
         """See `ForwardStream.cancel`."""
-        self._carry_out(self._entry.cancel(number))
+        self._carry_out(self._client.cancel(number))
 
     def write(self, key: StreamKey, data: bytes) -> None:
         """See `ForwardWriter.write`."""
         self._update_blocked((key.peer,))
-        self._carry_out(self._serving.write(key, data))
+        self._carry_out(self._server.write(key, data))
 
-    def is_held_back(self, key: StreamKey) -> bool:
+    def has_pending(self, key: StreamKey) -> bool:
         """Return whether a part of an answer waits to be sent."""
-        return self._serving.is_held_back(key)
+        return self._server.has_pending(key)
 
     def handle_link_opened(self, link: PeerLink) -> None:
         """Take a forwarding link whose peer is proved."""
         peer = link.peer.name
-        self._carry_out(self._serving.open_link(peer))
-        self._carry_out(self._entry.open_link(peer, self._seconds()))
+        self._carry_out(self._server.handle_link_opened(peer))
+        self._carry_out(self._client.handle_link_opened(peer, self._seconds()))
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
         """Take a message of a peer."""
         peer = link.peer.name
         if isinstance(message, ForwardData | ForwardEnd):
-            self._carry_out(self._entry.receive(peer, message))
+            self._carry_out(self._client.receive(peer, message))
         elif isinstance(message, ForwardMessage):
             now = self._seconds()
-            self._carry_out(self._serving.receive(peer, message, now))
+            self._carry_out(self._server.receive(peer, message, now))
         else:
             log.warning("peers: %s sent what is not for forwarding", peer)
 
     def handle_link_writable(self, link: PeerLink) -> None:
         """Send what waited while a link was stuck."""
         peer = link.peer.name
-        self._entry.set_blocked(peer, False)
-        self._carry_out(self._serving.set_blocked(peer, False))
+        self._client.set_blocked(peer, False)
+        self._carry_out(self._server.set_blocked(peer, False))
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that a forwarding link has closed."""
-        self._lose(link.peer.name)
+        self._end_streams(link.peer.name)
 
     def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Take that a forwarding link could not be opened."""
-        self._carry_out(self._entry.handle_connect_failure(peer, self._seconds()))
+        self._carry_out(self._client.handle_connect_failure(peer, self._seconds()))
 
-    def _lose(self, peer: str) -> None:
+    def _end_streams(self, peer: str) -> None:
         """End the streams of a link that is gone."""
-        self._carry_out(self._entry.handle_link_closed(peer))
-        self._carry_out(self._serving.handle_link_closed(peer))
+        self._carry_out(self._client.handle_link_closed(peer))
+        self._carry_out(self._server.handle_link_closed(peer))
 
     def _tick(self) -> None:
         """Refuse what waited too long."""
-        self._carry_out(self._entry.tick(self._seconds()))
+        self._carry_out(self._client.tick(self._seconds()))
 
     def _observe_member(self, item: GossipItem) -> None:
         """Break the link to a member that is gone."""
         member = next((m for m in self._peers.members if m.name == item.key), None)
         if member is not None and member.state in GONE_STATES:
-            self._carry_out(self._entry.observe_gone(item.key))
+            self._carry_out(self._client.handle_dead_peer(item.key))
 
     def _update_blocked(self, peers: tuple[str, ...]) -> None:
         """Tell the deciders which links take no messages now."""
         links = ((peer, self._peers.get_link(peer, FORWARDING)) for peer in peers)
         for peer, link in links:
             if link is not None and link.is_blocked:
-                self._entry.set_blocked(peer, True)
-                self._serving.set_blocked(peer, True)
+                self._client.set_blocked(peer, True)
+                self._server.set_blocked(peer, True)
 
     def _carry_out(self, actions: list[ForwardAction]) -> None:
         """Do what the deciders asked for."""
@@ -340,7 +340,7 @@
         writer = ForwardWriter(self, start.key)
         running = self._handler.run(start, writer)
         self._running[start.key] = (running, writer)
-        running.addErrback(_judge_failure)
+        running.addErrback(_make_failure_result)
         running.addCallback(self._finish, start.key)
 
     def _cancel(self, key: StreamKey) -> None:
@@ -353,10 +353,10 @@
     def _finish(self, result: ForwardResult, key: StreamKey) -> None:
         """Tell the peer what came of its request."""
         self._running.pop(key, None)
-        self._carry_out(self._serving.finish(key, result))
+        self._carry_out(self._server.finish(key, result))
 
 
-def _judge_failure(failure) -> ForwardResult:
+def _make_failure_result(failure) -> ForwardResult:
     """Return what a failed run means: it may have had its effect."""
     if not failure.check(CancelledError):
         log.error("peers: a forwarded request failed: %s", failure.getTraceback())
--- a/beryltrack/peers/gossip_store.py
+++ b/beryltrack/peers/gossip_store.py
@@ -57,7 +57,7 @@
             {} for _ in range(BUCKET_COUNT)
         ]
         self._digests = [0] * BUCKET_COUNT
-        self._uncounted: set[ItemKey] = set()
+        self._outside_digest: set[ItemKey] = set()
         self._size = 0
         self._digest = 0
 
@@ -85,14 +85,14 @@
         )
         return tuple(sorted(found, key=lambda item: item.key))
 
-    def accept(self, item: GossipItem, counted: bool = True) -> bool:
+    def accept(self, item: GossipItem, in_digest: bool = True) -> bool:
         """Take an item if its version is higher than the one known.
 
         Parameters
         ----------
         item : GossipItem
             What was published or heard.
-        counted : bool
+        in_digest : bool
             False leaves the item out of the digests, for items that each
             proxy drops at its own time.
 
@@ -110,10 +110,10 @@
         self.remove(key)
         self._buckets[compute_bucket(key)][key] = item
         self._size += 1
-        if counted:
+        if in_digest:
             self._toggle_digest(key, item)
         else:
-            self._uncounted.add(key)
+            self._outside_digest.add(key)
         return True
 
     def remove(self, key: ItemKey) -> None:
@@ -122,8 +122,8 @@
         if item is None:
             return
         self._size -= 1
-        if key in self._uncounted:
-            self._uncounted.discard(key)
+        if key in self._outside_digest:
+            self._outside_digest.discard(key)
         else:
             self._toggle_digest(key, item)
 
--- a/beryltrack/peers/handshake.py
+++ b/beryltrack/peers/handshake.py
@@ -54,18 +54,18 @@
     ----------
     replies : tuple of Message
         What to send.
-    is_proved : bool
+    is_authenticated : bool
         True once the peer is proved, so that it may send large messages.
     peer : PeerIdentity or None
         The peer, once both sides are proved and the link is open.
-    fault : str
+    error : str
         Why the link has to be closed; empty if it has not.
     """
 
     replies: tuple[Message, ...]
-    is_proved: bool
+    is_authenticated: bool
     peer: PeerIdentity | None
-    fault: str
+    error: str
 
 
 class OpeningHandshake:
@@ -189,6 +189,6 @@
         return HandshakeStep((Welcome(challenge.version),), True, peer, "")
 
 
-def _refuse(fault: str) -> HandshakeStep:
+def _refuse(error: str) -> HandshakeStep:
     """Return the step that closes the link."""
-    return HandshakeStep((), False, None, fault)
+    return HandshakeStep((), False, None, error)
--- a/beryltrack/peers/link.py
+++ b/beryltrack/peers/link.py
@@ -38,11 +38,11 @@
 PATH = "/peers"
 HANDSHAKE_TIMEOUT = 5.0
 CLOSE_TIMEOUT = 1.0
-MAX_HANDSHAKE_FRAME = 1024
-MAX_FRAME = MAX_ITEM_BYTES + 64 * 1024
+MAX_HANDSHAKE_FRAME_BYTES = 1024
+MAX_FRAME_BYTES = MAX_ITEM_BYTES + 64 * 1024
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-ORDERLY_CODE = 1000
-REFUSED_CODE = 1008
+NORMAL_CLOSE_CODE = 1000
+POLICY_CLOSE_CODE = 1008
 
 
 class LinkHandler(Interface):
@@ -105,7 +105,7 @@
         )
         if self.opened_here:
             self._websocket.send_request(self._websocket.connect())
-            self._write_out()
+            self._flush_output()
 
     def dataReceived(self, data: bytes) -> None:
         """Take bytes from the peer."""
@@ -115,10 +115,10 @@
         except EOFError:  # The layer has ended; what still arrives is of no use.
             return
         for event in self._websocket.events_received():
-            self._take_event(event)
-        self._write_out()
+            self._handle_event(event)
+        self._flush_output()
         if self._has_ended():
-            self._end()
+            self._disconnect()
 
     def connectionLost(self, reason) -> None:
         """Report the end of the link."""
@@ -137,27 +137,29 @@
             return
         self._counters.messages_sent += 1
         self._websocket.send_binary(encode_message(message))
-        self._write_out()
+        self._flush_output()
         if self.is_blocked and self._queued_bytes > MAX_QUEUED_BYTES:
-            log.warning("peers: queue to %s is full, link closed", self._get_name())
+            log.warning(
+                "peers: queue to %s is full, link closed", self._describe_peer()
+            )
             self.transport.abortConnection()
 
-    def close(self, code: int = ORDERLY_CODE, reason: str = "") -> None:
+    def close(self, code: int = NORMAL_CLOSE_CODE, reason: str = "") -> None:
         """Close the link so that the peer does not take it for a failure."""
         if self._orderly:
             return
         self._orderly = True
         self._stop_timeout()
         if self._websocket.state is not State.OPEN:
-            self._end()
+            self._disconnect()
             return
         # What the peer has sent meanwhile is read until it answers: a socket
         # closed with bytes unread resets the connection, and the peer would
         # take that for a failure.
         self._websocket.send_close(code, reason)
-        self._write_out()
+        self._flush_output()
         wait = CLOSE_TIMEOUT if self.peer is not None else 0.0
-        self._timeout = self._clock.callLater(wait, self._end)
+        self._timeout = self._clock.callLater(wait, self._disconnect)
 
     def abort(self) -> None:
         """Close the link at once, as one that is broken."""
@@ -177,7 +179,7 @@
     def stopProducing(self) -> None:
         """Note that the connection is gone; `connectionLost` reports it."""
 
-    def _take_event(self, event: Request | Response | Frame) -> None:
+    def _handle_event(self, event: Request | Response | Frame) -> None:
         """Act on one event of the sans-I/O layer."""
         match event:
             case Request():
@@ -185,9 +187,9 @@
             case Response():
                 self._start_handshake()
             case Frame(opcode=Opcode.BINARY, fin=True):
-                self._take_frame(event.data)
+                self._handle_frame(event.data)
             case Frame(opcode=Opcode.CLOSE):
-                self._orderly |= self._websocket.close_rcvd.code == ORDERLY_CODE
+                self._orderly |= self._websocket.close_rcvd.code == NORMAL_CLOSE_CODE
             case Frame(opcode=Opcode.PING | Opcode.PONG):
                 pass
             case _:
@@ -198,8 +200,8 @@
         response = self._websocket.accept(request)
         self._websocket.send_response(response)
         if response.status_code != 101:
-            self._write_out()
-            self._end()
+            self._flush_output()
+            self._disconnect()
 
     def _start_handshake(self) -> None:
         """Send the first messages, once the connection is upgraded."""
@@ -209,12 +211,12 @@
         for message in self._handshake.start():
             self.send(message)
 
-    def _take_frame(self, data: bytes) -> None:
+    def _handle_frame(self, data: bytes) -> None:
         """Decode a message and hand it on."""
         if self._orderly:
             return
         self._counters.messages_received += 1
-        message, findings = decode_message(data, self._get_name())
+        message, findings = decode_message(data, self._describe_peer())
         for finding in findings:
             log.warning("peers: message refused: %s", format_finding(finding))
         if message is None:
@@ -229,31 +231,33 @@
     def _continue_handshake(self, message: Message) -> None:
         """Feed the handshake; report the link when the peer is proved."""
         step = self._handshake.receive(message)
-        if step.fault:
+        if step.error:
             self._counters.refused += 1
-            self._refuse(step.fault)
+            self._refuse(step.error)
             return
         for reply in step.replies:
             self.send(reply)
-        if step.is_proved:
-            self._websocket.max_message_size = MAX_FRAME
+        if step.is_authenticated:
+            self._websocket.max_message_size = MAX_FRAME_BYTES
         if step.peer is not None:
             self._stop_timeout()
             self.peer = step.peer
             self._owner.handle_link_opened(self)
 
-    def _refuse(self, fault: str) -> None:
+    def _refuse(self, error: str) -> None:
         """Close the link for a fault of the peer."""
         address = self.transport.getPeer()
-        log.warning("peers: link to %s refused: %s", self._get_name(address), fault)
-        self.close(REFUSED_CODE, fault)
+        log.warning(
+            "peers: link to %s refused: %s", self._describe_peer(address), error
+        )
+        self.close(POLICY_CLOSE_CODE, error)
 
     def _has_ended(self) -> bool:
         """Return whether the peer closed the link, or broke the protocol."""
         websocket = self._websocket
         return websocket.close_rcvd is not None or websocket.parser_exc is not None
 
-    def _write_out(self) -> None:
+    def _flush_output(self) -> None:
         """Write what the sans-I/O layer has ready."""
         for data in self._websocket.data_to_send():
             if data:
@@ -261,9 +265,9 @@
                 self._queued_bytes += len(data)
                 self.transport.write(data)
             else:
-                self._end()
+                self._disconnect()
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         """Close the connection once what is queued has been written."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
@@ -273,7 +277,7 @@
         if self._timeout is not None and self._timeout.active():
             self._timeout.cancel()
 
-    def _get_name(self, address: object = "") -> str:
+    def _describe_peer(self, address: object = "") -> str:
         """Return the peer's name, or what is known in place of it."""
         return self.peer.name if self.peer else str(address) or "a new peer"
 
@@ -284,7 +288,9 @@
     """Return the protocol of a connection that this side opens."""
     # The name in the address is of no use: proofs tell who is who.
     uri = parse_uri(f"ws://peer{PATH}")
-    websocket = ClientProtocol(uri, max_size=MAX_HANDSHAKE_FRAME, logger=websocket_log)
+    websocket = ClientProtocol(
+        uri, max_size=MAX_HANDSHAKE_FRAME_BYTES, logger=websocket_log
+    )
     return PeerLink(owner, clock, websocket, handshake, counters)
 
 
@@ -292,5 +298,5 @@
     owner: LinkHandler, clock, handshake: AnsweringHandshake, counters: LinkCounters
 ) -> PeerLink:
     """Return the protocol of a connection that a peer opened."""
-    websocket = ServerProtocol(max_size=MAX_HANDSHAKE_FRAME, logger=websocket_log)
+    websocket = ServerProtocol(max_size=MAX_HANDSHAKE_FRAME_BYTES, logger=websocket_log)
     return PeerLink(owner, clock, websocket, handshake, counters)
--- a/beryltrack/peers/links.py
+++ b/beryltrack/peers/link_planner.py
@@ -20,7 +20,7 @@
 MAX_BACKOFF_DOUBLINGS = 8
 MAX_OPENED_AT_ONCE = 3
 CONTACT_PERIOD = 10.0
-LONELY_CONTACT_PERIOD = 1.0
+UNLINKED_CONTACT_PERIOD = 1.0
 UNWANTED_GRACE = 3.0
 
 
@@ -91,7 +91,7 @@
         missing = [
             by_name[name]
             for name in self._get_neighbours(members)
-            if name not in linked and self._may_try(name, now)
+            if name not in linked and self._is_backoff_over(name, now)
         ]
         opening = [
             OpenLink(member.name, member.host, member.port)
@@ -131,7 +131,7 @@
             }
         return self._neighbours
 
-    def _may_try(self, name: str, now: float) -> bool:
+    def _is_backoff_over(self, name: str, now: float) -> bool:
         """Return whether the back-off of a peer is over."""
         attempt = self._attempts.get(name)
         return attempt is None or now >= attempt.next_at
@@ -148,12 +148,12 @@
             if member.name not in linked
             and member.name != self._own_name
             and member.state not in PRESENT_STATES
-            and self._may_try(member.name, now)
+            and self._is_backoff_over(member.name, now)
         ]
         seeds = [OpenLink("", seed.host, seed.port) for seed in self._seeds]
         candidates = absent if linked else absent + seeds
         if not candidates:
             return []
-        period = CONTACT_PERIOD if linked else LONELY_CONTACT_PERIOD
+        period = CONTACT_PERIOD if linked else UNLINKED_CONTACT_PERIOD
         self._next_contact_at = now + period * self._rng.uniform(0.5, 1.5)
         return [self._rng.choice(candidates)]
--- a/beryltrack/peers/linktable.py
+++ b/beryltrack/peers/linktable.py
@@ -18,7 +18,7 @@
 
 CONNECT_TIMEOUT = 3.0
 STOP_TIMEOUT = 2.0
-MAX_UNPROVED_LINKS = 64
+MAX_UNAUTHENTICATED_LINKS = 64
 
 
 class LinkTableHandler(Interface):
@@ -105,7 +105,7 @@
         self._port = None
         self._links: dict[tuple[str, str], PeerLink] = {}
         # All protocols with a connection, and the peer that each was meant for.
-        self._expected: dict[PeerLink, tuple[str, str]] = {}
+        self._connections: dict[PeerLink, tuple[str, str]] = {}
         self._stopped: Deferred | None = None
 
     def listen(self) -> int:
@@ -153,21 +153,21 @@
         link = make_opened_link(self, self._reactor, handshake, self._counters)
         connecting = endpoint.connect(Factory.forProtocol(lambda: link))
         connecting.addCallbacks(
-            lambda _: self._note_connection(link, peer, purpose),
+            lambda _: self._record_connection(link, peer, purpose),
             lambda _: self._report_failure(peer, purpose),
         )
 
     def make_incoming(self) -> PeerLink | None:
         """Return the protocol for a new connection, None if too many are unproved."""
-        unproved = sum(link.peer is None for link in self._expected)
-        if unproved >= MAX_UNPROVED_LINKS or self._stopped is not None:
+        unauthenticated = sum(link.peer is None for link in self._connections)
+        if unauthenticated >= MAX_UNAUTHENTICATED_LINKS or self._stopped is not None:
             log.warning("peers: connection refused, too many are not proved")
             return None
         handshake = AnsweringHandshake(
             self._own.name, self._own.incarnation, self._settings.peer_key
         )
         link = make_answered_link(self, self._reactor, handshake, self._counters)
-        self._expected[link] = ("", "")
+        self._connections[link] = ("", "")
         return link
 
     def close(self, peer: str, purpose: str, reason: str) -> None:
@@ -179,16 +179,16 @@
 
     def stop(self) -> Deferred:
         """Close everything; the Deferred fires when no connection is left."""
-        for link in list(self._expected):
+        for link in list(self._connections):
             link.close()
-        return self._end()
+        return self._wait_for_connections()
 
     def abort(self) -> Deferred:
         """Break everything; the Deferred fires when no connection is left."""
         self._abort_all()
-        return self._end()
+        return self._wait_for_connections()
 
-    def _end(self) -> Deferred:
+    def _wait_for_connections(self) -> Deferred:
         """Stop listening and wait for the connections to close."""
         self._stopped = Deferred()
         listening = maybeDeferred(self._port.stopListening) if self._port else None
@@ -200,7 +200,7 @@
 
     def handle_link_opened(self, link: PeerLink) -> None:
         """Take a proved link, unless the present one to its peer is better."""
-        expected, _ = self._expected.get(link, ("", ""))
+        expected, _ = self._connections.get(link, ("", ""))
         key = (link.peer.purpose, link.peer.name)
         old = self._links.get(key)
         if old is not None and not is_preferred(link, old, self._own.name):
@@ -215,32 +215,32 @@
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
         """Hand on a message of a link that is the present one to its peer."""
-        if self._is_present(link):
+        if self._is_current(link):
             self._owner.handle_message(link, message)
 
     def handle_link_writable(self, link: PeerLink) -> None:
         """Hand on that a link takes messages again."""
-        if self._is_present(link):
+        if self._is_current(link):
             self._owner.handle_link_writable(link)
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that a connection has closed."""
-        expected, purpose = self._expected.pop(link, ("", ""))
+        expected, purpose = self._connections.pop(link, ("", ""))
         if link.peer is None and expected:
             self._report_failure(expected, purpose)
-        elif self._is_present(link):
+        elif self._is_current(link):
             del self._links[(link.peer.purpose, link.peer.name)]
             self._owner.handle_link_closed(link, orderly)
         self._check_stopped()
 
-    def _is_present(self, link: PeerLink) -> bool:
+    def _is_current(self, link: PeerLink) -> bool:
         """Return whether a link is the one in use to its peer."""
         peer = link.peer
         return peer is not None and self._links.get((peer.purpose, peer.name)) is link
 
-    def _note_connection(self, link: PeerLink, peer: str, purpose: str) -> None:
+    def _record_connection(self, link: PeerLink, peer: str, purpose: str) -> None:
         """Remember for whom a connection that is now open was meant."""
-        self._expected[link] = (peer, purpose)
+        self._connections[link] = (peer, purpose)
         if self._stopped is not None:
             link.abort()
 
@@ -251,11 +251,11 @@
 
     def _abort_all(self) -> None:
         """Break the connections that did not close in time."""
-        for link in list(self._expected):
+        for link in list(self._connections):
             link.abort()
 
     def _check_stopped(self) -> None:
         """Report the stop once no connection is left."""
-        if self._stopped is not None and not self._expected:
+        if self._stopped is not None and not self._connections:
             if not self._stopped.called:
                 self._stopped.callback(None)
--- a/beryltrack/peers/membership.py
+++ b/beryltrack/peers/membership.py
@@ -27,8 +27,8 @@
 )
 
 SUSPICION_TIMEOUT = 2.0
-FORGET_AFTER = 3600.0
-REFUTED_GRACE = 60.0
+GONE_MEMBER_EXPIRY = 3600.0
+REFUTATION_GRACE = 60.0
 LIST_LAG = 60.0
 REFUTATION_PERIOD = 0.25
 
@@ -52,15 +52,15 @@
     ----------
     accepted : bool
         True if the word is news, to be kept and told to others.
-    answers : tuple of Member
+    refutations : tuple of Member
         What this proxy has to say to it: a refutation, or nothing.
     """
 
     accepted: bool
-    answers: tuple[Member, ...]
+    refutations: tuple[Member, ...]
 
 
-class Review(NamedTuple):
+class TimeoutChanges(NamedTuple):
     """What the passing of time has changed.
 
     Parameters
@@ -68,12 +68,12 @@
     changed : tuple of Member
         Members whose suspicion was not refuted in time, now dead, and this
         proxy itself if it has to refute something.
-    forgotten : tuple of str
+    expired : tuple of str
         Names of members that went long ago.
     """
 
     changed: tuple[Member, ...]
-    forgotten: tuple[str, ...]
+    expired: tuple[str, ...]
 
 
 class _Record(NamedTuple):
@@ -147,7 +147,7 @@
         self._own = own
         self._records: dict[str, _Record] = {}
         self._listed: dict[str, Member] = {}
-        self._listed_leaving: frozenset[str] = frozenset()
+        self._listed_as_leaving: frozenset[str] = frozenset()
         self._refuted_at = float("-inf")
         self._refuted_incarnation = own.incarnation
         self._members: tuple[Member, ...] | None = None
@@ -173,10 +173,10 @@
         record = self._records.get(name)
         return record.member if record else self._listed.get(name)
 
-    def has_refuted_lately(self, name: str, now: float) -> bool:
+    def has_refuted_recently(self, name: str, now: float) -> bool:
         """Return whether a member refuted a suspicion a short time ago."""
         record = self._records.get(name)
-        return record is not None and now - record.refuted_at < REFUTED_GRACE
+        return record is not None and now - record.refuted_at < REFUTATION_GRACE
 
     def observe_member(self, member: Member, now: float) -> Observation:
         """Take a word about a member that was heard on the peer link.
@@ -198,13 +198,15 @@
         record = self._records.get(member.name)
         if record is None and member.state in GONE_STATES:
             return IGNORED
-        if record is not None and _get_order(member) <= _get_order(record.member):
+        if record is not None and _get_precedence(member) <= _get_precedence(
+            record.member
+        ):
             return IGNORED
         refuted = record is not None and record.member.state in (SUSPECTED, DEAD)
         refuted_at = record.refuted_at if record else float("-inf")
         if refuted and member.state not in (SUSPECTED, *GONE_STATES):
             refuted_at = now
-        self._keep(_Record(member, now, refuted_at))
+        self._store_record(_Record(member, now, refuted_at))
         return ACCEPTED
 
     def observe_instances(
@@ -225,22 +227,22 @@
             Members that the list newly says are leaving, to be told to others.
         """
         entries = [entry for entry in instances if _is_reachable(entry)]
-        listed_before, leaving_before = self._listed, self._listed_leaving
+        listed_before, leaving_before = self._listed, self._listed_as_leaving
         self._listed = {
             entry.name: Member(
                 entry.name, entry.host, entry.port, entry.zone, LISTED, 0
             )
             for entry in entries
         }
-        self._listed_leaving = frozenset(
+        self._listed_as_leaving = frozenset(
             entry.name for entry in entries if entry.state == LEAVING
         )
         self._members = None
-        changed = self._listed_leaving & (listed_before.keys() - leaving_before)
+        changed = self._listed_as_leaving & (listed_before.keys() - leaving_before)
         return tuple(
-            self._mark(name, LEAVING, now)
-            for name in sorted(self._listed_leaving)
-            if self._is_leaving_news(name, name in changed, now)
+            self._set_state(name, LEAVING, now)
+            for name in sorted(self._listed_as_leaving)
+            if self._is_leave_credible(name, name in changed, now)
         )
 
     def suspect(self, name: str, now: float) -> tuple[Member, ...]:
@@ -254,26 +256,27 @@
         record = self._records.get(name)
         if record is None or record.member.state not in (JOINED, LEAVING):
             return ()
-        return (self._mark(name, SUSPECTED, now),)
+        return (self._set_state(name, SUSPECTED, now),)
 
-    def review(self, now: float) -> Review:
+    def handle_timeouts(self, now: float) -> TimeoutChanges:
         """Declare dead who did not refute in time, and forget who went long ago."""
-        expired = [
+        unrefuted = [
             name
             for name, record in self._records.items()
             if record.member.state == SUSPECTED
             and now - record.since >= SUSPICION_TIMEOUT
         ]
-        forgotten = tuple(
+        expired = tuple(
             name
             for name, record in self._records.items()
-            if record.member.state in GONE_STATES and now - record.since >= FORGET_AFTER
+            if record.member.state in GONE_STATES
+            and now - record.since >= GONE_MEMBER_EXPIRY
         )
-        for name in forgotten:
+        for name in expired:
             del self._records[name]
             self._members = None
-        dead = tuple(self._mark(name, DEAD, now) for name in expired)
-        return Review(dead + self._refute(now), forgotten)
+        dead = tuple(self._set_state(name, DEAD, now) for name in unrefuted)
+        return TimeoutChanges(dead + self._refute(now), expired)
 
     def restart_suspicions(self, now: float) -> None:
         """Give all suspected members their whole time again, after an own pause."""
@@ -303,9 +306,12 @@
         """Take a word about this proxy: adopt that it is leaving, refute the rest.
 
         Two processes of one name refute each other without end, so that the
-        next refutation may have to wait for `review`.
+        next refutation may have to wait for `handle_timeouts`.
         """
-        if _get_order(member) <= _get_order(self._own) or self._own.state == LEFT:
+        if (
+            _get_precedence(member) <= _get_precedence(self._own)
+            or self._own.state == LEFT
+        ):
             return IGNORED
         if member.state == LEAVING and member.incarnation == self._own.incarnation:
             self._set_own(self._own._replace(state=LEAVING))
@@ -324,7 +330,7 @@
         self._set_own(self._own._replace(incarnation=self._refuted_incarnation))
         return (self._own,)
 
-    def _is_leaving_news(self, name: str, changed: bool, now: float) -> bool:
+    def _is_leave_credible(self, name: str, changed: bool, now: float) -> bool:
         """Return whether the list's word that a member leaves is to be believed.
 
         The list lags: it may still speak of an earlier process of that name. A
@@ -335,14 +341,14 @@
             return False
         return changed or now - record.since >= LIST_LAG
 
-    def _mark(self, name: str, state: str, now: float) -> Member:
+    def _set_state(self, name: str, state: str, now: float) -> Member:
         """Put a member into another state of its incarnation."""
         record = self._records[name]
         member = record.member._replace(state=state)
-        self._keep(_Record(member, now, record.refuted_at))
+        self._store_record(_Record(member, now, record.refuted_at))
         return member
 
-    def _keep(self, record: _Record) -> None:
+    def _store_record(self, record: _Record) -> None:
         """Store a record."""
         self._records[record.member.name] = record
         self._members = None
@@ -353,7 +359,7 @@
         self._members = None
 
 
-def _get_order(member: Member) -> tuple[int, int]:
+def _get_precedence(member: Member) -> tuple[int, int]:
     """Return the order of words about one member."""
     return member.incarnation, STATE_RANKS[member.state]
 
--- a/beryltrack/peers/repeater.py
+++ b/beryltrack/peers/repeater.py
@@ -8,7 +8,7 @@
 
 log = logging.getLogger(__name__)
 
-FAULT_DELAY = 5.0
+FAILURE_DELAY = 5.0
 
 
 class Repeater:
@@ -32,7 +32,7 @@
         """Call the function now, and again after each end."""
         self._timer = None
         self._running = Deferred.fromCoroutine(self._function())
-        self._running.addCallbacks(self._schedule, self._report)
+        self._running.addCallbacks(self._schedule, self._handle_failure)
 
     def stop(self) -> None:
         """Call it no more; a call that is running is cancelled."""
@@ -46,9 +46,9 @@
         """Plan the next call."""
         self._timer = self._reactor.callLater(delay, self.start)
 
-    def _report(self, failure) -> None:
+    def _handle_failure(self, failure) -> None:
         """Log a fault of the function and go on, unless it was stopped."""
         if failure.check(CancelledError):
             return
         log.error("peers: call failed: %s", failure.getTraceback())
-        self._schedule(FAULT_DELAY)
+        self._schedule(FAILURE_DELAY)
--- a/beryltrack/peers/service.py
+++ b/beryltrack/peers/service.py
@@ -5,7 +5,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IReactorTCP, IReactorTime
 
-from beryltrack.peers.sharing import InstanceList, InstanceListing, SettingsSharing
+from beryltrack.peers.sharing import (
+    InstanceListClient,
+    InstanceListPoller,
+    SettingsSharing,
+)
 from beryltrack.peers.task import PeerTask
 from beryltrack.settings.messages import InstanceSettings
 from beryltrack.settings.task import SettingsTask
@@ -35,19 +39,19 @@
         reactor: IReactorTCP | IReactorTime,
         instance_settings: InstanceSettings,
         settings: SettingsTask,
-        client: InstanceList,
+        client: InstanceListClient,
         rng: random.Random,
         incarnation: int,
     ):
         self.peers = PeerTask(reactor, instance_settings, rng, incarnation)
         self._sharing = SettingsSharing(reactor, self.peers, settings)
-        self._listing = InstanceListing(reactor, self.peers, client, rng)
+        self._list_poller = InstanceListPoller(reactor, self.peers, client, rng)
 
     def start(self) -> None:
         """Listen for peers, look for them, and share settings."""
         self.peers.start()
         self._sharing.start()
-        self._listing.start()
+        self._list_poller.start()
 
     def leave(self) -> None:
         """Tell all proxies that this one is leaving."""
@@ -66,4 +70,4 @@
     def _stop_sharing(self) -> None:
         """Stop what stands between the peers and the platform."""
         self._sharing.stop()
-        self._listing.stop()
+        self._list_poller.stop()
--- a/beryltrack/peers/sharing.py
+++ b/beryltrack/peers/sharing.py
@@ -25,16 +25,16 @@
 log = logging.getLogger(__name__)
 
 SETTINGS_KIND = "settings"
-LEARN_DELAY = 0.01
-ROLES_DELAY = 0.5
+SETTINGS_BATCH_DELAY = 0.01
+WATCHER_CHOICE_DELAY = 0.5
 # A proxy that has just started does not know yet who else watches.
-FIRST_ROLES_DELAY = 2.0
+FIRST_WATCHER_CHOICE_DELAY = 2.0
 WATCHER_LIST_PERIOD = 5.0
-LONELY_LIST_PERIOD = 2.0
+UNLINKED_LIST_PERIOD = 2.0
 LIST_JITTER = 0.25
 
 
-class InstanceList(Protocol):
+class InstanceListClient(Protocol):
     """What is needed of the platform's client."""
 
     def list_instances(
@@ -96,8 +96,8 @@
         self._reactor = reactor
         self._peers = peers
         self._settings = settings
-        self._news: list[PlatformObject] = []
-        self._learning = None
+        self._received: list[PlatformObject] = []
+        self._applying = None
         self._choosing = None
         self._stopped = False
 
@@ -107,15 +107,15 @@
         self._publish(self._settings.get_objects())
         self._settings.set_watcher(False)
         self._choosing = self._reactor.callLater(
-            FIRST_ROLES_DELAY, self._choose_watchers
+            FIRST_WATCHER_CHOICE_DELAY, self._choose_watchers
         )
-        self._peers.subscribe(SETTINGS_KIND, self._collect)
+        self._peers.subscribe(SETTINGS_KIND, self._buffer_item)
         self._peers.subscribe(MEMBER_KIND, self._schedule_choice)
 
     def stop(self) -> None:
         """Stop sharing."""
         self._stopped = True
-        for call in (self._learning, self._choosing):
+        for call in (self._applying, self._choosing):
             if call is not None and call.active():
                 call.cancel()
 
@@ -125,27 +125,31 @@
             for found in objects:
                 self._peers.publish(make_settings_item(found))
 
-    def _collect(self, item: GossipItem) -> None:
+    def _buffer_item(self, item: GossipItem) -> None:
         """Gather what peers told, because settings are put in force as a whole."""
         found, findings = parse_settings_item(item)
         for finding in findings:
             log.warning("peers: settings refused: %s", format_finding(finding))
         if found is None or self._stopped:
             return
-        self._news.append(found)
-        if self._learning is None:
-            self._learning = self._reactor.callLater(LEARN_DELAY, self._learn)
+        self._received.append(found)
+        if self._applying is None:
+            self._applying = self._reactor.callLater(
+                SETTINGS_BATCH_DELAY, self._apply_settings
+            )
 
-    def _learn(self) -> None:
+    def _apply_settings(self) -> None:
         """Put in force what was gathered."""
-        self._learning = None
-        news, self._news = self._news, []
-        self._settings.learn(news)
+        self._applying = None
+        received, self._received = self._received, []
+        self._settings.learn(received)
 
     def _schedule_choice(self, item: GossipItem) -> None:
         """Choose anew shortly, once for many changes of the fleet."""
         if self._choosing is None and not self._stopped:
-            self._choosing = self._reactor.callLater(ROLES_DELAY, self._choose_watchers)
+            self._choosing = self._reactor.callLater(
+                WATCHER_CHOICE_DELAY, self._choose_watchers
+            )
 
     def _choose_watchers(self) -> None:
         """Tell the settings whether this proxy watches the store."""
@@ -154,7 +158,7 @@
         self._settings.set_fleet_size(len(self._peers.members))
 
 
-class InstanceListing:
+class InstanceListPoller:
     """Reads the platform's instance list for the peers.
 
     Parameters
@@ -173,7 +177,7 @@
         self,
         reactor: IReactorTime,
         peers: PeerTask,
-        client: InstanceList,
+        client: InstanceListClient,
         rng: random.Random,
     ):
         self._peers = peers
@@ -199,7 +203,7 @@
     def _get_period(self) -> float:
         """Return how often this proxy reads the list, seconds."""
         if not self._peers.linked:
-            return LONELY_LIST_PERIOD
+            return UNLINKED_LIST_PERIOD
         return (
             WATCHER_LIST_PERIOD if self._peers.is_watcher else self._peers.poll_period
         )
--- a/beryltrack/peers/sync.py
+++ b/beryltrack/peers/sync.py
@@ -23,8 +23,8 @@
     SyncVersions,
 )
 
-YOUNG_AGE = 5.0
-YOUNG_SYNC_PERIOD = 0.5
+WARM_UP_TIME = 5.0
+WARM_UP_SYNC_PERIOD = 0.5
 FIRST_SYNC_PERIOD = 2.0
 MAX_SYNC_PERIOD = 30.0
 MAX_VERSIONS_PER_MESSAGE = 1000
@@ -53,9 +53,9 @@
         self._period = FIRST_SYNC_PERIOD
         self._differences: dict[str, int] = {}
 
-    def is_young(self, now: float) -> bool:
+    def is_warming_up(self, now: float) -> bool:
         """Return whether this proxy is still learning what all others know."""
-        return now - self._started_at < YOUNG_AGE
+        return now - self._started_at < WARM_UP_TIME
 
     def compare_digest(
         self, peer: str, digest: int, opened_here: bool, now: float
@@ -83,17 +83,17 @@
             self._period = FIRST_SYNC_PERIOD
             return []
         self._differences[peer] = self._differences.get(peer, 0) + 1
-        due = self.is_young(now) or self._differences[peer] >= DIFFERENCES_TO_SYNC
-        if not (opened_here and due and self._take_turn(now)):
+        due = self.is_warming_up(now) or self._differences[peer] >= DIFFERENCES_TO_SYNC
+        if not (opened_here and due and self._try_start_comparison(now)):
             return []
         return [SyncDigests(self._store.get_bucket_digests())]
 
-    def record_result(self, useful: bool) -> None:
+    def record_comparison(self, useful: bool) -> None:
         """Note whether a comparison brought anything new."""
         if useful:
             self._period = FIRST_SYNC_PERIOD
 
-    def forget_peer(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Drop what is kept of a peer whose link has closed."""
         self._differences.pop(peer, None)
 
@@ -103,7 +103,7 @@
         A young proxy takes part in one comparison at a time, or each of its
         first peers would send it everything.
         """
-        if self.is_young(now) and not self._take_turn(now):
+        if self.is_warming_up(now) and not self._try_start_comparison(now):
             return []
         return list(self._list_versions(self._store.find_different_buckets(digests)))
 
@@ -120,11 +120,11 @@
         items = filter(None, map(self._store.get, keys))
         return self._send_items(items)
 
-    def _take_turn(self, now: float) -> bool:
+    def _try_start_comparison(self, now: float) -> bool:
         """Return whether a comparison may start now, and put off the next one."""
         if now < self._next_sync_at:
             return False
-        period = YOUNG_SYNC_PERIOD if self.is_young(now) else self._period
+        period = WARM_UP_SYNC_PERIOD if self.is_warming_up(now) else self._period
         self._next_sync_at = now + period * self._rng.uniform(0.75, 1.25)
         # What a comparison does not mend, as with a peer whose knowledge is
         # full, must not be compared again and again.
--- a/beryltrack/peers/task.py
+++ b/beryltrack/peers/task.py
@@ -18,7 +18,7 @@
 from beryltrack.peers.actions import (
     Action,
     CloseLink,
-    ItemChanged,
+    NotifySubscribers,
     OpenLink,
     SendMessage,
 )
@@ -89,7 +89,7 @@
         self._table = LinkTable(reactor, self, self.counters, own, instance_settings)
         self._subscribers: dict[str, list[ItemCallback]] = defaultdict(list)
         # Who takes the links of purposes other than control.
-        self._owners: dict[str, LinkTableHandler] = {}
+        self._link_handlers: dict[str, LinkTableHandler] = {}
         self._listed: frozenset[str] | None = None
         self._ticking = LoopingCall(self._tick)
         self._ticking.clock = reactor
@@ -169,7 +169,7 @@
 
     def set_link_handler(self, purpose: str, owner: LinkTableHandler) -> None:
         """Have the links of a purpose other than control reported to `owner`."""
-        self._owners[purpose] = owner
+        self._link_handlers[purpose] = owner
 
     def get_link(self, peer: str, purpose: str) -> PeerLink | None:
         """Return the link to a peer, or None."""
@@ -212,17 +212,19 @@
     def handle_link_opened(self, link: PeerLink) -> None:
         """Take a link whose peer is proved."""
         if link.peer.purpose != CONTROL:
-            self._accept_other(link)
+            self._accept_other_link(link)
             return
         now = self._seconds()
-        actions = self._decider.open_link(link.peer.name, link.opened_here, now)
+        actions = self._decider.handle_link_opened(
+            link.peer.name, link.opened_here, now
+        )
         log.info("peers: linked with %s", link.peer.name)
         self._carry_out(actions)
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
         """Take a message of a peer."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].handle_message(link, message)
+            self._link_handlers[link.peer.purpose].handle_message(link, message)
             return
         now = self._seconds()
         self._carry_out(self._decider.receive(link.peer.name, message, now))
@@ -231,29 +233,29 @@
     def handle_link_writable(self, link: PeerLink) -> None:
         """Send what waited while the link was stuck."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].handle_link_writable(link)
+            self._link_handlers[link.peer.purpose].handle_link_writable(link)
             return
         self._schedule_flush()
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
         """Take that the link to a peer has closed."""
         if link.peer.purpose != CONTROL:
-            self._owners[link.peer.purpose].handle_link_closed(link, orderly)
+            self._link_handlers[link.peer.purpose].handle_link_closed(link, orderly)
             return
         log.info("peers: link to %s closed", link.peer.name)
         now = self._seconds()
-        self._carry_out(self._decider.close_link(link.peer.name, orderly, now))
+        self._carry_out(self._decider.handle_link_closed(link.peer.name, orderly, now))
 
     def handle_connect_failure(self, peer: str, purpose: str) -> None:
         """Take that a link could not be opened."""
         if purpose != CONTROL:
-            self._owners[purpose].handle_connect_failure(peer, purpose)
+            self._link_handlers[purpose].handle_connect_failure(peer, purpose)
             return
         self._carry_out(self._decider.handle_connect_failure(peer, self._seconds()))
 
-    def _accept_other(self, link: PeerLink) -> None:
+    def _accept_other_link(self, link: PeerLink) -> None:
         """Hand on a link that is not for control, if somebody takes its purpose."""
-        owner = self._owners.get(link.peer.purpose)
+        owner = self._link_handlers.get(link.peer.purpose)
         if owner is None:
             self._table.close(link.peer.name, link.peer.purpose, "nobody takes it")
         else:
@@ -276,8 +278,8 @@
                     self._table.open(peer, host, port, CONTROL)
                 case CloseLink(peer, reason):
                     self._table.close(peer, CONTROL, reason)
-                case ItemChanged(item):
-                    self._tell_subscribers(item)
+                case NotifySubscribers(item):
+                    self._notify_subscribers(item)
         self._schedule_flush()
 
     def _send(self, peer: str, message: Message) -> None:
@@ -287,7 +289,7 @@
             return
         link.send(message)
 
-    def _tell_subscribers(self, item: GossipItem) -> None:
+    def _notify_subscribers(self, item: GossipItem) -> None:
         """Call who subscribed; one that fails does not harm the others."""
         for callback in self._subscribers[item.kind]:
             try:
--- a/tests/peers/network.py
+++ b/tests/peers/network.py
@@ -5,7 +5,7 @@
 from itertools import count
 from types import SimpleNamespace
 
-from beryltrack.peers.actions import CloseLink, ItemChanged, OpenLink, SendMessage
+from beryltrack.peers.actions import CloseLink, NotifySubscribers, OpenLink, SendMessage
 from beryltrack.peers.codec import decode_message, encode_message
 from beryltrack.peers.decider import PeerDecider
 from beryltrack.peers.messages import JOINED, Member
@@ -97,7 +97,7 @@
                 case CloseLink(peer, reason):
                     self._links -= {(name, peer), (peer, name)}
                     self._at(DELAY, self._close, peer, name, reason == "not wanted")
-                case ItemChanged(item):
+                case NotifySubscribers(item):
                     self.changes[name].append(item)
 
     def get_states(self, name):
@@ -136,14 +136,16 @@
             self.do(name, self.deciders[name].handle_connect_failure(peer, self.now))
             return
         self._links |= {(name, peer), (peer, name)}
-        self.do(name, self.deciders[name].open_link(peer, True, self.now))
-        self.do(peer, self.deciders[peer].open_link(name, False, self.now))
+        self.do(name, self.deciders[name].handle_link_opened(peer, True, self.now))
+        self.do(peer, self.deciders[peer].handle_link_opened(name, False, self.now))
         self._at(DELAY, self._flush, name)
         self._at(DELAY, self._flush, peer)
 
     def _close(self, name, peer, orderly):
         if name in self.deciders and (name, peer) not in self._links:
-            self.do(name, self.deciders[name].close_link(peer, orderly, self.now))
+            self.do(
+                name, self.deciders[name].handle_link_closed(peer, orderly, self.now)
+            )
             self._at(DELAY, self._flush, name)
 
     def _send(self, name, peer, message):
--- a/tests/peers/test_forwarding.py
+++ b/tests/peers/test_forwarding.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from beryltrack.peers.codec import decode_message, encode_message
-from beryltrack.peers.forward_entry import CREDIT_WINDOW, ForwardDecider
+from beryltrack.peers.forward_client import CREDIT_WINDOW_BYTES, ForwardClient
 from beryltrack.peers.forward_messages import (
     BreakForwardLink,
     CancelRequest,
@@ -26,7 +26,7 @@
     SendForward,
     StartRequest,
 )
-from beryltrack.peers.forward_serving import ServingDecider
+from beryltrack.peers.forward_server import ForwardServer
 
 ANSWERED = ForwardResult(ForwardOutcome.ANSWERED, "", b"token")
 
@@ -35,136 +35,138 @@
     return [a.result.outcome.name for a in actions if isinstance(a, FinishStream)]
 
 
-def make_entry(*peers):
-    entry = ForwardDecider()
+def make_client(*peers):
+    client = ForwardClient()
     for peer in peers:
-        entry.open_link(peer, 0.0)
-    return entry
+        client.handle_link_opened(peer, 0.0)
+    return client
 
 
-def make_serving():
-    serving = ServingDecider()
-    serving.open_link("a")
-    return serving
+def make_server():
+    server = ForwardServer()
+    server.handle_link_opened("a")
+    return server
 
 
-def start(serving, stream=1, credit=CREDIT_WINDOW):
+def start(server, stream=1, credit=CREDIT_WINDOW_BYTES):
     message = ForwardOpen(stream, "g", 5.0, credit, b"request")
-    (action,) = serving.receive("a", message, 0.0)
+    (action,) = server.receive("a", message, 0.0)
     return action.key
 
 
 def test_a_request_goes_to_the_first_owner_with_a_link():
-    _, actions = make_entry("c").forward(("b", "c"), "g", b"r", 9.0, 1.0)
-    assert actions == [SendForward("c", ForwardOpen(1, "g", 8.0, CREDIT_WINDOW, b"r"))]
+    _, actions = make_client("c").forward(("b", "c"), "g", b"r", 9.0, 1.0)
+    assert actions == [
+        SendForward("c", ForwardOpen(1, "g", 8.0, CREDIT_WINDOW_BYTES, b"r"))
+    ]
 
 
 def test_the_next_owner_is_tried_when_one_cannot_be_reached():
-    entry = make_entry()
-    _, actions = entry.forward(("b", "c"), "g", b"r", 9.0, 0.0)
+    client = make_client()
+    _, actions = client.forward(("b", "c"), "g", b"r", 9.0, 0.0)
     assert actions == [OpenForwardLink("b")]
-    assert entry.handle_connect_failure("b", 1.0) == [OpenForwardLink("c")]
-    assert get_outcomes(entry.handle_connect_failure("c", 2.0)) == ["NOT_RUN"]
+    assert client.handle_connect_failure("b", 1.0) == [OpenForwardLink("c")]
+    assert get_outcomes(client.handle_connect_failure("c", 2.0)) == ["NOT_RUN"]
 
 
 def test_a_request_that_no_owner_took_in_time_was_not_run():
-    entry = make_entry()
-    entry.forward(("b",), "g", b"r", 9.0, 0.0)
-    assert entry.tick(8.9) == []
-    assert get_outcomes(entry.tick(9.0)) == ["NOT_RUN"]
-    assert entry.open_link("b", 9.1) == []
+    client = make_client()
+    client.forward(("b",), "g", b"r", 9.0, 0.0)
+    assert client.tick(8.9) == []
+    assert get_outcomes(client.tick(9.0)) == ["NOT_RUN"]
+    assert client.handle_link_opened("b", 9.1) == []
 
 
 def test_after_it_was_sent_only_the_owner_knows():
-    entry = make_entry("b")
-    entry.forward(("b",), "g", b"r", 9.0, 0.0)
-    assert entry.tick(100.0) == []
-    assert get_outcomes(entry.handle_link_closed("b")) == ["UNKNOWN"]
+    client = make_client("b")
+    client.forward(("b",), "g", b"r", 9.0, 0.0)
+    assert client.tick(100.0) == []
+    assert get_outcomes(client.handle_link_closed("b")) == ["UNKNOWN"]
 
 
 @pytest.mark.parametrize("outcome", ForwardOutcome)
 def test_the_owners_word_is_passed_on(outcome):
-    entry = make_entry("b")
-    stream, _ = entry.forward(("b",), "g", b"r", 9.0, 0.0)
+    client = make_client("b")
+    stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
     end = ForwardEnd(stream, int(outcome), "why", b"t")
     result = ForwardResult(outcome, "why", b"t")
-    assert entry.receive("b", end) == [FinishStream(stream, result)]
-    assert entry.receive("b", end) == []
+    assert client.receive("b", end) == [FinishStream(stream, result)]
+    assert client.receive("b", end) == []
 
 
 def test_an_outcome_of_a_newer_version_proves_nothing():
-    entry = make_entry("b")
-    stream, _ = entry.forward(("b",), "g", b"r", 9.0, 0.0)
-    assert get_outcomes(entry.receive("b", ForwardEnd(stream, 77, "", b""))) == [
+    client = make_client("b")
+    stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
+    assert get_outcomes(client.receive("b", ForwardEnd(stream, 77, "", b""))) == [
         "UNKNOWN"
     ]
 
 
 def test_another_peer_cannot_answer():
-    entry = make_entry("b", "c")
-    stream, _ = entry.forward(("b",), "g", b"r", 9.0, 0.0)
-    assert entry.receive("c", ForwardData(stream, b"x")) == []
+    client = make_client("b", "c")
+    stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
+    assert client.receive("c", ForwardData(stream, b"x")) == []
 
 
 def test_an_owner_that_sends_more_than_allowed_is_cut_off():
-    entry = make_entry("b")
-    stream, _ = entry.forward(("b",), "g", b"r", 9.0, 0.0)
-    data = ForwardData(stream, b"x" * (CREDIT_WINDOW + 1))
-    assert isinstance(entry.receive("b", data)[0], BreakForwardLink)
+    client = make_client("b")
+    stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
+    data = ForwardData(stream, b"x" * (CREDIT_WINDOW_BYTES + 1))
+    assert isinstance(client.receive("b", data)[0], BreakForwardLink)
 
 
 def test_a_stuck_link_takes_no_request():
-    entry = make_entry("b")
-    entry.set_blocked("b", True)
-    _, actions = entry.forward(("b",), "g", b"r", 9.0, 0.0)
+    client = make_client("b")
+    client.set_blocked("b", True)
+    _, actions = client.forward(("b",), "g", b"r", 9.0, 0.0)
     assert get_outcomes(actions) == ["NOT_RUN"]
 
 
 def test_an_answer_waits_for_credit_and_its_end_for_the_answer():
-    serving = make_serving()
-    key = start(serving, credit=3)
-    assert serving.write(key, b"abcde") == [SendForward("a", ForwardData(1, b"abc"))]
-    assert serving.is_held_back(key)
-    assert serving.finish(key, ANSWERED) == []
-    assert serving.receive("a", ForwardCredit(1, 5), 0.0) == [
+    server = make_server()
+    key = start(server, credit=3)
+    assert server.write(key, b"abcde") == [SendForward("a", ForwardData(1, b"abc"))]
+    assert server.has_pending(key)
+    assert server.finish(key, ANSWERED) == []
+    assert server.receive("a", ForwardCredit(1, 5), 0.0) == [
         SendForward("a", ForwardData(1, b"de")),
         SendForward("a", ForwardEnd(1, 1, "", b"token")),
     ]
 
 
 def test_a_cancelled_answer_is_dropped_but_its_end_is_told():
-    serving = make_serving()
-    key = start(serving, credit=1)
-    serving.write(key, b"abc")
-    assert serving.receive("a", ForwardCancel(1), 0.0) == [CancelRequest(key)]
+    server = make_server()
+    key = start(server, credit=1)
+    server.write(key, b"abc")
+    assert server.receive("a", ForwardCancel(1), 0.0) == [CancelRequest(key)]
     unknown = ForwardResult(ForwardOutcome.UNKNOWN)
-    assert serving.finish(key, unknown) == [SendForward("a", ForwardEnd(1, 4, "", b""))]
+    assert server.finish(key, unknown) == [SendForward("a", ForwardEnd(1, 4, "", b""))]
 
 
 def test_a_leaving_owner_refuses_what_is_new_and_finishes_the_rest():
-    serving = make_serving()
-    key = start(serving)
-    serving.leave()
-    (refused,) = serving.receive("a", ForwardOpen(2, "g", 5.0, 9, b""), 0.0)
+    server = make_server()
+    key = start(server)
+    server.leave()
+    (refused,) = server.receive("a", ForwardOpen(2, "g", 5.0, 9, b""), 0.0)
     assert refused.message.outcome == ForwardOutcome.NOT_RUN
-    assert serving.write(key, b"x") == [SendForward("a", ForwardData(1, b"x"))]
+    assert server.write(key, b"x") == [SendForward("a", ForwardData(1, b"x"))]
 
 
 def test_a_number_used_again_breaks_the_link():
-    serving = make_serving()
-    start(serving)
-    again = serving.receive("a", ForwardOpen(1, "g", 5.0, 9, b""), 0.0)
+    server = make_server()
+    start(server)
+    again = server.receive("a", ForwardOpen(1, "g", 5.0, 9, b""), 0.0)
     assert isinstance(again[0], BreakForwardLink)
 
 
 def test_a_late_answer_does_not_reach_the_stream_of_a_later_link():
-    serving = make_serving()
-    old = start(serving)
-    assert serving.open_link("a") == [CancelRequest(old)]
-    new = start(serving)
-    assert serving.write(old, b"stale") == []
-    assert serving.finish(old, ANSWERED) == []
-    assert serving.write(new, b"fresh") == [SendForward("a", ForwardData(1, b"fresh"))]
+    server = make_server()
+    old = start(server)
+    assert server.handle_link_opened("a") == [CancelRequest(old)]
+    new = start(server)
+    assert server.write(old, b"stale") == []
+    assert server.finish(old, ANSWERED) == []
+    assert server.write(new, b"fresh") == [SendForward("a", ForwardData(1, b"fresh"))]
 
 
 class Pair:
@@ -172,7 +174,7 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.entry, self.serving = ForwardDecider(), ServingDecider()
+        self.client, self.server = ForwardClient(), ForwardServer()
         self.to_owner, self.to_entry = deque(), deque()
         self.linked = False
         self.running = {}
@@ -190,7 +192,7 @@
                     self.received[stream] += data
                     assert stream not in self.results
                     if self.rng.random() < 0.8:
-                        self.do(self.entry.consume(stream, len(data)))
+                        self.do(self.client.consume(stream, len(data)))
                 case FinishStream(stream, result):
                     assert stream not in self.results
                     self.results[stream] = result.outcome
@@ -207,20 +209,20 @@
 
     def finish(self, key, outcome):
         del self.running[key]
-        self.do(self.serving.finish(key, ForwardResult(outcome)))
+        self.do(self.server.finish(key, ForwardResult(outcome)))
 
     def cut(self):
         self.linked = False
         self.to_owner.clear()
         self.to_entry.clear()
         self.do(
-            self.entry.handle_link_closed("b") + self.serving.handle_link_closed("a")
+            self.client.handle_link_closed("b") + self.server.handle_link_closed("a")
         )
 
     def link(self):
         self.linked = True
-        self.do(self.serving.open_link("a"))
-        self.do(self.entry.open_link("b", 0.0))
+        self.do(self.server.handle_link_opened("a"))
+        self.do(self.client.handle_link_opened("b", 0.0))
 
     def step(self, choice):
         if choice == 0 and not self.linked:
@@ -228,27 +230,27 @@
         elif choice == 1 and self.rng.random() < 0.3:
             self.cut()
         elif choice in (2, 3):
-            _, actions = self.entry.forward(("b",), "g", b"r", 1.0, 0.0)
+            _, actions = self.client.forward(("b",), "g", b"r", 1.0, 0.0)
             self.do(actions)
-        elif choice == 4 and self.entry.stream_count:
-            self.do(self.entry.cancel(self.rng.randrange(1, 20)))
+        elif choice == 4 and self.client.stream_count:
+            self.do(self.client.cancel(self.rng.randrange(1, 20)))
         elif choice in (5, 6) and self.to_owner:
             message, _ = decode_message(self.to_owner.popleft(), "a")
-            self.do(self.serving.receive("a", message, 0.0))
+            self.do(self.server.receive("a", message, 0.0))
         elif choice in (7, 8) and self.to_entry:
             message, _ = decode_message(self.to_entry.popleft(), "b")
-            self.do(self.entry.receive("b", message))
+            self.do(self.client.receive("b", message))
         elif self.running:
             self.work(self.rng.choice(list(self.running)))
 
     def work(self, key):
         if self.running[key] == 0:
             self.finish(key, ForwardOutcome.ANSWERED)
-        elif not self.serving.is_held_back(key):
+        elif not self.server.has_pending(key):
             self.running[key] -= 1
             data = bytes([key.stream % 256]) * self.rng.choice((10, 90_000))
             self.written[key.stream] += data
-            self.do(self.serving.write(key, data))
+            self.do(self.server.write(key, data))
 
 
 @settings(derandomize=True, database=None, max_examples=60, deadline=None)
@@ -258,8 +260,8 @@
     for choice in steps:
         pair.step(choice)
     pair.cut()
-    pair.do(pair.entry.tick(1.0))
-    assert pair.entry.stream_count == pair.serving.stream_count == 0
+    pair.do(pair.client.tick(1.0))
+    assert pair.client.stream_count == pair.server.stream_count == 0
     for stream, outcome in pair.results.items():
         assert pair.written[stream].startswith(pair.received[stream])
         if outcome is ForwardOutcome.ANSWERED:
--- a/tests/peers/test_knowledge.py
+++ b/tests/peers/test_knowledge.py
@@ -52,7 +52,7 @@
 
 def test_items_that_do_not_count_leave_the_digest_alone():
     store = fill([GossipItem("k", "a", (1,), "v")])
-    store.accept(GossipItem("k", "a", (2,), "gone"), counted=False)
+    store.accept(GossipItem("k", "a", (2,), "gone"), in_digest=False)
     assert store.digest == 0
     store.remove(ItemKey("k", "a"))
     assert (store.digest, store.size) == (0, 0)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -30,35 +30,37 @@
     decider = make_decider(make_member())
     assert decider.suspect("b", 10.0) == (make_member(state="suspected"),)
     assert decider.suspect("b", 10.5) == ()
-    assert decider.review(11.9).changed == ()
-    assert decider.review(12.0).changed == (make_member(state="dead"),)
+    assert decider.handle_timeouts(11.9).changed == ()
+    assert decider.handle_timeouts(12.0).changed == (make_member(state="dead"),)
 
 
 def test_a_refutation_in_time_is_the_end_of_it():
     decider = make_decider(make_member())
     decider.suspect("b", 10.0)
     decider.observe_member(make_member(incarnation=2), 11.0)
-    assert decider.review(20.0).changed == ()
-    assert decider.has_refuted_lately("b", 20.0)
+    assert decider.handle_timeouts(20.0).changed == ()
+    assert decider.has_refuted_recently("b", 20.0)
 
 
 def test_the_dead_are_forgotten_and_not_learned_again():
     decider = make_decider(make_member(state="suspected"))
-    decider.review(2.0)
-    assert decider.review(4000.0).forgotten == ("b",)
+    decider.handle_timeouts(2.0)
+    assert decider.handle_timeouts(4000.0).expired == ("b",)
     assert not decider.observe_member(make_member(state="dead"), 4001.0).accepted
     assert decider.observe_member(make_member(), 4001.0).accepted
 
 
 def test_two_processes_of_one_name_do_not_refute_without_end():
     decider = make_decider()
-    answers = [
-        decider.observe_member(make_member("a", "suspected", step), step / 1000).answers
+    refutations = [
+        decider.observe_member(
+            make_member("a", "suspected", step), step / 1000
+        ).refutations
         for step in range(1, 1001)
     ]
-    assert sum(map(len, answers)) == 4
-    assert decider.review(2.0).changed == (make_member("a", incarnation=1001),)
-    assert decider.review(3.0).changed == ()
+    assert sum(map(len, refutations)) == 4
+    assert decider.handle_timeouts(2.0).changed == (make_member("a", incarnation=1001),)
+    assert decider.handle_timeouts(3.0).changed == ()
 
 
 def test_the_lists_leaving_of_an_earlier_process_is_not_believed():
