--- a/beryltrack/peers/__init__.py
+++ b/beryltrack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Peers: the link between proxies, membership, shared knowledge and forwarding."""
+"""Links between proxies: authentication, membership, gossip and forwarding."""
--- a/beryltrack/peers/actions.py
+++ b/beryltrack/peers/actions.py
@@ -1,4 +1,4 @@
-"""What the peers' decider asks its task to do."""
+"""Actions that `PeerDecider` returns and `PeerTask` carries out."""
 
 from typing import NamedTuple
 
@@ -13,14 +13,14 @@
 
 
 class OpenLink(NamedTuple):
-    """Open a control link to a peer, or to a seed whose name is not known.
+    """Open a control link to a peer or a seed.
 
     Parameters
     ----------
     peer : str
-        Name of the peer; empty for a seed.
+        Name of the peer; empty for a seed, whose name is not known.
     host : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     """
@@ -38,7 +38,7 @@
     peer : str
         Name of the peer.
     reason : str
-        Why, for the log.
+        Reason, for the log.
     """
 
     peer: str
@@ -46,7 +46,7 @@
 
 
 class NotifySubscribers(NamedTuple):
-    """Tell subscribers of an item that is new here."""
+    """Notify subscribers of a new item."""
 
     item: GossipItem
 
--- a/beryltrack/peers/authentication.py
+++ b/beryltrack/peers/authentication.py
@@ -1,8 +1,8 @@
-"""Proof that a peer knows the fleet's key, without sending the key.
+"""Mutual challenge-response authentication of peers by the fleet's shared key.
 
-Both sides send a random nonce and answer with an HMAC over both nonces, both
-names and their role. A role in the text keeps a proof from being sent back to
-whoever made it, and fresh nonces keep an old one from being used again.
+The key is never sent. Each side sends a random nonce and an HMAC-SHA-256 over both
+nonces, both names and its role. The role prevents reflection of a proof to the side
+that made it, and fresh nonces prevent replay.
 """
 
 import hashlib
@@ -17,25 +17,25 @@
 
 
 def make_nonce() -> bytes:
-    """Return fresh random bytes; the system's source, as proofs depend on them."""
+    """Return `NONCE_BYTES` bytes of the system's cryptographic random source."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def compute_proof(
     key: str, role: str, hello: Hello, version: int, name: str, nonce: bytes
 ) -> bytes:
-    """Return the proof of one side.
+    """Return the proof that one side sends.
 
     Parameters
     ----------
     key : str
         The key of the fleet, from the settings of the instance.
     role : str
-        `OPENING_ROLE` or `ANSWERING_ROLE`: whose proof it is.
+        `OPENING_ROLE` or `ANSWERING_ROLE`: the side that sends the proof.
     hello : Hello
-        What the opening side sent.
+        The hello of the opening side.
     version : int
-        Version of the protocol that the answering side chose.
+        Protocol version that the answering side chose.
     name : str
         Name of the answering side.
     nonce : bytes
@@ -44,20 +44,20 @@
     Returns
     -------
     bytes
-        SHA-256 HMAC.
+        HMAC-SHA-256.
     """
-    # repr quotes each part, so that no two lists of parts give the same text.
+    # repr quotes each field, so that different fields never give the same text.
     text = repr((role, tuple(hello), version, name, nonce))
     return hmac.new(key.encode(), text.encode(), hashlib.sha256).digest()
 
 
 def verify_proof(expected: bytes, received: bytes) -> bool:
-    """Return whether a proof is right, in a time that does not depend on it."""
+    """Return whether a proof is correct; the comparison takes constant time."""
     return hmac.compare_digest(expected, received)
 
 
 def compute_challenge_proof(key: str, role: str, hello: Hello, challenge: Challenge):
-    """Return the proof over a hello and the challenge that answered it."""
+    """Return the proof over a hello and the challenge that answers it."""
     return compute_proof(
         key, role, hello, challenge.version, challenge.name, challenge.nonce
     )
--- a/beryltrack/peers/batches.py
+++ b/beryltrack/peers/batches.py
@@ -1,4 +1,4 @@
-"""Cuts lists of items into messages of bounded size."""
+"""Splits lists of items into batches of bounded size, one for each message."""
 
 from collections.abc import Iterable
 
@@ -7,17 +7,21 @@
 from beryltrack.peers.messages import GossipItem
 
 MAX_BATCH_BYTES = 64 * 1024
+
 MAX_ITEM_BYTES = 1024 * 1024 + 4096
+"""Maximum size of an encoded item that a frame can hold."""
+
 MAX_PENDING_ITEMS = 4096
+"""Items that may be queued for one link."""
 
 
 def compute_item_size(item: GossipItem) -> int:
-    """Return the bytes that an item takes in a message.
+    """Return the encoded size of an item, bytes.
 
     Raises
     ------
     cbor2.CBOREncodeError
-        If the item's value cannot be carried by CBOR.
+        If CBOR cannot encode the item's value.
     """
     return len(cbor2.dumps(item))
 
@@ -25,14 +29,14 @@
 def split_items(
     items: Iterable[GossipItem], limit: int = MAX_BATCH_BYTES
 ) -> list[tuple[GossipItem, ...]]:
-    """Return items in batches.
+    """Split items into batches.
 
     Parameters
     ----------
     items : iterable of GossipItem
-        What is to be sent.
+        Items to send.
     limit : int
-        Bytes above which a batch ends; a single larger item is a batch.
+        Maximum size of a batch, bytes; a larger item is a batch of its own.
 
     Returns
     -------
--- a/beryltrack/peers/codec.py
+++ b/beryltrack/peers/codec.py
@@ -1,8 +1,8 @@
-"""Messages of the peer link to CBOR and back.
+"""Codec of the peer link's messages.
 
-A message is a CBOR array: its code, then its fields in order. Decoding checks
-each field, reports all that is wrong with it and never raises, because the
-bytes come from outside.
+A message is a CBOR array: its code, then its fields in order. Decoding validates
+each field and reports all errors as findings; it never raises, because the bytes
+come from outside.
 """
 
 from collections.abc import Callable
@@ -44,15 +44,20 @@
 )
 
 MAX_DEPTH = 32
+"""Maximum nesting of CBOR values."""
+
 MAX_NUMBER = 2**64 - 1
+
 MAX_VERSION_LENGTH = 8
+"""Maximum count of numbers in an item's version."""
+
 PLAIN_TYPES = frozenset({bool, int, float, str, bytes})
 
 Reader = Callable[[object], object]
 
 
 class MessageSpec(NamedTuple):
-    """How one type of message is carried.
+    """Encoding of one type of message.
 
     Parameters
     ----------
@@ -61,8 +66,8 @@
     type : type
         The message's NamedTuple.
     readers : tuple of callable
-        One for each field; turns what CBOR gave into the field's value or
-        raises ValueError.
+        One for each field; converts the decoded CBOR value to the field's value,
+        or raises ValueError.
     """
 
     code: int
@@ -71,56 +76,57 @@
 
 
 def read_text(value: object) -> str:
-    """Return a text field; ValueError if it is none."""
+    """Return a text field; raise ValueError for any other value."""
     if not isinstance(value, str):
-        raise ValueError("is not a text")
+        raise ValueError("is not text")
     return value
 
 
 def read_number(value: object) -> int:
-    """Return a whole number of at most 64 bits; ValueError if it is none."""
+    """Return an unsigned 64-bit integer; raise ValueError for any other value."""
     if type(value) is not int or not 0 <= value <= MAX_NUMBER:
-        raise ValueError("is not a whole number of 64 bits")
+        raise ValueError("is not an unsigned 64-bit integer")
     return value
 
 
 def read_seconds(value: object) -> float:
-    """Return a duration in seconds; ValueError if it is none."""
+    """Return a duration in seconds; raise ValueError for any other value."""
     if type(value) not in (int, float) or not 0 <= value < float("inf"):
-        raise ValueError("is not a duration")
+        raise ValueError("is not a finite, non-negative duration")
     return float(value)
 
 
 def read_bytes(value: object) -> bytes:
-    """Return a bytes field; ValueError if it is none."""
+    """Return a bytes field; raise ValueError for any other value."""
     if not isinstance(value, bytes):
         raise ValueError("is not a byte string")
     return value
 
 
 def read_plain(value: object) -> object:
-    """Return any value that can be sent on; its user checks what it means.
+    """Return a value of plain types; its user validates what it means.
 
-    Tagged values of CBOR become objects that not every encoder takes.
+    Tagged CBOR values raise ValueError: they decode to objects that not every
+    encoder accepts, so the item could not be passed on to other peers.
     """
     if isinstance(value, list):
         return [read_plain(element) for element in value]
     if isinstance(value, dict):
         return {read_text(key): read_plain(entry) for key, entry in value.items()}
     if value is not None and type(value) not in PLAIN_TYPES:
-        raise ValueError("is not made of numbers, texts, bytes, lists and maps")
+        raise ValueError("does not consist of numbers, text, bytes, lists and maps")
     return value
 
 
 def read_version(value: object) -> tuple[int, ...]:
-    """Return an item's version; ValueError if it is none."""
+    """Return an item's version; raise ValueError for any other value."""
     if not isinstance(value, list) or not 0 < len(value) <= MAX_VERSION_LENGTH:
-        raise ValueError("is not a version")
+        raise ValueError("is not a version (a short list of numbers)")
     return tuple(read_number(number) for number in value)
 
 
 def make_list_reader(read_element: Reader) -> Reader:
-    """Return a reader of lists whose elements `read_element` reads."""
+    """Return a reader of lists that reads each element with `read_element`."""
 
     def read_list(value: object) -> tuple:
         if not isinstance(value, list):
@@ -150,7 +156,7 @@
 read_keys = make_list_reader(make_tuple_reader(ItemKey, (read_text, read_text)))
 read_numbers = make_list_reader(read_number)
 
-# Codes are never used again for another message; see docs/notes/peers.md.
+# A code is never reused for another message; see docs/notes/peers.md.
 SPECS = (
     MessageSpec(
         1,
@@ -191,7 +197,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the bytes of a message.
+    """Return the encoded bytes of a message.
 
     Parameters
     ----------
@@ -207,50 +213,52 @@
 
 
 def decode_message(data: bytes, source: str) -> tuple[Message | None, list[Finding]]:
-    """Return the message in some bytes, or what is wrong with them.
+    """Decode and validate a message.
 
     Parameters
     ----------
     data : bytes
-        What one frame carried.
+        Payload of one frame.
     source : str
         Name of the peer, for the findings.
 
     Returns
     -------
     Message or None
-        The message; None if anything is wrong.
+        The message; None if it is malformed.
     list of Finding
-        All that is wrong, each with its place.
+        All errors, each with its place.
     """
     array, findings = _load_array(data, source)
     if array is None:
         return None, findings
     spec = SPECS_BY_CODE.get(array[0]) if type(array[0]) is int else None
     if spec is None:
-        return None, [Finding(source, "/0", "the message is of an unknown type")]
-    # A newer peer may add fields at the end; they are not read here.
+        return None, [Finding(source, "/0", "the message has an unknown code")]
+    # A newer peer may append fields; they are ignored.
     fields = array[1 : 1 + len(spec.readers)]
     if len(fields) < len(spec.readers):
-        return None, [Finding(source, spec.type.__name__, "fields are missing")]
+        return None, [
+            Finding(source, spec.type.__name__, "the message has too few fields")
+        ]
     return _read_fields(spec, fields, source)
 
 
 def _load_array(data: bytes, source: str) -> tuple[list | None, list[Finding]]:
-    """Return the array that the bytes hold, or a finding."""
+    """Return the decoded array, or a finding."""
     try:
         array = cbor2.loads(data, max_depth=MAX_DEPTH)
-    except Exception as error:  # Decoders of tagged values raise errors of any type.
-        return None, [Finding(source, "", f"the message is not CBOR: {error!r}")]
+    except Exception as error:  # Decoders of tagged values raise any type of error.
+        return None, [Finding(source, "", f"the message is not valid CBOR: {error!r}")]
     if not isinstance(array, list) or not array:
-        return None, [Finding(source, "", "the message is not an array")]
+        return None, [Finding(source, "", "the message is not a CBOR array")]
     return array, []
 
 
 def _read_fields(
     spec: MessageSpec, fields: list, source: str
 ) -> tuple[Message | None, list[Finding]]:
-    """Return the message made of checked fields, or all findings."""
+    """Return the message with its validated fields, or all findings."""
     values, findings = [], []
     for name, read, field in zip(spec.type._fields, spec.readers, fields, strict=True):
         try:
--- a/beryltrack/peers/counters.py
+++ b/beryltrack/peers/counters.py
@@ -1,4 +1,4 @@
-"""Counts of the peer link's traffic, and their OpenTelemetry instruments."""
+"""Counters of the peer links' traffic, and their OpenTelemetry instruments."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -13,13 +13,13 @@
     Parameters
     ----------
     bytes_sent, bytes_received : int
-        Bytes handed to and taken from TCP.
+        Bytes written to and read from TCP connections.
     messages_sent, messages_received : int
-        Messages, each in one frame.
+        Messages; each is one frame.
     malformed : int
-        Messages that could not be decoded.
+        Messages that could not be decoded or hold an invalid item.
     refused : int
-        Links closed because the peer did not prove itself.
+        Links closed because the peer failed the handshake.
     """
 
     bytes_sent: int = 0
@@ -31,14 +31,14 @@
 
 
 def register_counters(meter: Meter, counters: LinkCounters) -> None:
-    """Make the counts readable through a meter.
+    """Register an observable counter for each field.
 
     Parameters
     ----------
     meter : Meter
         The process's meter.
     counters : LinkCounters
-        The counts of its peer task.
+        The counters of its peer task.
     """
     for name in vars(counters):
         meter.create_observable_counter(
@@ -49,7 +49,7 @@
 def _make_reader(
     counters: LinkCounters, name: str
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
-    """Return the callback that reads one count."""
+    """Return the callback that reads one counter."""
 
     def read_counter(options: CallbackOptions) -> Iterable[Observation]:
         return [Observation(getattr(counters, name))]
--- a/beryltrack/peers/decider.py
+++ b/beryltrack/peers/decider.py
@@ -1,9 +1,10 @@
-"""The rules of membership and shared knowledge over the control links.
+"""Membership and gossip over the control links: the decisions, without any I/O.
 
-A change is pushed at once over all control links but the one it came from; as
-each proxy has few links, it reaches the whole fleet in a few steps. Heartbeats
-carry a digest of all that the sender knows. Where digests stay different, the
-side that opened the link compares buckets, and only differences are sent.
+A new item is pushed at once over all control links except the one it came from
+(push gossip). Each proxy has few links, so an item reaches the whole fleet in a few
+hops. Heartbeats carry a digest of the sender's items. If digests stay different,
+the side that opened the link starts an anti-entropy exchange, which compares
+buckets of items and sends only what differs.
 """
 
 import logging
@@ -50,10 +51,19 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_PERIOD = 1.0
+"""Seconds between two heartbeats on a control link, and between two ticks."""
+
 SILENCE_TIMEOUT = 3.2
+"""Seconds without a message after which a control link is closed."""
+
 PAUSE_LIMIT = 2.5
+"""Seconds between two ticks above which this process itself counts as suspended."""
+
 CONNECT_FAILURES_TO_SUSPECT = 2
+"""Consecutive failures to connect after which a peer is suspected."""
+
 MAX_FORWARDED_SYNC_ITEMS = 64
+"""Items of one anti-entropy message above which they are not pushed to others."""
 
 
 class _Link:
@@ -62,7 +72,7 @@
     Parameters
     ----------
     opened_here : bool
-        True if this side opened it.
+        True if this side opened the link.
     now : float
         The current time, seconds.
     """
@@ -73,14 +83,14 @@
 
 
 class PeerDecider:
-    """Membership and shared knowledge of one proxy.
+    """Membership and gossip of one proxy.
 
     Parameters
     ----------
     own : Member
         This proxy, `JOINED`.
     seeds : tuple of Endpoint
-        Where peers may be found when nobody is known.
+        Addresses to contact while no peer is linked.
     rng : random.Random
         Source of jitter.
     now : float
@@ -102,7 +112,7 @@
 
     @property
     def own(self) -> Member:
-        """What the proxy tells others of itself."""
+        """The entry of this proxy, as announced to others."""
         return self._membership.own
 
     @property
@@ -112,7 +122,7 @@
 
     @property
     def store(self) -> GossipStore:
-        """All that is known."""
+        """The items that this proxy holds."""
         return self._store
 
     @property
@@ -127,15 +137,15 @@
 
     @property
     def dropped_pushes(self) -> int:
-        """Items that were not pushed because a link was stuck."""
+        """The number of items that were not pushed because a link was blocked."""
         return self._pushes.dropped
 
     def join(self, port: int) -> list[Action]:
-        """Tell of this proxy, now that it listens on a port."""
+        """Announce this proxy, which now listens on a port."""
         return self._announce(self._membership.join(port), "")
 
     def publish(self, item: GossipItem) -> list[Action]:
-        """Take an item of this proxy's own, to be told to everybody."""
+        """Store an item of this proxy and push it to all others."""
         return self._merge_items((item,), "", forward=True, now=self._ticked_at)
 
     def flush(self, blocked: Container[str] = ()) -> list[Action]:
@@ -144,7 +154,7 @@
         Parameters
         ----------
         blocked : container of str
-            Peers whose links take no more now; their items stay pending.
+            Peers whose links cannot be written to; their items stay pending.
 
         Returns
         -------
@@ -156,7 +166,7 @@
     def handle_link_opened(
         self, peer: str, opened_here: bool, now: float
     ) -> list[Action]:
-        """Take a control link that is open; it replaces an earlier one."""
+        """Start to use a control link; it replaces an earlier one to the peer."""
         self._opening.discard(peer)
         self._planner.record_success(peer)
         self._links[peer] = _Link(opened_here, now)
@@ -164,24 +174,24 @@
         self._pushes.push_to(peer, [make_member_item(self.own)])
         member = self._membership.get_member(peer)
         if member is not None and member.state in (SUSPECTED, DEAD):
-            # The peer refutes at once what is wrongly thought of it.
+            # Lets the peer refute its suspicion or death at once.
             self._pushes.push_to(peer, [make_member_item(member)])
         return [SendMessage(peer, Heartbeat(self._store.digest))]
 
     def handle_connect_failure(self, peer: str, now: float) -> list[Action]:
-        """Note that a control link could not be opened."""
+        """Back off, and suspect the peer after repeated failures to connect."""
         self._opening.discard(peer)
         failures = self._planner.record_failure(peer, now)
         if failures < CONNECT_FAILURES_TO_SUSPECT or peer in self._links:
             return []
-        # Others may reach a peer that this proxy does not: it is not suspected
-        # again and again.
+        # Others may reach a peer that this proxy cannot. Without this check it
+        # would be suspected again after each of its refutations.
         if self._membership.has_refuted_recently(peer, now):
             return []
         return self._suspect(peer, "cannot be connected to", now)
 
     def handle_link_closed(self, peer: str, orderly: bool, now: float) -> list[Action]:
-        """Note that a control link has closed; suspect the peer if it broke."""
+        """Drop the state of a closed control link; suspect the peer if it broke."""
         self._sync.drop_peer(peer)
         self._pushes.drop_link(peer)
         if self._links.pop(peer, None) is None or orderly:
@@ -189,7 +199,7 @@
         return self._suspect(peer, "broke its link", now)
 
     def receive(self, peer: str, message: Message, now: float) -> list[Action]:
-        """Take a message from a control link."""
+        """Handle a message from a control link and return the replies."""
         link = self._links.get(peer)
         if link is None:
             return []
@@ -202,7 +212,7 @@
             case SyncItems(items):
                 forward = self._should_forward(items, now)
                 actions = self._merge_items(items, peer, forward, now)
-                self._sync.record_comparison(bool(actions))
+                self._sync.record_exchange(bool(actions))
                 return actions
             case SyncDigests(digests):
                 replies = self._sync.answer_digests(peer, digests, now)
@@ -217,7 +227,10 @@
         return [SendMessage(peer, reply) for reply in replies]
 
     def tick(self, now: float) -> list[Action]:
-        """Do what the passing of `HEARTBEAT_PERIOD` seconds asks for."""
+        """Send heartbeats, check timeouts, and close and open links.
+
+        Called each `HEARTBEAT_PERIOD` seconds.
+        """
         if now - self._ticked_at > PAUSE_LIMIT:
             self._recover_from_pause(now)
         self._ticked_at = now
@@ -232,36 +245,36 @@
     def observe_instances(
         self, instances: Iterable[ListedInstance], now: float
     ) -> list[Action]:
-        """Take the platform's instance list."""
+        """Apply the platform's instance list."""
         leaving = self._membership.observe_instances(instances, now)
         return [*self._announce_all(leaving), *self._open_missing_links(now)]
 
     def leave(self) -> list[Action]:
-        """Tell the others that this proxy is leaving."""
+        """Announce that this proxy is leaving."""
         return self._announce(self._membership.leave(), "")
 
     def finish(self) -> list[Action]:
-        """Tell the others that this proxy has left."""
+        """Announce that this proxy has left."""
         return self._announce(self._membership.finish(), "")
 
     def _merge_items(
         self, items: Iterable[GossipItem], source: str, forward: bool, now: float
     ) -> list[Action]:
-        """Take items, and push those that are new to the other links."""
-        news = [
+        """Store new items, and push them over the other links if `forward` is set."""
+        new = [
             (item, refutations)
             for item, accepted, refutations in (
                 (item, *self._merge_item(item, source, now)) for item in items
             )
             if accepted or refutations
         ]
-        taken = [item for item, refutations in news if not refutations]
+        accepted_items = [item for item, refutations in new if not refutations]
         if forward:
-            self._pushes.push(taken, source)
-        replies = chain.from_iterable(refutations for _, refutations in news)
-        changed = any(item.kind == MEMBER_KIND for item in taken)
+            self._pushes.push(accepted_items, source)
+        replies = chain.from_iterable(refutations for _, refutations in new)
+        changed = any(item.kind == MEMBER_KIND for item in accepted_items)
         return [
-            *map(NotifySubscribers, taken),
+            *map(NotifySubscribers, accepted_items),
             *self._announce_all(tuple(replies)),
             *(self._open_missing_links(now) if changed and self._lacks_links() else ()),
         ]
@@ -269,7 +282,7 @@
     def _merge_item(
         self, item: GossipItem, source: str, now: float
     ) -> tuple[bool, tuple[Member, ...]]:
-        """Take one item; return whether it is new, and what to answer."""
+        """Store one item; return whether it is new, and the refutations to send."""
         if item.kind != MEMBER_KIND:
             wanted = not is_about_member(item.kind) or self._is_present(item.key)
             return wanted and self._store.accept(item), ()
@@ -283,36 +296,37 @@
         return observation
 
     def _is_present(self, name: str) -> bool:
-        """Return whether a member is known by its own word and not gone."""
+        """Return whether a member has announced itself and has not gone."""
         member = self._membership.get_member(name)
         return member is not None and member.state in PRESENT_STATES
 
     def _store_member(self, item: GossipItem, member: Member) -> bool:
-        """Keep a member's state; what else is known of one that went is dropped."""
+        """Store a member's state; for one that has gone, drop all its other items."""
         gone = member.state in GONE_STATES
         if gone:
             self._store.remove_member(member.name)
         return self._store.accept(item, in_digest=not gone)
 
     def _should_forward(self, items: tuple[GossipItem, ...], now: float) -> bool:
-        """Return whether items that a comparison brought may be news to others.
+        """Return whether items of an anti-entropy exchange may be new to others.
 
-        What a young proxy learns is old to all others, except where many
-        proxies start at once and have not yet heard of each other.
+        During its warm-up a proxy receives items that all others hold already.
+        Member items are the exception: many proxies may start at once and not yet
+        know each other.
         """
         few = len(items) <= MAX_FORWARDED_SYNC_ITEMS
         about_members = all(is_about_member(item.kind) for item in items)
         return few and (about_members or not self._sync.is_warming_up(now))
 
     def _suspect(self, peer: str, cause: str, now: float) -> list[Action]:
-        """Suspect a peer and tell the others, if that is news."""
+        """Suspect a peer and announce it, unless it is suspected or gone already."""
         suspected = self._membership.suspect(peer, now)
         if suspected:
-            log.info("peers: %s is suspected, it %s", peer, cause)
+            log.info("peers: peer %s is suspected to be dead: it %s", peer, cause)
         return self._announce_all(suspected)
 
     def _announce(self, member: Member, source: str) -> list[Action]:
-        """Keep and push a member's state that was decided here."""
+        """Store and push a member's state that this proxy decided."""
         item = make_member_item(member)
         if not self._store_member(item, member):
             return []
@@ -326,8 +340,12 @@
         )
 
     def _recover_from_pause(self, now: float) -> None:
-        """Forgive all silence: it was this process that slept."""
-        log.warning("peers: paused for %.1f s", now - self._ticked_at)
+        """Restart all timeouts after this process itself was suspended."""
+        log.warning(
+            "peers: this process was suspended or blocked for %.1f s; "
+            "restarting the timeouts of all peers",
+            now - self._ticked_at,
+        )
         self._membership.restart_suspicions(now)
         for link in self._links.values():
             link.last_received_at = now
@@ -338,26 +356,28 @@
         return [SendMessage(peer, heartbeat) for peer in self._links]
 
     def _close_silent_links(self, now: float) -> list[Action]:
-        """Close links that have been silent too long, and suspect their peers."""
+        """Close links without a message in `SILENCE_TIMEOUT`; suspect their peers."""
         silent = [
             peer
             for peer, link in self._links.items()
             if now - link.last_received_at > SILENCE_TIMEOUT
         ]
         self._drop_links(silent)
-        suspicions = (self._suspect(peer, "is silent", now) for peer in silent)
+        suspicions = (
+            self._suspect(peer, "sends no heartbeats", now) for peer in silent
+        )
         closing = [CloseLink(peer, "no heartbeat") for peer in silent]
         return [*closing, *chain.from_iterable(suspicions)]
 
     def _expire_members(self, now: float) -> list[Action]:
-        """Announce members that have died, and forget those gone long ago."""
+        """Announce members that count as dead now, and drop those gone long ago."""
         changes = self._membership.handle_timeouts(now)
         for name in changes.expired:
             self._store.remove_member(name)
         return self._announce_all(changes.changed)
 
     def _close_unwanted_links(self, now: float) -> list[Action]:
-        """Return the closing of links that are not wanted any more."""
+        """Close links opened here whose peers are no longer neighbours."""
         opened_here = [peer for peer, link in self._links.items() if link.opened_here]
         unwanted = self._planner.plan_closing(self.members, opened_here, now)
         self._drop_links(unwanted)
@@ -371,16 +391,16 @@
             self._pushes.drop_link(peer)
 
     def _lacks_links(self) -> bool:
-        """Return whether this proxy is short of links and cannot await the tick.
+        """Return whether this proxy has too few links to wait for the next tick.
 
-        To look for neighbours at each change would cost a large fleet dear when
-        many come and go at once.
+        Computing the neighbours at each change would be expensive in a large fleet
+        when many members come and go at once.
         """
         opened_here = sum(link.opened_here for link in self._links.values())
         return opened_here < RING_COUNT
 
     def _open_missing_links(self, now: float) -> list[Action]:
-        """Return the opening of links that are missing."""
+        """Open the links to neighbours that are missing."""
         if self.own.state in GONE_STATES or not self.own.port:
             return []
         busy = self._opening.union(self._links)
--- a/beryltrack/peers/forward_client.py
+++ b/beryltrack/peers/forward_client.py
@@ -1,8 +1,8 @@
-"""The side of forwarding that passes requests on, without any I/O.
+"""Client side of forwarding: passes requests on to owners. Sans-I/O.
 
-Until a request has been handed to a link it provably did not run, and may go
-to the next owner. From then on only the owner's word tells; if its link is lost
-before that, the outcome is unknown, and that is what is said.
+A request that has not been sent over a link provably did not run, and may go to the
+next owner. After that only the owner's `ForwardEnd` states the outcome; if the link
+is lost before that message arrives, the request ends with `UNKNOWN`.
 """
 
 from itertools import count
@@ -26,6 +26,8 @@
 )
 
 CREDIT_WINDOW_BYTES = 256 * 1024
+"""Flow-control window: bytes of one answer that an owner may send unconsumed."""
+
 MAX_STREAMS_PER_PEER = 1024
 MAX_WAITING_REQUESTS = 1024
 
@@ -33,12 +35,12 @@
 
 
 class _WaitingRequest(NamedTuple):
-    """A request that no link has taken yet.
+    """A request that waits for a link to an owner.
 
     Parameters
     ----------
     owners : tuple of str
-        Owners to try, the present one first.
+        Owners to try, the current one first.
     group : str
         The database group.
     deadline : float
@@ -54,7 +56,7 @@
 
 
 class _SentRequest:
-    """A request that was handed to a link.
+    """A request that was sent over a link.
 
     Parameters
     ----------
@@ -69,7 +71,7 @@
 
 
 class ForwardClient:
-    """The requests that this proxy has passed on."""
+    """The requests that this proxy has passed on to owners."""
 
     def __init__(self):
         self._numbers = count(1)
@@ -92,7 +94,7 @@
         deadline: float,
         now: float,
     ) -> tuple[int, list[ForwardAction]]:
-        """Pass a request on to the first owner that can be reached.
+        """Pass a request on to the first owner that is reachable.
 
         Parameters
         ----------
@@ -112,7 +114,8 @@
         int
             Number of the stream.
         list of ForwardAction
-            What to do; with a refusal among it if the request cannot be sent.
+            What to do; includes a `FinishStream` with `NOT_RUN` if the request
+            cannot be sent.
         """
         stream = next(self._numbers)
         waiting = _WaitingRequest(owners, group, deadline, request)
@@ -121,9 +124,9 @@
         return stream, self._dispatch(stream, waiting, now)
 
     def handle_link_opened(self, peer: str, now: float) -> list[ForwardAction]:
-        """Note that a link is open, and send what waits for it.
+        """Send the requests that wait for a link that is open now.
 
-        A link that replaces another one ends the streams of that one.
+        If it replaces an earlier link, the streams of that link end.
         """
         actions = self._end_sent_requests(peer, "the link to the owner was replaced")
         self._opening_links.discard(peer)
@@ -132,7 +135,7 @@
         return [*actions, *self._dispatch_waiting(peer, now)]
 
     def handle_connect_failure(self, peer: str, now: float) -> list[ForwardAction]:
-        """Note that a link could not be opened; others are tried."""
+        """Try the next owner for the requests that wait for a link that failed."""
         self._opening_links.discard(peer)
         waiting = self._list_waiting(peer)
         for stream, entry in waiting:
@@ -144,26 +147,26 @@
         ]
 
     def handle_link_closed(self, peer: str) -> list[ForwardAction]:
-        """Note that a link has closed; what was sent over it may have run."""
+        """End the streams of a closed link; their requests may have run."""
         self._open_links.discard(peer)
         self._blocked.discard(peer)
         return self._end_sent_requests(peer, "the link to the owner was lost")
 
     def set_blocked(self, peer: str, is_blocked: bool) -> None:
-        """Note whether a link takes messages; if not, it gets no request."""
+        """Set whether a link is blocked; a blocked link gets no new request."""
         if is_blocked:
             self._blocked.add(peer)
         else:
             self._blocked.discard(peer)
 
     def handle_dead_peer(self, peer: str) -> list[ForwardAction]:
-        """Break the link to a peer that is dead by the word of others."""
+        """Break the link to a peer that membership reports as gone."""
         if peer not in self._open_links:
             return []
-        return [BreakForwardLink(peer, "the owner is dead")]
+        return [BreakForwardLink(peer, "the owner has left or is dead")]
 
     def receive(self, peer: str, message: ForwardMessage) -> list[ForwardAction]:
-        """Take an owner's message; one of a stream that has ended is dropped."""
+        """Handle an owner's message; drop it if its stream has ended."""
         sent = self._sent.get(message.stream)
         if sent is None or sent.peer != peer:
             return []
@@ -171,18 +174,20 @@
             case ForwardData(stream, data):
                 sent.credit -= len(data)
                 if sent.credit < 0:
-                    return [BreakForwardLink(peer, "it sent more than was allowed")]
+                    return [
+                        BreakForwardLink(peer, "the owner sent more than its credit")
+                    ]
                 return [DeliverData(stream, data)]
             case ForwardEnd(stream, outcome, reason, trailer):
                 del self._sent[stream]
-                # A newer owner's word that is not known here proves nothing.
+                # An outcome that only a newer version defines proves nothing.
                 known = outcome in KNOWN_OUTCOMES
                 meaning = ForwardOutcome(outcome if known else ForwardOutcome.UNKNOWN)
                 return [FinishStream(stream, ForwardResult(meaning, reason, trailer))]
         return []
 
     def consume(self, stream: int, size: int) -> list[ForwardAction]:
-        """Note that so many bytes were passed on to the caller."""
+        """Grant the owner credit for bytes of an answer that the caller was sent."""
         sent = self._sent.get(stream)
         if sent is None:
             return []
@@ -194,25 +199,25 @@
         return [SendForward(sent.peer, ForwardCredit(stream, credit))]
 
     def cancel(self, stream: int) -> list[ForwardAction]:
-        """Cancel a request; if it was sent, the owner still tells what came of it."""
+        """Cancel a request; if it was sent, the owner still reports its outcome."""
         if self._waiting.pop(stream, None) is not None:
-            return [_refuse(stream, "it was cancelled")]
+            return [_refuse(stream, "the request was cancelled")]
         sent = self._sent.get(stream)
         return [SendForward(sent.peer, ForwardCancel(stream))] if sent else []
 
     def tick(self, now: float) -> list[ForwardAction]:
-        """Refuse the requests that no owner took in time."""
+        """Refuse the requests that could not be sent before their deadline."""
         late = [s for s, entry in self._waiting.items() if now >= entry.deadline]
         for stream in late:
             del self._waiting[stream]
-        return [_refuse(stream, "no owner took it in time") for stream in late]
+        return [_refuse(stream, "no owner accepted it in time") for stream in late]
 
     def _dispatch(
         self, stream: int, entry: _WaitingRequest, now: float
     ) -> list[ForwardAction]:
-        """Send a request, or have a link opened for it, or refuse it."""
+        """Send a request, open a link for it, or refuse it."""
         if now >= entry.deadline:
-            return [_refuse(stream, "no owner took it in time")]
+            return [_refuse(stream, "no owner accepted it in time")]
         usable = [owner for owner in entry.owners if self._has_capacity(owner)]
         linked = [owner for owner in usable if owner in self._open_links]
         if linked:
@@ -226,14 +231,14 @@
         return [OpenForwardLink(usable[0])]
 
     def _has_capacity(self, peer: str) -> bool:
-        """Return whether a peer may get one more stream."""
+        """Return whether a peer may be sent one more stream."""
         streams = sum(sent.peer == peer for sent in self._sent.values())
         return peer not in self._blocked and streams < MAX_STREAMS_PER_PEER
 
     def _send(
         self, stream: int, peer: str, entry: _WaitingRequest, now: float
     ) -> ForwardAction:
-        """Return the action that hands a request to a link."""
+        """Return the action that sends a request over a link."""
         self._sent[stream] = _SentRequest(peer)
         timeout = entry.deadline - now
         message = ForwardOpen(
@@ -242,7 +247,7 @@
         return SendForward(peer, message)
 
     def _dispatch_waiting(self, peer: str, now: float) -> list[ForwardAction]:
-        """Place the requests that wait for a peer."""
+        """Dispatch again the requests that wait for a link to a peer."""
         return [
             action
             for stream, entry in self._list_waiting(peer)
@@ -258,7 +263,7 @@
         ]
 
     def _end_sent_requests(self, peer: str, reason: str) -> list[ForwardAction]:
-        """End the streams of a link that is gone; nobody can tell what ran."""
+        """End the streams of a lost link with `UNKNOWN`."""
         lost = [stream for stream, sent in self._sent.items() if sent.peer == peer]
         for stream in lost:
             del self._sent[stream]
@@ -267,5 +272,5 @@
 
 
 def _refuse(stream: int, reason: str) -> FinishStream:
-    """Return the end of a request that was not sent."""
+    """Return the `NOT_RUN` end of a request that was not sent."""
     return FinishStream(stream, ForwardResult(ForwardOutcome.NOT_RUN, reason))
--- a/beryltrack/peers/forward_messages.py
+++ b/beryltrack/peers/forward_messages.py
@@ -1,9 +1,9 @@
 """Messages and actions by which proxies pass requests on to a group's owners.
 
-A forwarded request is a stream on a link of its own purpose. The side that
-opened the stream numbers it, never uses a number twice on a link, and says by
-credit how much of the answer it takes. Both sides of a link may open streams;
-the types of the messages tell whose number is meant.
+A forwarded request is a stream on a link of the purpose `FORWARDING`. The side that
+opens the stream numbers it, never reuses a number on a link, and limits the answer
+by credit (flow control). Both sides of a link may open streams; the type of a
+message tells which side's number it holds.
 """
 
 import enum
@@ -11,10 +11,10 @@
 
 
 class ForwardOutcome(enum.IntEnum):
-    """What is known of a forwarded request when its stream ends.
+    """Outcome of a forwarded request when its stream ends.
 
-    NOT_RUN is said only if it provably did not run and never will, ROLLED_BACK
-    only if it provably had no effect; UNKNOWN is everything else but ANSWERED.
+    NOT_RUN means that it provably did not run and never will, ROLLED_BACK that it
+    provably had no effect. UNKNOWN is every other outcome except ANSWERED.
     """
 
     ANSWERED = 1
@@ -37,7 +37,7 @@
     credit : int
         Bytes of the answer that may be sent before more credit is given.
     request : bytes
-        The request, in the form that the requests slice knows.
+        The request, in the format of `beryltrack.requests`.
     """
 
     stream: int
@@ -55,14 +55,14 @@
 
 
 class ForwardCredit(NamedTuple):
-    """Allows so many more bytes of the answer."""
+    """Allows the owner to send `credit` more bytes of the answer."""
 
     stream: int
     credit: int
 
 
 class ForwardCancel(NamedTuple):
-    """Says that the caller wants no answer any more; the end still comes."""
+    """Cancels a request; its `ForwardEnd` still follows."""
 
     stream: int
 
@@ -77,10 +77,10 @@
     outcome : int
         A `ForwardOutcome`.
     reason : str
-        Why, if the request was not answered.
+        Cause, if the request was not answered.
     trailer : bytes
-        What goes with the answer, such as the new session token, in the form
-        that the requests slice knows.
+        Data that goes with the answer, such as the new session token, in the
+        format of `beryltrack.requests`.
     """
 
     stream: int
@@ -93,7 +93,7 @@
 
 
 class ForwardResult(NamedTuple):
-    """What came of a forwarded request; see `ForwardEnd`."""
+    """Result of a forwarded request; see `ForwardEnd`."""
 
     outcome: ForwardOutcome
     reason: str = ""
@@ -101,15 +101,15 @@
 
 
 class StreamKey(NamedTuple):
-    """A stream that a peer opened.
+    """Identifies a stream that a peer opened.
 
     Parameters
     ----------
     peer : str
         Name of the peer.
     link : int
-        Number of the link, as a restarted peer uses the same numbers of streams
-        again on its next link.
+        Number of the link: a restarted peer reuses stream numbers on its next
+        link.
     stream : int
         Number of the stream.
     """
@@ -140,14 +140,14 @@
 
 
 class DeliverData(NamedTuple):
-    """Hand a part of the answer to whoever forwarded the request."""
+    """Deliver a part of the answer to the sink of the request."""
 
     stream: int
     data: bytes
 
 
 class FinishStream(NamedTuple):
-    """Tell whoever forwarded the request what came of it."""
+    """Report the result of a request to its sink."""
 
     stream: int
     result: ForwardResult
@@ -159,7 +159,7 @@
     Parameters
     ----------
     key : StreamKey
-        Whose request it is.
+        The stream of the request.
     group : str
         The database group.
     deadline : float
@@ -181,7 +181,7 @@
 
 
 class ResumeRequest(NamedTuple):
-    """Let a request go on that was held back because nobody took its answer."""
+    """Resume a request that was paused because its answer lacked credit."""
 
     key: StreamKey
 
--- a/beryltrack/peers/forward_server.py
+++ b/beryltrack/peers/forward_server.py
@@ -1,7 +1,7 @@
-"""The owner's side of forwarding, without any I/O.
+"""Owner's side of forwarding: runs the requests of other proxies. Sans-I/O.
 
-An owner runs what peers forward, sends no more of an answer than it was given
-credit for, and ends each stream with what it knows of the request.
+An owner sends no more of an answer than the peer has granted credit for, and ends
+each stream with the outcome of its request.
 """
 
 from itertools import count
@@ -26,8 +26,12 @@
 )
 
 MAX_SERVED_STREAMS = 4096
+
 MAX_DATA_BYTES = 32 * 1024
+"""Maximum part of an answer in one message."""
+
 MAX_CREDIT_BYTES = 4 * 1024 * 1024
+"""Maximum credit of one stream; grants of a peer above it are capped."""
 
 
 class _ServedRequest:
@@ -36,7 +40,7 @@
     Parameters
     ----------
     credit : int
-        Bytes of the answer that the peer takes.
+        Bytes of the answer that the peer accepts.
     """
 
     def __init__(self, credit: int):
@@ -47,14 +51,14 @@
 
 
 class _ServedLink(NamedTuple):
-    """A link: its number, and the highest number of a stream on it."""
+    """A link's number, and the highest stream number on it."""
 
     number: int
     highest_stream: int
 
 
 class ForwardServer:
-    """The requests that peers have passed on to this proxy."""
+    """The requests that peers have forwarded to this proxy."""
 
     def __init__(self):
         self._served: dict[StreamKey, _ServedRequest] = {}
@@ -69,17 +73,17 @@
         return len(self._served)
 
     def leave(self) -> None:
-        """Take no new requests; those that run are finished."""
+        """Refuse new requests; running ones are finished."""
         self._is_draining = True
 
     def handle_link_opened(self, peer: str) -> list[ForwardAction]:
-        """Note a new link; the streams of an earlier one have ended with it."""
+        """Start to use a new link; cancel the requests of an earlier one."""
         actions = self.handle_link_closed(peer)
         self._links[peer] = _ServedLink(next(self._link_numbers), 0)
         return actions
 
     def handle_link_closed(self, peer: str) -> list[ForwardAction]:
-        """Cancel the requests of a peer that is gone."""
+        """Cancel the requests of a peer whose link has closed."""
         self._links.pop(peer, None)
         self._blocked.discard(peer)
         lost = [key for key in self._served if key.peer == peer]
@@ -91,7 +95,7 @@
     def receive(
         self, peer: str, message: ForwardMessage, now: float
     ) -> list[ForwardAction]:
-        """Take a message of a peer that forwards.
+        """Handle a message of a forwarding peer.
 
         Parameters
         ----------
@@ -114,7 +118,7 @@
         if isinstance(message, ForwardOpen):
             return self._start(key, message, now)
         served = self._served.get(key)
-        if served is None:  # It has ended while the message was on its way.
+        if served is None:  # The stream ended while the message was in transit.
             return []
         match message:
             case ForwardCredit(_, credit):
@@ -125,22 +129,22 @@
         return []
 
     def write(self, key: StreamKey, data: bytes) -> list[ForwardAction]:
-        """Take a part of an answer; it waits if there is no credit for it."""
+        """Send a part of an answer, or queue it until there is credit."""
         served = self._served.get(key)
         if served is None or served.is_cancelled or served.result is not None:
             return []
         served.pending += data
-        # Whoever writes now is not waiting, so that nothing has to be resumed.
+        # The handler is writing, so it is not waiting to be resumed.
         actions = self._send_pending(key, served)
         return [item for item in actions if not isinstance(item, ResumeRequest)]
 
     def has_pending(self, key: StreamKey) -> bool:
-        """Return whether a part of the answer waits, so that no more is wanted."""
+        """Return whether a part of the answer is queued (backpressure)."""
         served = self._served.get(key)
         return served is not None and bool(served.pending)
 
     def finish(self, key: StreamKey, result: ForwardResult) -> list[ForwardAction]:
-        """End a request; its end is sent after all of its answer."""
+        """End a request; `ForwardEnd` is sent after the whole answer."""
         served = self._served.get(key)
         if served is None or served.result is not None:
             return []
@@ -148,7 +152,7 @@
         return self._send_pending(key, served)
 
     def set_blocked(self, peer: str, is_blocked: bool) -> list[ForwardAction]:
-        """Note whether a link takes messages; send what waited if it does again."""
+        """Set whether a link is blocked; once it is not, send what is queued."""
         if is_blocked:
             self._blocked.add(peer)
             return []
@@ -159,10 +163,10 @@
     def _start(
         self, key: StreamKey, message: ForwardOpen, now: float
     ) -> list[ForwardAction]:
-        """Begin a request, or refuse it before anything of it has run."""
+        """Start a request, or refuse it before any of it has run."""
         link = self._links[key.peer]
         if key.stream <= link.highest_stream:
-            return [BreakForwardLink(key.peer, "it used a stream's number again")]
+            return [BreakForwardLink(key.peer, "the peer reused a stream number")]
         self._links[key.peer] = link._replace(highest_stream=key.stream)
         if self._is_draining:
             return [_refuse(key, "the owner is leaving")]
@@ -175,7 +179,7 @@
         return [StartRequest(key, message.group, deadline, message.request)]
 
     def _cancel(self, key: StreamKey, served: _ServedRequest) -> list[ForwardAction]:
-        """Drop what is left of an answer that nobody takes, but not its end."""
+        """Drop the queued part of an answer, but not its `ForwardEnd`."""
         served.pending.clear()
         served.is_cancelled = True
         if served.result is not None:
@@ -185,7 +189,7 @@
     def _send_pending(
         self, key: StreamKey, served: _ServedRequest
     ) -> list[ForwardAction]:
-        """Send as much of an answer as there is credit for, then its end."""
+        """Send as much of an answer as the credit allows, then its end."""
         if key.peer in self._blocked:
             return []
         was_waiting = bool(served.pending)
@@ -213,6 +217,6 @@
 
 
 def _refuse(key: StreamKey, reason: str) -> SendForward:
-    """Return the end of a request of which nothing has run."""
+    """Return the `NOT_RUN` end of a request that was not started."""
     result = ForwardResult(ForwardOutcome.NOT_RUN, reason)
     return SendForward(key.peer, _make_end_message(key, result))
--- a/beryltrack/peers/forwarder.py
+++ b/beryltrack/peers/forwarder.py
@@ -1,9 +1,9 @@
-"""The task that passes requests on to owners and runs those of other proxies.
+"""Task that forwards requests to owners and runs the requests of other proxies.
 
-With few proxies each of them owns every group and nothing is forwarded. Beyond
-the number that a database's connections can feed, `get_owners` names a part of
-them, and the others pass requests on over links of their own purpose, beside
-the control links, so that large answers hold up no heartbeat.
+In a small fleet each proxy owns every group and nothing is forwarded. In a fleet too
+large for a database's connections, `get_owners` names some proxies, and the others
+forward requests to them. Forwarding has links of its own beside the control links,
+so that large answers do not delay heartbeats.
 """
 
 import logging
@@ -46,20 +46,21 @@
 log = logging.getLogger(__name__)
 
 TICK_PERIOD = 0.1
+"""Seconds between two checks of the deadlines."""
 
 
 class ForwardSink(Protocol):
-    """Who takes the answer to a forwarded request."""
+    """Receives the answer to a forwarded request."""
 
     def write(self, data: bytes) -> None:
-        """Take a part of the answer; `ForwardStream.consume` asks for more."""
+        """Receive a part of the answer; `ForwardStream.consume` requests more."""
 
     def finish(self, result: ForwardResult) -> None:
-        """Take what came of the request; nothing follows."""
+        """Receive the result of the request; nothing follows."""
 
 
 class ForwardHandler(Protocol):
-    """Who runs requests that other proxies forwarded."""
+    """Runs requests that other proxies forwarded."""
 
     def run(self, start: StartRequest, writer: "ForwardWriter") -> Deferred:
         """Run a request.
@@ -67,17 +68,18 @@
         Returns
         -------
         Deferred of ForwardResult
-            Cancelled if the caller is gone. A failure counts as `UNKNOWN`.
+            Cancelled if the request is cancelled or its link is lost. A failure
+            counts as `UNKNOWN`.
         """
 
 
 class ForwardStream:
-    """A request that was passed on, for whoever passed it on.
+    """Handle of a request that this proxy has forwarded.
 
     Parameters
     ----------
     forwarder : Forwarder
-        Its forwarder.
+        The forwarder that returned it.
     number : int
         Number of the stream.
     """
@@ -87,23 +89,23 @@
         self._number = number
 
     def consume(self, size: int) -> None:
-        """Say that so many bytes of the answer have gone to the caller."""
+        """Report that `size` bytes of the answer were sent to the caller."""
         self._forwarder.consume(self._number, size)
 
     def cancel(self) -> None:
-        """Cancel the request; its sink still hears what came of it."""
+        """Cancel the request; its sink still receives the result."""
         self._forwarder.cancel(self._number)
 
 
 class ForwardWriter:
-    """Takes the answer to a request that runs here for another proxy.
+    """Sends the answer to a request that runs here for another proxy.
 
     Parameters
     ----------
     forwarder : Forwarder
-        Its forwarder.
+        The forwarder of the stream.
     key : StreamKey
-        Whose request it is.
+        The stream of the request.
     """
 
     def __init__(self, forwarder: "Forwarder", key: StreamKey):
@@ -112,11 +114,11 @@
         self._ready: list[Deferred] = []
 
     def write(self, data: bytes) -> None:
-        """Send a part of the answer; wait with more until `wait_ready` fires."""
+        """Send a part of the answer; await `wait_ready` before the next one."""
         self._forwarder.write(self._key, data)
 
     def wait_ready(self) -> Deferred:
-        """Return a Deferred that fires once the peer takes more."""
+        """Return a Deferred that fires once no part of the answer is queued."""
         if not self._forwarder.has_pending(self._key):
             return succeed(None)
         waiting = Deferred()
@@ -124,14 +126,14 @@
         return waiting
 
     def resume(self) -> None:
-        """Fire what `wait_ready` returned."""
+        """Fire the Deferreds that `wait_ready` returned."""
         ready, self._ready = self._ready, []
         for waiting in ready:
             waiting.callback(None)
 
 
 class Forwarder:
-    """Passes requests on, and runs those of other proxies.
+    """Forwards requests, and runs those of other proxies.
 
     Parameters
     ----------
@@ -170,17 +172,17 @@
         return self._client.stream_count + self._server.stream_count
 
     def start(self) -> None:
-        """Take the forwarding links of the peers."""
+        """Register for the forwarding links and start the timer."""
         self._peers.set_link_handler(FORWARDING, self)
         self._peers.subscribe(MEMBER_KIND, self._observe_member)
         self._ticking.start(TICK_PERIOD)
 
     def leave(self) -> None:
-        """Refuse new requests of other proxies; those that run are finished."""
+        """Refuse new requests of other proxies; running ones are finished."""
         self._server.leave()
 
     def stop(self) -> None:
-        """Stop the timer and cancel what runs for other proxies."""
+        """Stop the timer and cancel the requests of other proxies."""
         if self._ticking.running:
             self._ticking.stop()
         for running, _ in tuple(self._running.values()):
@@ -193,7 +195,7 @@
     def forward(
         self, group: str, request: bytes, deadline: float, sink: ForwardSink
     ) -> ForwardStream:
-        """Pass a request on to an owner of its group.
+        """Forward a request to an owner of its group.
 
         Parameters
         ----------
@@ -202,15 +204,15 @@
         request : bytes
             The request.
         deadline : float
-            Time by which it has to reach a target, seconds of the
-            node's time.
+            Time by which it has to reach a target, seconds of this process's
+            monotonic clock.
         sink : ForwardSink
-            Who takes the answer.
+            Receives the answer and the result.
 
         Returns
         -------
         ForwardStream
-            To take the answer and to cancel.
+            Handle for flow control and cancellation.
         """
         owners = tuple(n for n in self._get_owners(group) if n != self._peers.name)
         now = self._seconds()
@@ -235,17 +237,17 @@
         self._carry_out(self._server.write(key, data))
 
     def has_pending(self, key: StreamKey) -> bool:
-        """Return whether a part of an answer waits to be sent."""
+        """Return whether a part of an answer is queued."""
         return self._server.has_pending(key)
 
     def handle_link_opened(self, link: PeerLink) -> None:
-        """Take a forwarding link whose peer is proved."""
+        """Start to use a forwarding link whose peer is authenticated."""
         peer = link.peer.name
         self._carry_out(self._server.handle_link_opened(peer))
         self._carry_out(self._client.handle_link_opened(peer, self._seconds()))
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
-        """Take a message of a peer."""
+        """Handle a message of a peer."""
         peer = link.peer.name
         if isinstance(message, ForwardData | ForwardEnd):
             self._carry_out(self._client.receive(peer, message))
@@ -253,39 +255,43 @@
             now = self._seconds()
             self._carry_out(self._server.receive(peer, message, now))
         else:
-            log.warning("peers: %s sent what is not for forwarding", peer)
+            log.warning(
+                "peers: dropped a message of %s that does not belong on a forwarding "
+                "link",
+                peer,
+            )
 
     def handle_link_writable(self, link: PeerLink) -> None:
-        """Send what waited while a link was stuck."""
+        """Send what was queued while a link was blocked."""
         peer = link.peer.name
         self._client.set_blocked(peer, False)
         self._carry_out(self._server.set_blocked(peer, False))
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
-        """Take that a forwarding link has closed."""
+        """End the streams of a forwarding link that has closed."""
         self._end_streams(link.peer.name)
 
     def handle_connect_failure(self, peer: str, purpose: str) -> None:
-        """Take that a forwarding link could not be opened."""
+        """Try the next owner after a forwarding link could not be opened."""
         self._carry_out(self._client.handle_connect_failure(peer, self._seconds()))
 
     def _end_streams(self, peer: str) -> None:
-        """End the streams of a link that is gone."""
+        """End the streams of a lost link, in both directions."""
         self._carry_out(self._client.handle_link_closed(peer))
         self._carry_out(self._server.handle_link_closed(peer))
 
     def _tick(self) -> None:
-        """Refuse what waited too long."""
+        """Refuse the waiting requests whose deadline has passed."""
         self._carry_out(self._client.tick(self._seconds()))
 
     def _observe_member(self, item: GossipItem) -> None:
-        """Break the link to a member that is gone."""
+        """Break the link to a member that has left or is dead."""
         member = next((m for m in self._peers.members if m.name == item.key), None)
         if member is not None and member.state in GONE_STATES:
             self._carry_out(self._client.handle_dead_peer(item.key))
 
     def _update_blocked(self, peers: tuple[str, ...]) -> None:
-        """Tell the deciders which links take no messages now."""
+        """Mark the links that are blocked now as blocked in both directions."""
         links = ((peer, self._peers.get_link(peer, FORWARDING)) for peer in peers)
         for peer, link in links:
             if link is not None and link.is_blocked:
@@ -293,7 +299,7 @@
                 self._server.set_blocked(peer, True)
 
     def _carry_out(self, actions: list[ForwardAction]) -> None:
-        """Do what the deciders asked for."""
+        """Carry out the actions of the client and the server side."""
         for action in actions:
             match action:
                 case SendForward(peer, message):
@@ -315,7 +321,7 @@
                         self._running[key][1].resume()
 
     def _send(self, peer: str, message: ForwardMessage) -> None:
-        """Send a message; without a link its stream ends with the link."""
+        """Send a message; drop it if the link is lost, as its stream ends then."""
         link = self._peers.get_link(peer, FORWARDING)
         if link is not None:
             link.send(message)
@@ -329,9 +335,9 @@
             self._peers.open_link(member, FORWARDING)
 
     def _break_link(self, peer: str, reason: str) -> None:
-        """Break a link; the table reports the loss."""
+        """Abort a link; the link table reports the loss."""
         link = self._peers.get_link(peer, FORWARDING)
-        log.warning("peers: forwarding link to %s broken: %s", peer, reason)
+        log.warning("peers: aborting the forwarding link to %s: %s", peer, reason)
         if link is not None:
             link.abort()
 
@@ -344,20 +350,23 @@
         running.addCallback(self._finish, start.key)
 
     def _cancel(self, key: StreamKey) -> None:
-        """Cancel a request of another proxy, and let go what waits to write."""
+        """Cancel a request of another proxy, and release a writer that waits."""
         if key in self._running:
             running, writer = self._running[key]
             writer.resume()
             running.cancel()
 
     def _finish(self, result: ForwardResult, key: StreamKey) -> None:
-        """Tell the peer what came of its request."""
+        """Send the result of a request to its peer."""
         self._running.pop(key, None)
         self._carry_out(self._server.finish(key, result))
 
 
 def _make_failure_result(failure) -> ForwardResult:
-    """Return what a failed run means: it may have had its effect."""
+    """Return `UNKNOWN` for a failed run, which may have had its effect."""
     if not failure.check(CancelledError):
-        log.error("peers: a forwarded request failed: %s", failure.getTraceback())
+        log.error(
+            "peers: running a forwarded request failed, its outcome is unknown: %s",
+            failure.getTraceback(),
+        )
     return ForwardResult(ForwardOutcome.UNKNOWN, "the owner could not finish it")
--- a/beryltrack/peers/gossip_store.py
+++ b/beryltrack/peers/gossip_store.py
@@ -1,9 +1,9 @@
-"""What a proxy knows: items of the highest version seen, and their digests.
+"""Store of the gossip items that a proxy holds, with digests for anti-entropy.
 
-An item is replaced only by one of a higher version, so nothing goes back
-whatever arrives late, twice or out of order. Digests of buckets of items let
-two proxies find what they know differently at a cost that does not grow with
-the number of items.
+An item is replaced only by one of a higher version (last writer wins), so late,
+duplicate and reordered messages never revert it. Items hash into buckets, each with
+an XOR digest: two proxies find the buckets that differ at a cost that does not grow
+with the number of items.
 """
 
 from collections.abc import Iterable
@@ -15,18 +15,20 @@
 
 BUCKET_COUNT = 128
 BUCKET_DIGEST_BYTES = 4
+
 MAX_ITEMS = 100_000
+"""Items above which new keys are rejected."""
 
 
 class Difference(NamedTuple):
-    """How one side's versions compare with the other's.
+    """Result of comparing this side's versions with the other side's.
 
     Parameters
     ----------
     wanted : tuple of ItemKey
-        Items that the other side knows better.
+        Items of which the other side holds a newer version.
     offered : tuple of GossipItem
-        Items that this side knows better.
+        Items of which this side holds a newer version.
     """
 
     wanted: tuple[ItemKey, ...]
@@ -34,23 +36,23 @@
 
 
 def compute_bucket(key: ItemKey) -> int:
-    """Return the bucket of an item."""
+    """Return the number of an item's bucket."""
     return xxhash.xxh64_intdigest(f"{key.kind}\0{key.key}".encode()) % BUCKET_COUNT
 
 
 def compute_item_digest(item: GossipItem) -> int:
-    """Return a 64 bit digest of an item's name and version."""
+    """Return a 64-bit digest of an item's kind, key and version."""
     version = ".".join(map(str, item.version))
     return xxhash.xxh64_intdigest(f"{item.kind}\0{item.key}\0{version}".encode())
 
 
 def is_about_member(kind: str) -> bool:
-    """Return whether items of a kind have members' names as keys."""
+    """Return whether the key of items of this kind is a member's name."""
     return kind == MEMBER_KIND or kind.startswith(f"{MEMBER_KIND}.")
 
 
 class GossipStore:
-    """All items of the highest version that this proxy has seen."""
+    """The highest version of each item that this proxy has seen."""
 
     def __init__(self):
         self._buckets: list[dict[ItemKey, GossipItem]] = [
@@ -63,7 +65,7 @@
 
     @property
     def digest(self) -> int:
-        """Digest of all counted items, 64 bits; equal for equal knowledge."""
+        """64-bit digest of all items that count; equal for equal sets of items."""
         return self._digest
 
     @property
@@ -86,20 +88,21 @@
         return tuple(sorted(found, key=lambda item: item.key))
 
     def accept(self, item: GossipItem, in_digest: bool = True) -> bool:
-        """Take an item if its version is higher than the one known.
+        """Store an item if its version is higher than the stored one.
 
         Parameters
         ----------
         item : GossipItem
-            What was published or heard.
+            An item that was published here or received.
         in_digest : bool
             False leaves the item out of the digests, for items that each
-            proxy drops at its own time.
+            proxy drops at a time of its own.
 
         Returns
         -------
         bool
-            True if the item is new and was taken.
+            True if the item was stored; False if it is not newer, or if its key is
+            new and the store holds `MAX_ITEMS` items.
         """
         key = ItemKey(item.kind, item.key)
         known = self.get(key)
@@ -117,7 +120,7 @@
         return True
 
     def remove(self, key: ItemKey) -> None:
-        """Drop what is known under a key, if anything is."""
+        """Drop the item under a key, if there is one."""
         item = self._buckets[compute_bucket(key)].pop(key, None)
         if item is None:
             return
@@ -128,7 +131,7 @@
             self._toggle_digest(key, item)
 
     def remove_member(self, name: str) -> None:
-        """Drop all items about a member that is forgotten."""
+        """Drop all items about a member."""
         keys = [
             key
             for bucket in self._buckets
@@ -147,13 +150,13 @@
         )
 
     def find_different_buckets(self, digests: bytes) -> tuple[int, ...]:
-        """Return the buckets whose digests are not those of another proxy.
+        """Return the buckets whose digests differ from those of another proxy.
 
         Parameters
         ----------
         digests : bytes
-            What the other's `get_bucket_digests` gave. Bytes of another length
-            differ in all buckets.
+            The other proxy's `get_bucket_digests`. If the length differs, all
+            buckets count as different.
 
         Returns
         -------
@@ -181,20 +184,20 @@
     def compare_versions(
         self, buckets: Iterable[int], versions: Iterable[ItemVersion]
     ) -> Difference:
-        """Return what this side and another would have to tell each other.
+        """Return the items that each side lacks.
 
         Parameters
         ----------
         buckets : iterable of int
             Buckets that the other side listed in full; numbers out of range
-            are passed over.
+            are ignored.
         versions : iterable of ItemVersion
-            What the other side knows in them.
+            The versions that the other side holds in them.
 
         Returns
         -------
         Difference
-            What to ask for and what to send.
+            Items to request and items to send.
         """
         theirs = {ItemKey(entry.kind, entry.key): entry.version for entry in versions}
         wanted = tuple(
@@ -210,12 +213,12 @@
         return Difference(wanted, offered)
 
     def _is_newer(self, key: ItemKey, version: tuple[int, ...]) -> bool:
-        """Return whether a version is higher than the one known."""
+        """Return whether a version is higher than the stored one."""
         known = self.get(key)
         return known is None or version > known.version
 
     def _toggle_digest(self, key: ItemKey, item: GossipItem) -> None:
-        """Add an item's digest, or take it out if it is in."""
+        """Add an item's digest, or remove it if it is included."""
         digest = compute_item_digest(item)
         self._digests[compute_bucket(key)] ^= digest
         self._digest ^= digest
--- a/beryltrack/peers/handshake.py
+++ b/beryltrack/peers/handshake.py
@@ -1,4 +1,8 @@
-"""The first messages of a link: version, names and proofs, without any I/O."""
+"""Handshake of a link: protocol version, names and mutual authentication. Sans-I/O.
+
+The opening side sends `Hello`, the answering side `Challenge`, then come `Proof` and
+`Welcome`. Each side closes the link if the other side's proof is wrong.
+"""
 
 from typing import NamedTuple
 
@@ -27,7 +31,7 @@
 
 
 class PeerIdentity(NamedTuple):
-    """Who is on the other side of a link, proved by the fleet's key.
+    """The authenticated peer of a link.
 
     Parameters
     ----------
@@ -36,9 +40,9 @@
     incarnation : int
         Its incarnation when the link was opened.
     purpose : str
-        What the link is for, `CONTROL`, `FORWARDING` or `LOANS`.
+        Purpose of the link: `CONTROL`, `FORWARDING` or `LOANS`.
     version : int
-        Version of the protocol that both speak.
+        Protocol version of the link.
     """
 
     name: str
@@ -48,18 +52,18 @@
 
 
 class HandshakeStep(NamedTuple):
-    """What a message of the handshake leads to.
+    """Result of one message of the handshake.
 
     Parameters
     ----------
     replies : tuple of Message
-        What to send.
+        Messages to send.
     is_authenticated : bool
-        True once the peer is proved, so that it may send large messages.
+        True once the peer is authenticated, so that it may send large messages.
     peer : PeerIdentity or None
-        The peer, once both sides are proved and the link is open.
+        The peer, once both sides are authenticated and the link is open.
     error : str
-        Why the link has to be closed; empty if it has not.
+        Why the link has to be closed; empty if it stays open.
     """
 
     replies: tuple[Message, ...]
@@ -69,7 +73,7 @@
 
 
 class OpeningHandshake:
-    """The side that opened the link: says hello, checks, proves itself.
+    """The side that opens the link: sends hello, checks the challenge, sends proof.
 
     Parameters
     ----------
@@ -80,7 +84,7 @@
     key : str
         The key of the fleet.
     purpose : str
-        What the link is for.
+        Purpose of the link: `CONTROL`, `FORWARDING` or `LOANS`.
     """
 
     def __init__(self, name: str, incarnation: int, key: str, purpose: str):
@@ -95,7 +99,7 @@
         return (self._hello,)
 
     def receive(self, message: Message) -> HandshakeStep:
-        """Check the other side's challenge, then wait for its welcome."""
+        """Handle the other side's challenge, then its welcome."""
         if isinstance(message, Challenge) and self._challenge is None:
             return self._check_challenge(message)
         if isinstance(message, Welcome) and self._challenge is not None:
@@ -103,7 +107,7 @@
         return _refuse(f"{type(message).__name__} is out of order")
 
     def _check_challenge(self, message: Challenge) -> HandshakeStep:
-        """Prove the own side to a peer that has proved itself."""
+        """Authenticate to a peer whose own proof is correct."""
         if not LOWEST_VERSION <= message.version <= HIGHEST_VERSION:
             return _refuse(f"version {message.version} is not spoken here")
         expected = compute_challenge_proof(
@@ -116,7 +120,7 @@
         return HandshakeStep((Proof(own),), True, None, "")
 
     def _make_identity(self) -> PeerIdentity:
-        """Return the peer that the challenge came from."""
+        """Return the identity of the peer that sent the challenge."""
         challenge = self._challenge
         return PeerIdentity(
             challenge.name,
@@ -127,7 +131,7 @@
 
 
 class AnsweringHandshake:
-    """The side that was connected to: sends a challenge and checks the proof.
+    """The side that accepts the link: sends a challenge and checks the proof.
 
     Parameters
     ----------
@@ -147,11 +151,11 @@
         self._challenge: Challenge | None = None
 
     def start(self) -> tuple[Message, ...]:
-        """Return nothing: the other side begins."""
+        """Return no message: the other side begins."""
         return ()
 
     def receive(self, message: Message) -> HandshakeStep:
-        """Take the hello, then the proof."""
+        """Handle the hello, then the proof."""
         if isinstance(message, Hello) and self._hello is None:
             return self._answer_hello(message)
         if isinstance(message, Proof) and self._challenge is not None:
@@ -159,7 +163,7 @@
         return _refuse(f"{type(message).__name__} is out of order")
 
     def _answer_hello(self, hello: Hello) -> HandshakeStep:
-        """Choose the version and return the challenge."""
+        """Choose the protocol version and return the challenge."""
         version = min(hello.highest, HIGHEST_VERSION)
         if version < max(hello.lowest, LOWEST_VERSION):
             return _refuse(f"versions {hello.lowest} to {hello.highest} are too new")
@@ -178,7 +182,7 @@
         return HandshakeStep((self._challenge,), False, None, "")
 
     def _check_proof(self, message: Proof) -> HandshakeStep:
-        """Return the peer if it knows the key."""
+        """Return the peer if its proof is correct."""
         hello, challenge = self._hello, self._challenge
         expected = compute_challenge_proof(self._key, OPENING_ROLE, hello, challenge)
         if not verify_proof(expected, message.proof):
--- a/beryltrack/peers/link.py
+++ b/beryltrack/peers/link.py
@@ -1,9 +1,9 @@
-"""One link to a peer: WebSocket frames over TCP, handshake, bounded queues.
+"""Link to one peer: WebSocket frames over TCP, handshake and a bounded queue.
 
 The sans-I/O layer of `websockets` does the framing, Twisted carries the bytes.
-A link delivers decoded messages of a proved peer to its owner. A message that
-cannot be decoded is counted and reported, and the link goes on; frames that
-are too large or break the protocol close this one link.
+A link delivers the decoded messages of an authenticated peer to its handler. A
+message that cannot be decoded is counted and logged, and the link stays open; a
+frame that is too large or violates the protocol closes only this link.
 """
 
 import logging
@@ -31,34 +31,48 @@
 from beryltrack.peers.messages import Message
 
 log = logging.getLogger(__name__)
-# The library logs each connection; what matters is logged here.
+# The library logs each connection; this module logs what matters.
 websocket_log = log.getChild("websocket")
 websocket_log.setLevel(logging.WARNING)
 
 PATH = "/peers"
+
 HANDSHAKE_TIMEOUT = 5.0
+"""Seconds from the TCP connection until the peer has to be authenticated."""
+
 CLOSE_TIMEOUT = 1.0
+"""Seconds that a link waits for the peer's close frame."""
+
 MAX_HANDSHAKE_FRAME_BYTES = 1024
+"""Maximum frame size before the peer is authenticated."""
+
 MAX_FRAME_BYTES = MAX_ITEM_BYTES + 64 * 1024
+"""Maximum frame size after the peer is authenticated."""
+
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
+"""Bytes written while blocked above which a link is aborted."""
+
 NORMAL_CLOSE_CODE = 1000
+"""WebSocket status of an orderly close (RFC 6455)."""
+
 POLICY_CLOSE_CODE = 1008
+"""WebSocket status of a policy violation (RFC 6455)."""
 
 
 class LinkHandler(Interface):
-    """Who a link reports to."""
+    """Receives the events of a link."""
 
     def handle_link_opened(self, link: "PeerLink") -> None:
-        """Take a link whose peer is proved."""
+        """Handle a link whose peer is authenticated."""
 
     def handle_message(self, link: "PeerLink", message: Message) -> None:
-        """Take a message of an accepted link."""
+        """Handle a message of an authenticated peer."""
 
     def handle_link_writable(self, link: "PeerLink") -> None:
-        """Take that a link whose queue was full takes messages again."""
+        """Handle that a blocked link can be written to again."""
 
     def handle_link_closed(self, link: "PeerLink", orderly: bool) -> None:
-        """Take that a link, accepted or not, has closed."""
+        """Handle that a link has closed, authenticated or not."""
 
 
 @implementer(IPushProducer)
@@ -67,8 +81,8 @@
 
     Parameters
     ----------
-    owner : LinkOwner
-        Who to report to.
+    handler : LinkHandler
+        Receives the link's events.
     clock : IReactorTime
         For the timeout of the handshake.
     websocket : ClientProtocol or ServerProtocol
@@ -79,10 +93,10 @@
         Where traffic is counted.
     """
 
-    def __init__(self, owner: LinkHandler, clock, websocket, handshake, counters):
+    def __init__(self, handler: LinkHandler, clock, websocket, handshake, counters):
         self.peer: PeerIdentity | None = None
         self.is_blocked = False
-        self._owner = owner
+        self._handler = handler
         self._clock = clock
         self._websocket = websocket
         self._handshake = handshake
@@ -97,7 +111,7 @@
         return isinstance(self._handshake, OpeningHandshake)
 
     def connectionMade(self) -> None:
-        """Begin the handshake."""
+        """Start the handshake."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._timeout = self._clock.callLater(
@@ -108,11 +122,11 @@
             self._flush_output()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes from the peer."""
+        """Process bytes from the peer."""
         self._counters.bytes_received += len(data)
         try:
             self._websocket.receive_data(data)
-        except EOFError:  # The layer has ended; what still arrives is of no use.
+        except EOFError:  # The layer has closed; later bytes are ignored.
             return
         for event in self._websocket.events_received():
             self._handle_event(event)
@@ -123,15 +137,15 @@
     def connectionLost(self, reason) -> None:
         """Report the end of the link."""
         self._stop_timeout()
-        self._owner.handle_link_closed(self, self._orderly)
+        self._handler.handle_link_closed(self, self._orderly)
 
     def send(self, message: Message) -> None:
-        """Send a message; closes the link if far too much is queued.
+        """Send a message; abort the link if more than `MAX_QUEUED_BYTES` are queued.
 
         Parameters
         ----------
         message : Message
-            Any message. The owner keeps back what can wait while `is_blocked`.
+            Any message. While `is_blocked`, the sender delays what can wait.
         """
         if self._websocket.state is not State.OPEN:
             return
@@ -140,12 +154,13 @@
         self._flush_output()
         if self.is_blocked and self._queued_bytes > MAX_QUEUED_BYTES:
             log.warning(
-                "peers: queue to %s is full, link closed", self._describe_peer()
+                "peers: the send queue to %s is full; aborting the link",
+                self._describe_peer(),
             )
             self.transport.abortConnection()
 
     def close(self, code: int = NORMAL_CLOSE_CODE, reason: str = "") -> None:
-        """Close the link so that the peer does not take it for a failure."""
+        """Close the link in an orderly way, so that the peer sees no failure."""
         if self._orderly:
             return
         self._orderly = True
@@ -153,34 +168,33 @@
         if self._websocket.state is not State.OPEN:
             self._disconnect()
             return
-        # What the peer has sent meanwhile is read until it answers: a socket
-        # closed with bytes unread resets the connection, and the peer would
-        # take that for a failure.
+        # Keep reading until the peer answers: closing a socket with unread bytes
+        # resets the connection, which the peer would treat as a failure.
         self._websocket.send_close(code, reason)
         self._flush_output()
         wait = CLOSE_TIMEOUT if self.peer is not None else 0.0
         self._timeout = self._clock.callLater(wait, self._disconnect)
 
     def abort(self) -> None:
-        """Close the link at once, as one that is broken."""
+        """Reset the connection; the peer sees a failure."""
         self.transport.abortConnection()
 
     def pauseProducing(self) -> None:
-        """Note that the peer takes less than was sent."""
+        """Mark the link as blocked: its send buffer is full."""
         self.is_blocked = True
 
     def resumeProducing(self) -> None:
-        """Note that the queue is empty again."""
+        """Mark the link as writable: its send buffer has drained."""
         self.is_blocked = False
         self._queued_bytes = 0
         if self.peer is not None and not self._orderly:
-            self._owner.handle_link_writable(self)
+            self._handler.handle_link_writable(self)
 
     def stopProducing(self) -> None:
-        """Note that the connection is gone; `connectionLost` reports it."""
+        """Do nothing: `connectionLost` reports the end of the connection."""
 
     def _handle_event(self, event: Request | Response | Frame) -> None:
-        """Act on one event of the sans-I/O layer."""
+        """Handle one event of the sans-I/O layer."""
         match event:
             case Request():
                 self._answer_request(event)
@@ -196,7 +210,7 @@
                 self._refuse("a frame is not a whole binary message")
 
     def _answer_request(self, request: Request) -> None:
-        """Answer the request that upgrades the connection."""
+        """Answer the HTTP request that upgrades the connection."""
         response = self._websocket.accept(request)
         self._websocket.send_response(response)
         if response.status_code != 101:
@@ -204,7 +218,7 @@
             self._disconnect()
 
     def _start_handshake(self) -> None:
-        """Send the first messages, once the connection is upgraded."""
+        """Send the first handshake messages, once the connection is upgraded."""
         if self._websocket.handshake_exc is not None:
             self._refuse("the peer did not upgrade the connection")
             return
@@ -212,13 +226,15 @@
             self.send(message)
 
     def _handle_frame(self, data: bytes) -> None:
-        """Decode a message and hand it on."""
+        """Decode a message and dispatch it."""
         if self._orderly:
             return
         self._counters.messages_received += 1
         message, findings = decode_message(data, self._describe_peer())
         for finding in findings:
-            log.warning("peers: message refused: %s", format_finding(finding))
+            log.warning(
+                "peers: dropped a malformed message: %s", format_finding(finding)
+            )
         if message is None:
             self._counters.malformed += 1
             if self.peer is None:
@@ -226,10 +242,10 @@
         elif self.peer is None:
             self._continue_handshake(message)
         else:
-            self._owner.handle_message(self, message)
+            self._handler.handle_message(self, message)
 
     def _continue_handshake(self, message: Message) -> None:
-        """Feed the handshake; report the link when the peer is proved."""
+        """Advance the handshake; report the link once the peer is authenticated."""
         step = self._handshake.receive(message)
         if step.error:
             self._counters.refused += 1
@@ -242,23 +258,23 @@
         if step.peer is not None:
             self._stop_timeout()
             self.peer = step.peer
-            self._owner.handle_link_opened(self)
+            self._handler.handle_link_opened(self)
 
     def _refuse(self, error: str) -> None:
-        """Close the link for a fault of the peer."""
+        """Log an error of the peer and close the link."""
         address = self.transport.getPeer()
         log.warning(
-            "peers: link to %s refused: %s", self._describe_peer(address), error
+            "peers: closing the link to %s: %s", self._describe_peer(address), error
         )
         self.close(POLICY_CLOSE_CODE, error)
 
     def _has_ended(self) -> bool:
-        """Return whether the peer closed the link, or broke the protocol."""
+        """Return whether the peer closed the link or violated the protocol."""
         websocket = self._websocket
         return websocket.close_rcvd is not None or websocket.parser_exc is not None
 
     def _flush_output(self) -> None:
-        """Write what the sans-I/O layer has ready."""
+        """Write the output of the sans-I/O layer to the connection."""
         for data in self._websocket.data_to_send():
             if data:
                 self._counters.bytes_sent += len(data)
@@ -268,35 +284,35 @@
                 self._disconnect()
 
     def _disconnect(self) -> None:
-        """Close the connection once what is queued has been written."""
+        """Close the connection once the queued bytes are written."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def _stop_timeout(self) -> None:
-        """Stop waiting for the handshake."""
+        """Cancel the running timeout."""
         if self._timeout is not None and self._timeout.active():
             self._timeout.cancel()
 
     def _describe_peer(self, address: object = "") -> str:
-        """Return the peer's name, or what is known in place of it."""
+        """Return the peer's name, or its address if it is not authenticated."""
         return self.peer.name if self.peer else str(address) or "a new peer"
 
 
 def make_opened_link(
-    owner: LinkHandler, clock, handshake: OpeningHandshake, counters: LinkCounters
+    handler: LinkHandler, clock, handshake: OpeningHandshake, counters: LinkCounters
 ) -> PeerLink:
     """Return the protocol of a connection that this side opens."""
-    # The name in the address is of no use: proofs tell who is who.
+    # The host name is a placeholder: the handshake authenticates the peer.
     uri = parse_uri(f"ws://peer{PATH}")
     websocket = ClientProtocol(
         uri, max_size=MAX_HANDSHAKE_FRAME_BYTES, logger=websocket_log
     )
-    return PeerLink(owner, clock, websocket, handshake, counters)
+    return PeerLink(handler, clock, websocket, handshake, counters)
 
 
 def make_answered_link(
-    owner: LinkHandler, clock, handshake: AnsweringHandshake, counters: LinkCounters
+    handler: LinkHandler, clock, handshake: AnsweringHandshake, counters: LinkCounters
 ) -> PeerLink:
     """Return the protocol of a connection that a peer opened."""
     websocket = ServerProtocol(max_size=MAX_HANDSHAKE_FRAME_BYTES, logger=websocket_log)
-    return PeerLink(owner, clock, websocket, handshake, counters)
+    return PeerLink(handler, clock, websocket, handshake, counters)
--- a/beryltrack/peers/link_planner.py
+++ b/beryltrack/peers/link_planner.py
@@ -1,9 +1,9 @@
-"""Which control links a proxy wants, and when it tries to open them.
+"""Planner of control links: which to open, when to retry and which to close.
 
-Links to the neighbours of `beryltrack.peers.placement` carry heartbeats and
-news. Beside them a proxy now and then tries somebody whom it does not reach:
-after a partition the two sides know each other as dead, and a single link
-between them brings them together again.
+Links to the neighbours of `beryltrack.peers.placement` carry heartbeats and gossip.
+In addition a proxy occasionally contacts a member that is not present: after a
+network partition each side takes the other for dead, and one link between them
+merges the two again.
 """
 
 import random
@@ -16,16 +16,28 @@
 from beryltrack.settings.messages import Endpoint
 
 FIRST_BACKOFF = 0.2
+"""Longest delay after the first failure to open a link, seconds."""
+
 MAX_BACKOFF = 30.0
+"""Upper bound of the delay after repeated failures, seconds."""
+
 MAX_BACKOFF_DOUBLINGS = 8
+
 MAX_OPENED_AT_ONCE = 3
+"""Links to neighbours that one call of `plan_opening` may open."""
+
 CONTACT_PERIOD = 10.0
+"""Mean seconds between contacts with members that are not present."""
+
 UNLINKED_CONTACT_PERIOD = 1.0
+"""The same while no link is open; seeds are contacted as well then."""
+
 UNWANTED_GRACE = 3.0
+"""Seconds after which a link to a former neighbour is closed."""
 
 
 class _Attempt(NamedTuple):
-    """How often opening a link has failed in a row, and when to try again."""
+    """Consecutive failures to open a link, and the time of the next attempt."""
 
     failures: int
     next_at: float
@@ -39,7 +51,7 @@
     own_name : str
         Name of this proxy.
     seeds : tuple of Endpoint
-        Where peers may be found when nobody is known.
+        Addresses to contact while no peer is linked.
     rng : random.Random
         Source of jitter.
     """
@@ -55,11 +67,11 @@
         self._members: tuple[Member, ...] | None = None
 
     def record_success(self, peer: str) -> None:
-        """Note that a link to a peer is open."""
+        """Reset the back-off of a peer whose link is open."""
         self._attempts.pop(peer, None)
 
     def record_failure(self, peer: str, now: float) -> int:
-        """Note that a link could not be opened; return the failures in a row."""
+        """Back off from a peer; return its consecutive failures."""
         failures = self._attempts.get(peer, _Attempt(0, 0.0)).failures + 1
         doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
         longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2**doublings)
@@ -77,14 +89,15 @@
         members : tuple of Member
             All members.
         linked : iterable of str
-            Peers to which a link is open or being opened.
+            Peers to which a link is open or opening.
         now : float
             The current time, seconds.
 
         Returns
         -------
         list of OpenLink
-            A few at most, so that a changed fleet causes no storm.
+            At most `MAX_OPENED_AT_ONCE` and one contact, so that a change of the
+            fleet causes no connection storm.
         """
         linked = set(linked)
         by_name = {member.name: member for member in members}
@@ -102,10 +115,10 @@
     def plan_closing(
         self, members: tuple[Member, ...], opened_here: Iterable[str], now: float
     ) -> list[str]:
-        """Return the peers whose links were opened here and are not wanted.
+        """Return the peers whose links this side opened and needs no longer.
 
         A link is kept for `UNWANTED_GRACE` seconds first, because views of the
-        fleet change most while members come and go.
+        fleet change often while members come and go.
         """
         wanted = set(self._get_neighbours(members))
         unwanted = {peer for peer in opened_here if peer not in wanted}
@@ -119,7 +132,7 @@
         ]
 
     def _get_neighbours(self, members: tuple[Member, ...]) -> tuple[str, ...]:
-        """Return the neighbours; worked out again only for another fleet."""
+        """Return the neighbours; computed again only when the members change."""
         if members is not self._members:
             self._members = members
             self._neighbours = get_neighbours(self._own_name, members)
@@ -139,7 +152,7 @@
     def _plan_contact(
         self, members: tuple[Member, ...], linked: set[str], now: float
     ) -> list[OpenLink]:
-        """Return at most one link to somebody who is out of reach."""
+        """Return at most one link to a member that is not present, or to a seed."""
         if now < self._next_contact_at:
             return []
         absent = [
--- a/beryltrack/peers/linktable.py
+++ b/beryltrack/peers/linktable.py
@@ -1,4 +1,4 @@
-"""All links of one proxy: listening, connecting, and one link for each peer."""
+"""Links of one proxy: listening, connecting, and one link per peer and purpose."""
 
 import ipaddress
 import logging
@@ -17,35 +17,41 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT = 3.0
+"""Seconds within which a TCP connection has to open."""
+
 STOP_TIMEOUT = 2.0
+"""Seconds after a stop at which the remaining connections are aborted."""
+
 MAX_UNAUTHENTICATED_LINKS = 64
+"""Connections of unauthenticated peers above which new ones are refused."""
 
 
 class LinkTableHandler(Interface):
-    """Who hears of the links of a table."""
+    """Receives the events of a table's links."""
 
     def handle_link_opened(self, link: PeerLink) -> None:
-        """Take a link whose peer is proved; it is the only one to that peer."""
+        """Handle an authenticated link, the only one to its peer and purpose."""
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
-        """Take a message of an accepted link."""
+        """Handle a message of an open link."""
 
     def handle_link_writable(self, link: PeerLink) -> None:
-        """Take that a stuck link takes messages again."""
+        """Handle that a blocked link can be written to again."""
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
-        """Take that an accepted link has closed."""
+        """Handle that an open link has closed."""
 
     def handle_connect_failure(self, peer: str, purpose: str) -> None:
-        """Take that a link could not be opened."""
+        """Handle that a link could not be opened."""
 
 
 def is_preferred(new: PeerLink, old: PeerLink, own_name: str) -> bool:
-    """Return whether a new link goes before an old one to the same peer.
+    """Return whether a new link replaces an old one to the same peer.
 
-    Both sides come to the same answer: a restarted peer's link wins; of two
-    opened by the same side the later one, as that side knows the earlier to be
-    broken; and of two opened by both sides at once the one of the lower name.
+    Both sides decide the same: the link of a restarted peer wins; of two links
+    opened by the same side the later one wins, as that side knows the earlier to
+    be broken; of two links opened by both sides at once, the one opened by the
+    side with the lower name wins.
 
     Parameters
     ----------
@@ -62,7 +68,7 @@
 
 
 class _LinkFactory(Factory):
-    """Makes the protocols of incoming connections."""
+    """Creates the protocols of incoming connections."""
 
     def __init__(self, table: "LinkTable"):
         self._table = table
@@ -78,38 +84,39 @@
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where sockets and timers come from.
-    owner : LinkTableOwner
-        Who to report to.
+        Provides sockets and timers.
+    handler : LinkTableHandler
+        Receives the events of the links.
     counters : LinkCounters
         Where traffic is counted.
     own : Member
         This proxy.
     settings : InstanceSettings
-        Where to listen, and the fleet's key.
+        The address to listen on, and the fleet's key.
     """
 
     def __init__(
         self,
         reactor,
-        owner: LinkTableHandler,
+        handler: LinkTableHandler,
         counters: LinkCounters,
         own: Member,
         settings: InstanceSettings,
     ):
         self._reactor = reactor
-        self._owner = owner
+        self._handler = handler
         self._counters = counters
         self._own = own
         self._settings = settings
         self._port = None
         self._links: dict[tuple[str, str], PeerLink] = {}
-        # All protocols with a connection, and the peer that each was meant for.
+        # All connected protocols, with the name and purpose of the peer for which
+        # each was opened; empty texts for incoming connections.
         self._connections: dict[PeerLink, tuple[str, str]] = {}
         self._stopped: Deferred | None = None
 
     def listen(self) -> int:
-        """Begin to take connections of peers and return the port."""
+        """Listen for connections of peers and return the port."""
         endpoint = self._settings.peer_listen
         self._port = self._reactor.listenTCP(
             endpoint.port, _LinkFactory(self), interface=endpoint.host
@@ -121,7 +128,7 @@
         return self._links.get((purpose, peer))
 
     def get_blocked(self, purpose: str) -> frozenset[str]:
-        """Return the peers whose links take no more messages now."""
+        """Return the peers whose links of a purpose are blocked."""
         return frozenset(
             peer
             for (link_purpose, peer), link in self._links.items()
@@ -129,18 +136,18 @@
         )
 
     def open(self, peer: str, host: str, port: int, purpose: str) -> None:
-        """Open a link; its owner hears how it went.
+        """Open a link; the handler receives the outcome.
 
         Parameters
         ----------
         peer : str
             Name of the peer; empty if it is not known.
         host : str
-            IP number.
+            IP address.
         port : int
             TCP port.
         purpose : str
-            What the link is for.
+            Purpose of the link: `CONTROL`, `FORWARDING` or `LOANS`.
         """
         if self._stopped is not None:
             return
@@ -158,10 +165,14 @@
         )
 
     def make_incoming(self) -> PeerLink | None:
-        """Return the protocol for a new connection, None if too many are unproved."""
+        """Return the protocol for an incoming connection, or None to refuse it."""
         unauthenticated = sum(link.peer is None for link in self._connections)
         if unauthenticated >= MAX_UNAUTHENTICATED_LINKS or self._stopped is not None:
-            log.warning("peers: connection refused, too many are not proved")
+            log.warning(
+                "peers: refused a connection: this proxy is stopping or has too many "
+                "unauthenticated links (%d)",
+                unauthenticated,
+            )
             return None
         handshake = AnsweringHandshake(
             self._own.name, self._own.incarnation, self._settings.peer_key
@@ -171,20 +182,20 @@
         return link
 
     def close(self, peer: str, purpose: str, reason: str) -> None:
-        """Close the link to a peer, if there is one, without a report."""
+        """Close the link to a peer, if there is one, without calling the handler."""
         link = self._links.pop((purpose, peer), None)
         if link is not None:
-            log.info("peers: link to %s closed here: %s", peer, reason)
+            log.info("peers: closing the link to %s: %s", peer, reason)
             link.close(reason=reason)
 
     def stop(self) -> Deferred:
-        """Close everything; the Deferred fires when no connection is left."""
+        """Close all links; the Deferred fires when no connection is left."""
         for link in list(self._connections):
             link.close()
         return self._wait_for_connections()
 
     def abort(self) -> Deferred:
-        """Break everything; the Deferred fires when no connection is left."""
+        """Abort all links; the Deferred fires when no connection is left."""
         self._abort_all()
         return self._wait_for_connections()
 
@@ -199,7 +210,7 @@
         return gatherResults(filter(None, (listening, self._stopped)))
 
     def handle_link_opened(self, link: PeerLink) -> None:
-        """Take a proved link, unless the present one to its peer is better."""
+        """Use an authenticated link unless the current one is preferred."""
         expected, _ = self._connections.get(link, ("", ""))
         key = (link.peer.purpose, link.peer.name)
         old = self._links.get(key)
@@ -211,51 +222,51 @@
             old.close(reason="there is a newer link")
         if expected and expected != link.peer.name:
             self._report_failure(expected, link.peer.purpose)
-        self._owner.handle_link_opened(link)
+        self._handler.handle_link_opened(link)
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
-        """Hand on a message of a link that is the present one to its peer."""
+        """Pass on a message of a link that is the current one to its peer."""
         if self._is_current(link):
-            self._owner.handle_message(link, message)
+            self._handler.handle_message(link, message)
 
     def handle_link_writable(self, link: PeerLink) -> None:
-        """Hand on that a link takes messages again."""
+        """Pass on that a blocked link can be written to again."""
         if self._is_current(link):
-            self._owner.handle_link_writable(link)
+            self._handler.handle_link_writable(link)
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
-        """Take that a connection has closed."""
+        """Remove a closed connection and report its link."""
         expected, purpose = self._connections.pop(link, ("", ""))
         if link.peer is None and expected:
             self._report_failure(expected, purpose)
         elif self._is_current(link):
             del self._links[(link.peer.purpose, link.peer.name)]
-            self._owner.handle_link_closed(link, orderly)
+            self._handler.handle_link_closed(link, orderly)
         self._check_stopped()
 
     def _is_current(self, link: PeerLink) -> bool:
-        """Return whether a link is the one in use to its peer."""
+        """Return whether a link is the one in use to its peer and purpose."""
         peer = link.peer
         return peer is not None and self._links.get((peer.purpose, peer.name)) is link
 
     def _record_connection(self, link: PeerLink, peer: str, purpose: str) -> None:
-        """Remember for whom a connection that is now open was meant."""
+        """Record the peer and purpose of a connection that is open now."""
         self._connections[link] = (peer, purpose)
         if self._stopped is not None:
             link.abort()
 
     def _report_failure(self, peer: str, purpose: str) -> None:
-        """Report a link that could not be opened, unless all is closing."""
+        """Report a link that could not be opened, unless the table is stopping."""
         if self._stopped is None:
-            self._owner.handle_connect_failure(peer, purpose)
+            self._handler.handle_connect_failure(peer, purpose)
 
     def _abort_all(self) -> None:
-        """Break the connections that did not close in time."""
+        """Abort the connections that have not closed in time."""
         for link in list(self._connections):
             link.abort()
 
     def _check_stopped(self) -> None:
-        """Report the stop once no connection is left."""
+        """Fire the Deferred of a stop once no connection is left."""
         if self._stopped is not None and not self._connections:
             if not self._stopped.called:
                 self._stopped.callback(None)
--- a/beryltrack/peers/membership.py
+++ b/beryltrack/peers/membership.py
@@ -1,10 +1,10 @@
-"""Who is a member of the fleet, and who is thought to be gone.
+"""Membership of the fleet, with failure suspicion and refutation as in SWIM.
 
-The platform's instance list is joined with the peers' own word. Members speak
-for themselves: only a member raises its incarnation, and so refutes what others
-wrongly said of it. Within one incarnation a later state wins, so that views
-meet whatever order the news arrives in. The list brings contacts and tells who
-is leaving; it never takes a member away, because it lags and can be down.
+The platform's instance list is combined with the states that peers announce. Only a
+member itself raises its incarnation, and so refutes a wrong suspicion. Within one
+incarnation the later state wins, so views converge in whatever order messages
+arrive. The list provides contacts and shows which members are leaving; it never
+removes a member, because it lags and can be unavailable.
 """
 
 import ipaddress
@@ -27,16 +27,25 @@
 )
 
 SUSPICION_TIMEOUT = 2.0
+"""Seconds after which a suspected member that has not refuted counts as dead."""
+
 GONE_MEMBER_EXPIRY = 3600.0
+"""Seconds after which a member that has left or is dead is dropped."""
+
 REFUTATION_GRACE = 60.0
+"""Seconds after a refutation in which failed connections raise no suspicion."""
+
 LIST_LAG = 60.0
+"""Seconds by which the instance list may lag."""
+
 REFUTATION_PERIOD = 0.25
+"""Least seconds between two refutations of this proxy."""
 
 STATES_BY_RANK = {rank: state for state, rank in STATE_RANKS.items()}
 
 
 class ListedInstance(Protocol):
-    """What the decider reads of an entry of the platform's instance list."""
+    """The fields of an instance list entry that the decider reads."""
 
     name: str
     host: str
@@ -46,14 +55,14 @@
 
 
 class Observation(NamedTuple):
-    """What came of a word about a member.
+    """Result of handling a member's state.
 
     Parameters
     ----------
     accepted : bool
-        True if the word is news, to be kept and told to others.
+        True if the state is new, to be stored and pushed to others.
     refutations : tuple of Member
-        What this proxy has to say to it: a refutation, or nothing.
+        This proxy's own new entry if it has to refute the state; else empty.
     """
 
     accepted: bool
@@ -61,15 +70,15 @@
 
 
 class TimeoutChanges(NamedTuple):
-    """What the passing of time has changed.
+    """Changes that are due to timeouts.
 
     Parameters
     ----------
     changed : tuple of Member
-        Members whose suspicion was not refuted in time, now dead, and this
-        proxy itself if it has to refute something.
+        Members that count as dead now, as they did not refute in time, and this
+        proxy itself if a refutation is due.
     expired : tuple of str
-        Names of members that went long ago.
+        Names of members that were dropped `GONE_MEMBER_EXPIRY` after they went.
     """
 
     changed: tuple[Member, ...]
@@ -77,7 +86,7 @@
 
 
 class _Record(NamedTuple):
-    """A member, since when it is in its state, and when it last refuted."""
+    """A member, the time of its last change of state and of its last refutation."""
 
     member: Member
     since: float
@@ -89,7 +98,7 @@
 
 
 def make_member_item(member: Member) -> GossipItem:
-    """Return the item by which a member's state spreads."""
+    """Return the gossip item that carries a member's state."""
     version = (member.incarnation, STATE_RANKS[member.state])
     value = [member.host, member.port, member.zone]
     return GossipItem(MEMBER_KIND, member.name, version, value)
@@ -98,21 +107,21 @@
 def parse_member_item(
     item: GossipItem, source: str
 ) -> tuple[Member | None, list[Finding]]:
-    """Return the member that an item describes, or what is wrong with it.
+    """Parse and validate a member item.
 
     Parameters
     ----------
     item : GossipItem
         An item of the kind `MEMBER_KIND`.
     source : str
-        Who sent it, for the findings.
+        Name of the peer that sent it, for the findings.
 
     Returns
     -------
     Member or None
-        The member; None if anything is wrong.
+        The member; None if the item is malformed.
     list of Finding
-        All that is wrong.
+        All errors.
     """
     place = f"{item.kind}/{item.key}"
     if not isinstance(item.value, list | tuple) or len(item.value) != 3:
@@ -121,10 +130,10 @@
     state = STATES_BY_RANK.get(item.version[1]) if len(item.version) == 2 else None
     checks = (
         (bool(item.key), "the name is empty"),
-        (state not in (None, LISTED), "the version names no state"),
-        (_is_ip_number(host), "the host is not an IP number"),
+        (state not in (None, LISTED), "the version holds no valid state"),
+        (_is_ip_address(host), "the host is not an IP address"),
         (type(port) is int and 0 < port < 65536, "the port is not a TCP port"),
-        (isinstance(zone, str), "the availability zone is not a text"),
+        (isinstance(zone, str), "the availability zone is not text"),
     )
     findings = [Finding(source, place, text) for holds, text in checks if not holds]
     if findings:
@@ -140,7 +149,7 @@
     own : Member
         This proxy. Its incarnation should be higher than that of an earlier
         process of the same name, for example the time of its start; if it is
-        not, the first word about the earlier process is refuted.
+        not, the first state received of the earlier process is refuted.
     """
 
     def __init__(self, own: Member):
@@ -154,7 +163,7 @@
 
     @property
     def own(self) -> Member:
-        """What the proxy tells others of itself."""
+        """The entry of this proxy, as announced to others."""
         return self._own
 
     @property
@@ -167,31 +176,31 @@
         return self._members
 
     def get_member(self, name: str) -> Member | None:
-        """Return a member by name, or None if nothing is known of it."""
+        """Return a member by name, or None if it is unknown."""
         if name == self._own.name:
             return self._own
         record = self._records.get(name)
         return record.member if record else self._listed.get(name)
 
     def has_refuted_recently(self, name: str, now: float) -> bool:
-        """Return whether a member refuted a suspicion a short time ago."""
+        """Return whether a member refuted a suspicion within `REFUTATION_GRACE`."""
         record = self._records.get(name)
         return record is not None and now - record.refuted_at < REFUTATION_GRACE
 
     def observe_member(self, member: Member, now: float) -> Observation:
-        """Take a word about a member that was heard on the peer link.
+        """Handle a member's state that was received from a peer.
 
         Parameters
         ----------
         member : Member
-            What was said.
+            The member in the received state.
         now : float
             The current time, seconds.
 
         Returns
         -------
         Observation
-            Whether it is news, and what to answer.
+            Whether the state is new, and the refutation if it concerns this proxy.
         """
         if member.name == self._own.name:
             return self._observe_own(member, now)
@@ -212,7 +221,7 @@
     def observe_instances(
         self, instances: Iterable[ListedInstance], now: float
     ) -> tuple[Member, ...]:
-        """Take the platform's instance list.
+        """Apply the platform's instance list.
 
         Parameters
         ----------
@@ -224,7 +233,7 @@
         Returns
         -------
         tuple of Member
-            Members that the list newly says are leaving, to be told to others.
+            Members that the list newly shows as leaving, to be announced.
         """
         entries = [entry for entry in instances if _is_reachable(entry)]
         listed_before, leaving_before = self._listed, self._listed_as_leaving
@@ -246,12 +255,13 @@
         )
 
     def suspect(self, name: str, now: float) -> tuple[Member, ...]:
-        """Suspect a member that cannot be reached.
+        """Suspect a member that is unreachable.
 
         Returns
         -------
         tuple of Member
-            The suspected member to be told to others; empty if it is no news.
+            The suspected member, to be announced; empty if it is unknown, suspected
+            already or gone.
         """
         record = self._records.get(name)
         if record is None or record.member.state not in (JOINED, LEAVING):
@@ -259,7 +269,7 @@
         return (self._set_state(name, SUSPECTED, now),)
 
     def handle_timeouts(self, now: float) -> TimeoutChanges:
-        """Declare dead who did not refute in time, and forget who went long ago."""
+        """Declare unrefuted members dead, and drop members gone long ago."""
         unrefuted = [
             name
             for name, record in self._records.items()
@@ -279,7 +289,7 @@
         return TimeoutChanges(dead + self._refute(now), expired)
 
     def restart_suspicions(self, now: float) -> None:
-        """Give all suspected members their whole time again, after an own pause."""
+        """Restart the timeouts of all suspicions, after this process was suspended."""
         self._records = {
             name: record._replace(since=now)
             if record.member.state == SUSPECTED
@@ -288,25 +298,25 @@
         }
 
     def join(self, port: int) -> Member:
-        """Take the port that this proxy listens on and return what to tell."""
+        """Set the port that this proxy listens on; return the entry to announce."""
         self._set_own(self._own._replace(port=port))
         return self._own
 
     def leave(self) -> Member:
-        """Begin to leave and return what to tell the others."""
+        """Change this proxy to `LEAVING`; return the entry to announce."""
         self._set_own(self._own._replace(state=LEAVING))
         return self._own
 
     def finish(self) -> Member:
-        """Have left and return what to tell the others."""
+        """Change this proxy to `LEFT`; return the entry to announce."""
         self._set_own(self._own._replace(state=LEFT))
         return self._own
 
     def _observe_own(self, member: Member, now: float) -> Observation:
-        """Take a word about this proxy: adopt that it is leaving, refute the rest.
+        """Handle a state of this proxy: adopt `LEAVING`, refute any other state.
 
-        Two processes of one name refute each other without end, so that the
-        next refutation may have to wait for `handle_timeouts`.
+        Two processes of one name refute each other without end. Refutations are
+        therefore limited in rate, and one may be delayed until `handle_timeouts`.
         """
         if (
             _get_precedence(member) <= _get_precedence(self._own)
@@ -322,7 +332,7 @@
         return Observation(False, self._refute(now))
 
     def _refute(self, now: float) -> tuple[Member, ...]:
-        """Return the own state in a higher incarnation, if one is needed and due."""
+        """Return this proxy in a higher incarnation, if a refutation is due."""
         needed = self._refuted_incarnation > self._own.incarnation
         if not needed or now - self._refuted_at < REFUTATION_PERIOD:
             return ()
@@ -331,10 +341,10 @@
         return (self._own,)
 
     def _is_leave_credible(self, name: str, changed: bool, now: float) -> bool:
-        """Return whether the list's word that a member leaves is to be believed.
+        """Return whether a listed member's state `LEAVING` is credible.
 
-        The list lags: it may still speak of an earlier process of that name. A
-        change seen in the list, or an old member, tells that it does not.
+        The list lags, so the entry may be of an earlier process of that name. It is
+        not if the entry has just changed, or if the member joined `LIST_LAG` ago.
         """
         record = self._records.get(name)
         if record is None or record.member.state != JOINED:
@@ -342,7 +352,7 @@
         return changed or now - record.since >= LIST_LAG
 
     def _set_state(self, name: str, state: str, now: float) -> Member:
-        """Put a member into another state of its incarnation."""
+        """Change a member's state within its incarnation."""
         record = self._records[name]
         member = record.member._replace(state=state)
         self._store_record(_Record(member, now, record.refuted_at))
@@ -354,23 +364,23 @@
         self._members = None
 
     def _set_own(self, own: Member) -> None:
-        """Change this proxy's own entry."""
+        """Replace the entry of this proxy."""
         self._own = own
         self._members = None
 
 
 def _get_precedence(member: Member) -> tuple[int, int]:
-    """Return the order of words about one member."""
+    """Return the precedence of a state among all states of one member."""
     return member.incarnation, STATE_RANKS[member.state]
 
 
 def _is_reachable(entry: ListedInstance) -> bool:
-    """Return whether an entry of the list has an address to connect to."""
-    return _is_ip_number(entry.host) and 0 < entry.port < 65536
+    """Return whether an entry of the list has a valid address."""
+    return _is_ip_address(entry.host) and 0 < entry.port < 65536
 
 
-def _is_ip_number(host: object) -> bool:
-    """Return whether a value is the text of an IP number."""
+def _is_ip_address(host: object) -> bool:
+    """Return whether a value is the text of an IP address."""
     try:
         return isinstance(host, str) and bool(ipaddress.ip_address(host))
     except ValueError:
--- a/beryltrack/peers/messages.py
+++ b/beryltrack/peers/messages.py
@@ -1,7 +1,7 @@
-"""The messages of the peer link and the types that other slices share.
+"""Messages of the peer link, and the types that other packages share.
 
-All of them are flat tuples of numbers, text and bytes, which the codec turns
-into CBOR arrays. The types at the top are the ones that other slices use.
+All of them are flat tuples of numbers, text and bytes, which the codec encodes as
+CBOR arrays. Other packages use the constants and types at the top.
 """
 
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 LEFT = "left"
 DEAD = "dead"
 
-# Within one incarnation a later state goes before an earlier one.
+# Within one incarnation a state of higher rank supersedes the others.
 STATE_RANKS = {LISTED: 0, JOINED: 1, LEAVING: 2, SUSPECTED: 3, LEFT: 4, DEAD: 5}
 PRESENT_STATES = frozenset({JOINED, LEAVING, SUSPECTED})
 GONE_STATES = frozenset({LEFT, DEAD})
@@ -28,20 +28,20 @@
 
 
 class GossipItem(NamedTuple):
-    """One fact that every proxy should know.
+    """A versioned value that gossip spreads to every proxy.
 
     Parameters
     ----------
     kind : str
-        What the fact is about. Items whose kind is ``member`` or begins with
-        ``member.`` have a member's name as key and go when it is forgotten.
+        Type of the value. Items whose kind is ``member`` or begins with
+        ``member.`` have a member's name as key and are dropped with the member.
     key : str
-        Name of the thing, unique in its kind.
+        Name of the object, unique in its kind.
     version : tuple of int
-        Order of the facts under one key; the highest wins. Two items of one
-        version under one key must hold the same value.
+        Version of the value; the highest wins. Two items of one version under
+        one key must hold the same value.
     value : object
-        Whatever CBOR carries: numbers, text, bytes, lists and maps of them.
+        Any value of plain CBOR types: numbers, text, bytes, lists and maps.
     """
 
     kind: str
@@ -51,7 +51,7 @@
 
 
 class ItemVersion(NamedTuple):
-    """The version under which an item is known, without its value."""
+    """An item's key and version, without its value."""
 
     kind: str
     key: str
@@ -59,7 +59,7 @@
 
 
 class ItemKey(NamedTuple):
-    """The name of an item."""
+    """The kind and key that identify an item."""
 
     kind: str
     key: str
@@ -73,16 +73,16 @@
     name : str
         Name of the instance.
     host : str
-        IP number of its peer link.
+        IP address on which it listens for peers.
     port : int
-        TCP port of its peer link.
+        TCP port on which it listens for peers.
     zone : str
         Its availability zone.
     state : str
-        `LISTED` (only the platform names it), `JOINED`, `LEAVING`,
-        `SUSPECTED`, `LEFT` or `DEAD`.
+        `LISTED` (known only from the platform's instance list), `JOINED`,
+        `LEAVING`, `SUSPECTED`, `LEFT` or `DEAD`.
     incarnation : int
-        Raised by the member itself to refute a suspicion or after a restart.
+        Raised by the member itself to refute a suspicion, and by a restart.
     """
 
     name: str
@@ -99,9 +99,9 @@
     Parameters
     ----------
     lowest : int
-        Oldest version of the protocol that it speaks.
+        Oldest protocol version that it supports.
     highest : int
-        Newest version of the protocol that it speaks.
+        Newest protocol version that it supports.
     name : str
         Name of the instance.
     incarnation : int
@@ -109,7 +109,7 @@
     purpose : str
         `CONTROL`, `FORWARDING` or `LOANS`.
     nonce : bytes
-        Random bytes that the other side's proof has to cover.
+        Random bytes that the proofs cover.
     """
 
     lowest: int
@@ -121,7 +121,7 @@
 
 
 class Challenge(NamedTuple):
-    """Answer to `Hello`: the version chosen, the own name, nonce and proof."""
+    """Answer to `Hello`: the chosen version, and the sender's name, nonce and proof."""
 
     version: int
     name: str
@@ -142,19 +142,19 @@
     Parameters
     ----------
     version : int
-        Version of the protocol that both speak from now on.
+        Protocol version of the link.
     """
 
     version: int
 
 
 class Heartbeat(NamedTuple):
-    """Sign of life.
+    """Periodic message that shows that the sender is alive.
 
     Parameters
     ----------
     digest : int
-        Digest of all that the sender knows; see `GossipStore.digest`.
+        Digest of the sender's items; see `GossipStore.digest`.
     """
 
     digest: int
@@ -167,20 +167,20 @@
 
 
 class SyncDigests(NamedTuple):
-    """Digests of all buckets, to find the buckets that differ."""
+    """Digests of all buckets; starts an anti-entropy exchange."""
 
     digests: bytes
 
 
 class SyncVersions(NamedTuple):
-    """All versions in some buckets.
+    """The versions of all items in some buckets.
 
     Parameters
     ----------
     buckets : tuple of int
         The buckets that are listed in full.
     versions : tuple of ItemVersion
-        What the sender knows in these buckets.
+        The sender's versions in these buckets.
     """
 
     buckets: tuple[int, ...]
@@ -188,13 +188,13 @@
 
 
 class SyncRequest(NamedTuple):
-    """Asks for the items under some keys."""
+    """Requests the items under some keys."""
 
     keys: tuple[ItemKey, ...]
 
 
 class SyncItems(NamedTuple):
-    """Items that the receiver lacked when buckets were compared."""
+    """Items that the receiver lacks according to an anti-entropy exchange."""
 
     items: tuple[GossipItem, ...]
 
--- a/beryltrack/peers/placement.py
+++ b/beryltrack/peers/placement.py
@@ -1,8 +1,8 @@
-"""Who does what among the members: neighbours, watchers and owners.
+"""Placement of roles on members: neighbours, watchers and owners.
 
-Every proxy works these out by itself from the members that it knows, with
-`ranks`, so that nothing has to be agreed on. Views that differ for a while
-cost a spare link or a spare owner, never correctness.
+Every proxy computes these from the members that it knows, by rendezvous hashing
+(`beryltrack.ranks`), without any agreement. Views that differ for a while cost a
+redundant link or owner, never correctness.
 """
 
 from collections.abc import Sequence
@@ -12,34 +12,40 @@
 from beryltrack.ranks import compute_rank
 
 RING_COUNT = 3
+"""Rings of the overlay, and so links that each member opens."""
+
 WATCHER_COUNT = 3
+"""Members that watch the platform's store on behalf of the others."""
+
 BASE_POLL_PERIOD = 10.0
+"""Seconds between polls of one member in a fleet of up to `BASE_FLEET_SIZE`."""
+
 BASE_FLEET_SIZE = 8
 
 
 def get_neighbours(
     own_name: str, members: Sequence[Member], ring_count: int = RING_COUNT
 ) -> tuple[str, ...]:
-    """Return the members to which this one opens links.
+    """Return the members to which a member opens links.
 
-    The members are put in `ring_count` rings, each in its own random order, and
-    a member opens a link to its successor in each. Such a graph is connected
-    and has a diameter that grows with the logarithm of its size, and a member
-    that comes or goes changes the links of its own neighbours only.
+    The members form `ring_count` rings, each in its own hashed order, and a member
+    opens a link to its successor in each ring. Such a graph is connected, its
+    diameter grows with the logarithm of its size, and a member that joins or goes
+    changes only the links of its neighbours.
 
     Parameters
     ----------
     own_name : str
-        Name of the member that asks.
+        Name of the member that opens the links.
     members : sequence of Member
-        All members; those not present are left out.
+        All members; those that are not present are left out.
     ring_count : int
-        How many rings.
+        Number of rings.
 
     Returns
     -------
     tuple of str
-        At most `ring_count` names, without doubles and without the own.
+        At most `ring_count` names, without duplicates and without `own_name`.
     """
     names = [member.name for member in members if member.state in PRESENT_STATES]
     rings = (f"ring {number}" for number in range(ring_count))
@@ -50,19 +56,19 @@
 def get_watchers(
     members: Sequence[Member], count: int = WATCHER_COUNT
 ) -> tuple[str, ...]:
-    """Return the members that watch the platform's store for all others.
+    """Return the watchers: the members that watch the platform's store for all.
 
     Parameters
     ----------
     members : sequence of Member
         All members; only those that have joined are chosen.
     count : int
-        How many to choose.
+        Number of members to choose.
 
     Returns
     -------
     tuple of str
-        Names by rendezvous hashing, from as many availability zones as can be.
+        Names by rendezvous hashing, from as many availability zones as possible.
     """
     joined = [member for member in members if member.state == JOINED]
     ranked = sorted(
@@ -84,12 +90,12 @@
     members : sequence of Member
         All members; only those that have joined are chosen.
     count : int
-        How many members the group's connections can feed.
+        Number of members among which the group's connections can be divided.
 
     Returns
     -------
     tuple of str
-        Names by rendezvous hashing; all who have joined if they are few.
+        Names by rendezvous hashing; all joined members if there are at most `count`.
     """
     names = [member.name for member in members if member.state == JOINED]
     ranked = sorted(names, key=lambda name: compute_rank(group, name), reverse=True)
@@ -97,16 +103,16 @@
 
 
 def compute_poll_period(member_count: int) -> float:
-    """Return how often one member asks the platform by itself, seconds.
+    """Return the seconds between polls of the platform by one member.
 
-    The period grows with the fleet, so that the fleet's slow polls together
-    stay at `BASE_FLEET_SIZE` / `BASE_POLL_PERIOD` calls a second.
+    The period grows with the fleet, so that the polls of all members together
+    stay at `BASE_FLEET_SIZE` / `BASE_POLL_PERIOD` calls per second.
     """
     return BASE_POLL_PERIOD * max(1.0, member_count / BASE_FLEET_SIZE)
 
 
 def _get_successor(ring: str, own_name: str, names: list[str]) -> str | None:
-    """Return who follows `own_name` in a ring, or None if nobody does."""
+    """Return the successor of `own_name` in a ring, or None if it is alone."""
     own_rank = compute_rank(ring, own_name)
     ranked = [(compute_rank(ring, name), name) for name in names if name != own_name]
     later = [entry for entry in ranked if entry > (own_rank, own_name)]
--- a/beryltrack/peers/pushes.py
+++ b/beryltrack/peers/pushes.py
@@ -1,8 +1,8 @@
-"""Items that wait to be pushed over each control link.
+"""Queues of the items to push over each control link.
 
-A newer item replaces an older one under its key, so that what waits is bounded
-by the number of keys. On a link that is stuck, what exceeds the bound is
-dropped and counted: the digests will show it.
+A newer item replaces an older one under its key, so a queue is bounded by the number
+of keys. Items beyond `MAX_PENDING_ITEMS` on a blocked link are dropped and counted;
+anti-entropy repairs the difference.
 """
 
 from collections.abc import Container, Iterable
@@ -13,7 +13,7 @@
 
 
 class PushQueues:
-    """What waits to be pushed, for each link."""
+    """The items to push, for each link."""
 
     def __init__(self):
         self.dropped = 0
@@ -21,26 +21,26 @@
 
     @property
     def has_pending(self) -> bool:
-        """True if anything waits."""
+        """True if any item is queued."""
         return any(self._queues.values())
 
     def add_link(self, peer: str) -> None:
-        """Begin with nothing for a link that is new."""
+        """Start an empty queue for a new link."""
         self._queues[peer] = {}
 
     def drop_link(self, peer: str) -> None:
-        """Forget what waited for a link that has closed."""
+        """Drop the queue of a link that has closed."""
         self._queues.pop(peer, None)
 
     def push(self, items: Iterable[GossipItem], source: str = "") -> None:
-        """Have items sent over all links but the one that they came from."""
+        """Queue items for all links except the one to their source."""
         items = tuple(items)
         for peer in self._queues:
             if peer != source:
                 self.push_to(peer, items)
 
     def push_to(self, peer: str, items: Iterable[GossipItem]) -> None:
-        """Have items sent over one link."""
+        """Queue items for one link."""
         queue = self._queues[peer]
         for item in items:
             key = ItemKey(item.kind, item.key)
@@ -50,12 +50,12 @@
                 self.dropped += 1
 
     def flush(self, blocked: Container[str] = ()) -> list[SendMessage]:
-        """Return the messages that carry all that waits.
+        """Return the messages that carry the queued items, and empty the queues.
 
         Parameters
         ----------
         blocked : container of str
-            Peers whose links take no more now; their items go on waiting.
+            Peers whose links cannot be written to; their items stay queued.
 
         Returns
         -------
--- a/beryltrack/peers/repeater.py
+++ b/beryltrack/peers/repeater.py
@@ -1,4 +1,4 @@
-"""Repeats a coroutine, each time after the delay that it returned."""
+"""Runs a coroutine repeatedly, each time after the delay that it returned."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -9,10 +9,11 @@
 log = logging.getLogger(__name__)
 
 FAILURE_DELAY = 5.0
+"""Seconds until the next call after one that failed."""
 
 
 class Repeater:
-    """Runs a coroutine again and again, never twice at once.
+    """Runs a coroutine repeatedly, never twice at the same time.
 
     Parameters
     ----------
@@ -29,13 +30,13 @@
         self._timer = None
 
     def start(self) -> None:
-        """Call the function now, and again after each end."""
+        """Call the function now, and again after each call has ended."""
         self._timer = None
         self._running = Deferred.fromCoroutine(self._function())
         self._running.addCallbacks(self._schedule, self._handle_failure)
 
     def stop(self) -> None:
-        """Call it no more; a call that is running is cancelled."""
+        """Stop repeating; cancel a call that is running."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -43,12 +44,16 @@
             self._running.cancel()
 
     def _schedule(self, delay: float) -> None:
-        """Plan the next call."""
+        """Schedule the next call."""
         self._timer = self._reactor.callLater(delay, self.start)
 
     def _handle_failure(self, failure) -> None:
-        """Log a fault of the function and go on, unless it was stopped."""
+        """Log a failed call and schedule the next one, unless it was cancelled."""
         if failure.check(CancelledError):
             return
-        log.error("peers: call failed: %s", failure.getTraceback())
+        log.error(
+            "peers: a periodic call failed; next one in %.1f s: %s",
+            FAILURE_DELAY,
+            failure.getTraceback(),
+        )
         self._schedule(FAILURE_DELAY)
--- a/beryltrack/peers/service.py
+++ b/beryltrack/peers/service.py
@@ -1,4 +1,4 @@
-"""All that makes one proxy act with its peers, started and stopped as one."""
+"""Assembles a proxy's peer task, settings sharing and instance list poller."""
 
 import random
 
@@ -16,17 +16,17 @@
 
 
 class PeerService:
-    """The peers of one proxy, joined to its settings and the platform.
+    """The peer task of one proxy, connected to its settings and the platform.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where sockets and timers come from.
+        Provides sockets and timers.
     instance_settings : InstanceSettings
         Name, zone, peer address, key and seeds of this proxy.
     settings : SettingsTask
-        Its settings, to be shared.
-    client : InstanceList
+        The settings task of this proxy, whose objects are shared.
+    client : InstanceListClient
         The platform's client.
     rng : random.Random
         Source of jitter.
@@ -48,26 +48,26 @@
         self._list_poller = InstanceListPoller(reactor, self.peers, client, rng)
 
     def start(self) -> None:
-        """Listen for peers, look for them, and share settings."""
+        """Listen for and connect to peers, and share settings."""
         self.peers.start()
         self._sharing.start()
         self._list_poller.start()
 
     def leave(self) -> None:
-        """Tell all proxies that this one is leaving."""
+        """Announce that this proxy is leaving."""
         self.peers.leave()
 
     def stop(self) -> Deferred:
-        """Tell all proxies that this one has left, and close everything."""
+        """Announce that this proxy has left, and close all links."""
         self._stop_sharing()
         return self.peers.stop()
 
     def abort(self) -> Deferred:
-        """Break off without a word, as a crash does; for tests."""
+        """Abort all links without an announcement, as a crash does; for tests."""
         self._stop_sharing()
         return self.peers.abort()
 
     def _stop_sharing(self) -> None:
-        """Stop what stands between the peers and the platform."""
+        """Stop sharing settings and reading the instance list."""
         self._sharing.stop()
         self._list_poller.stop()
--- a/beryltrack/peers/sharing.py
+++ b/beryltrack/peers/sharing.py
@@ -1,9 +1,9 @@
-"""Ties the peers to the platform: shared settings and the instance list.
+"""Connects the peers to the platform: shared settings and the instance list.
 
-Settings that one proxy learned from the store reach the others as items, and
-the few watchers are chosen here. All proxies look at the instance list, the
-watchers often and the others seldom, so that the fleet's calls do not grow with
-its size.
+Settings that one proxy reads from the store reach the others as gossip items. This
+module also decides whether this proxy is a watcher, one of the few that watch the
+store. All proxies poll the instance list, watchers often and the others rarely, so
+that the fleet's calls do not grow with its size.
 """
 
 import logging
@@ -25,17 +25,28 @@
 log = logging.getLogger(__name__)
 
 SETTINGS_KIND = "settings"
+
 SETTINGS_BATCH_DELAY = 0.01
+"""Seconds for which received settings are collected before they are applied."""
+
 WATCHER_CHOICE_DELAY = 0.5
-# A proxy that has just started does not know yet who else watches.
+"""Seconds from a change of the fleet until the watchers are chosen again."""
+
 FIRST_WATCHER_CHOICE_DELAY = 2.0
+"""Seconds until the first choice: a proxy that has just started knows no members."""
+
 WATCHER_LIST_PERIOD = 5.0
+"""Seconds between reads of the instance list by a watcher."""
+
 UNLINKED_LIST_PERIOD = 2.0
+"""Seconds between reads of the instance list while no peer is linked."""
+
 LIST_JITTER = 0.25
+"""Fraction by which the periods of reading the list vary at random."""
 
 
 class InstanceListClient(Protocol):
-    """What is needed of the platform's client."""
+    """The method of the platform's client that the poller calls."""
 
     def list_instances(
         self,
@@ -44,7 +55,7 @@
 
 
 def make_settings_item(found: PlatformObject) -> GossipItem:
-    """Return the item by which an object of the settings spreads."""
+    """Return the gossip item that carries a settings object."""
     value = [found.value, found.deleted]
     return GossipItem(SETTINGS_KIND, found.path, (found.version,), value)
 
@@ -52,7 +63,7 @@
 def parse_settings_item(
     item: GossipItem,
 ) -> tuple[PlatformObject | None, list[Finding]]:
-    """Return the object that an item carries, or what is wrong with it.
+    """Parse and validate a settings item.
 
     Parameters
     ----------
@@ -62,9 +73,9 @@
     Returns
     -------
     PlatformObject or None
-        The object; None if anything is wrong.
+        The settings object; None if the item is malformed.
     list of Finding
-        All that is wrong.
+        All errors.
     """
     value = item.value
     is_pair = isinstance(value, list | tuple) and len(value) == 2
@@ -80,16 +91,16 @@
 
 
 class SettingsSharing:
-    """Shares settings between the proxies and chooses who watches the store.
+    """Shares settings between the proxies, and decides whether this one is a watcher.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Clock of the short delays by which news is gathered.
+        Clock of the delays that batch changes.
     peers : PeerTask
-        The peers.
+        The peer task of this proxy.
     settings : SettingsTask
-        The settings of this proxy.
+        The settings task of this proxy.
     """
 
     def __init__(self, reactor: IReactorTime, peers: PeerTask, settings: SettingsTask):
@@ -102,7 +113,7 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to share."""
+        """Start to share."""
         self._settings.subscribe_objects(self._publish)
         self._publish(self._settings.get_objects())
         self._settings.set_watcher(False)
@@ -120,16 +131,16 @@
                 call.cancel()
 
     def _publish(self, objects: Iterable[PlatformObject]) -> None:
-        """Tell the peers of objects; they pass over what they know."""
+        """Publish objects to the peers, which ignore versions that they hold."""
         if not self._stopped:
             for found in objects:
                 self._peers.publish(make_settings_item(found))
 
     def _buffer_item(self, item: GossipItem) -> None:
-        """Gather what peers told, because settings are put in force as a whole."""
+        """Buffer a received object, because settings are applied as a whole."""
         found, findings = parse_settings_item(item)
         for finding in findings:
-            log.warning("peers: settings refused: %s", format_finding(finding))
+            log.warning("peers: ignored a settings item: %s", format_finding(finding))
         if found is None or self._stopped:
             return
         self._received.append(found)
@@ -139,35 +150,35 @@
             )
 
     def _apply_settings(self) -> None:
-        """Put in force what was gathered."""
+        """Apply the buffered objects."""
         self._applying = None
         received, self._received = self._received, []
         self._settings.learn(received)
 
     def _schedule_choice(self, item: GossipItem) -> None:
-        """Choose anew shortly, once for many changes of the fleet."""
+        """Schedule a choice of the watchers, one for many changes of the fleet."""
         if self._choosing is None and not self._stopped:
             self._choosing = self._reactor.callLater(
                 WATCHER_CHOICE_DELAY, self._choose_watchers
             )
 
     def _choose_watchers(self) -> None:
-        """Tell the settings whether this proxy watches the store."""
+        """Set whether this proxy watches the store, and the size of the fleet."""
         self._choosing = None
         self._settings.set_watcher(self._peers.is_watcher)
         self._settings.set_fleet_size(len(self._peers.members))
 
 
 class InstanceListPoller:
-    """Reads the platform's instance list for the peers.
+    """Polls the platform's instance list for the peers.
 
     Parameters
     ----------
     reactor : IReactorTime
         Clock of the periods.
     peers : PeerTask
-        Who is told.
-    client : InstanceList
+        Receives the list.
+    client : InstanceListClient
         The platform's client.
     rng : random.Random
         Source of jitter.
@@ -186,22 +197,22 @@
         self._repeater = Repeater(reactor, self._read)
 
     def start(self) -> None:
-        """Read the list now, and from time to time."""
+        """Read the list now and periodically."""
         self._repeater.start()
 
     def stop(self) -> None:
-        """Read it no more."""
+        """Stop polling."""
         self._repeater.stop()
 
     async def _read(self) -> float:
-        """Read the list once; return the seconds until the next time."""
+        """Read the list once; return the seconds until the next read."""
         result = await self._client.list_instances()
         if isinstance(result, Success):
             self._peers.observe_instances(result.unwrap())
         return self._get_period() * self._rng.uniform(1 - LIST_JITTER, 1 + LIST_JITTER)
 
     def _get_period(self) -> float:
-        """Return how often this proxy reads the list, seconds."""
+        """Return the mean seconds between reads of the list."""
         if not self._peers.linked:
             return UNLINKED_LIST_PERIOD
         return (
--- a/beryltrack/peers/task.py
+++ b/beryltrack/peers/task.py
@@ -1,6 +1,6 @@
-"""The task that keeps a proxy in touch with its peers.
+"""Task that runs membership and gossip of a proxy over real sockets.
 
-It owns the sockets and the timers, feeds `PeerDecider` and carries out the
+It owns the sockets and timers, passes events to `PeerDecider` and carries out the
 actions that the decider returns.
 """
 
@@ -42,17 +42,18 @@
 log = logging.getLogger(__name__)
 
 FLUSH_DELAY = 0.01
+"""Seconds for which changes are collected before they are pushed."""
 
 ItemCallback = Callable[[GossipItem], None]
 
 
 class PeerTask:
-    """Membership and shared knowledge of one proxy, over real sockets.
+    """Membership and gossip of one proxy, over real sockets.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where sockets and timers come from.
+        Provides sockets and timers.
     instance_settings : InstanceSettings
         Name, zone, peer address, key and seeds of this proxy.
     rng : random.Random
@@ -88,7 +89,7 @@
         )
         self._table = LinkTable(reactor, self, self.counters, own, instance_settings)
         self._subscribers: dict[str, list[ItemCallback]] = defaultdict(list)
-        # Who takes the links of purposes other than control.
+        # Handlers of the links, by purpose, except those for control.
         self._link_handlers: dict[str, LinkTableHandler] = {}
         self._listed: frozenset[str] | None = None
         self._ticking = LoopingCall(self._tick)
@@ -104,7 +105,7 @@
 
     @property
     def own(self) -> Member:
-        """What this proxy tells others of itself."""
+        """The entry of this proxy, as announced to others."""
         return self._decider.own
 
     @property
@@ -114,7 +115,7 @@
 
     @property
     def gossip_store(self) -> GossipStore:
-        """All that is known; to be read only."""
+        """The items that this proxy holds; read-only for callers."""
         return self._decider.store
 
     @property
@@ -129,19 +130,19 @@
 
     @property
     def poll_period(self) -> float:
-        """Seconds between calls by which a proxy that does not watch repairs."""
+        """Seconds between polls of the platform by a proxy that is no watcher."""
         return compute_poll_period(len(self.members))
 
     @property
     def listed(self) -> frozenset[str] | None:
-        """Names in the platform's instance list; None if it was never read."""
+        """Names in the platform's instance list; None before it is first read."""
         return self._listed
 
     def start(self) -> None:
-        """Listen for peers and begin to look for them."""
+        """Listen for peers and start to connect to them."""
         self._running = True
         self._carry_out(self._decider.join(self._table.listen()))
-        # A random first tick spreads the heartbeats of proxies that start at once.
+        # A random delay spreads the heartbeats of proxies that start together.
         delay = self._rng.uniform(0.0, HEARTBEAT_PERIOD)
         self._tick()
         self._starting = self._reactor.callLater(
@@ -149,50 +150,50 @@
         )
 
     def publish(self, item: GossipItem) -> None:
-        """Tell all proxies of an item.
+        """Publish an item to all proxies.
 
         Parameters
         ----------
         item : GossipItem
-            Ignored if one of the same or a higher version is known.
+            Ignored if the same or a higher version is stored.
         """
         self._carry_out(self._decider.publish(item))
 
     def subscribe(self, kind: str, callback: ItemCallback) -> None:
-        """Have `callback` called with each new item of a kind.
+        """Call `callback` with each new item of a kind.
 
-        It is called at once with all that is known already.
+        It is called at once with each item that is stored already.
         """
         self._subscribers[kind].append(callback)
         for item in self._decider.store.get_items(kind):
             callback(item)
 
-    def set_link_handler(self, purpose: str, owner: LinkTableHandler) -> None:
-        """Have the links of a purpose other than control reported to `owner`."""
-        self._link_handlers[purpose] = owner
+    def set_link_handler(self, purpose: str, handler: LinkTableHandler) -> None:
+        """Report the links of a purpose other than control to `handler`."""
+        self._link_handlers[purpose] = handler
 
     def get_link(self, peer: str, purpose: str) -> PeerLink | None:
         """Return the link to a peer, or None."""
         return self._table.get(peer, purpose)
 
     def open_link(self, peer: Member, purpose: str) -> None:
-        """Open a link to a member; the purpose's owner hears how it went."""
+        """Open a link to a member; the purpose's handler receives the outcome."""
         self._table.open(peer.name, peer.host, peer.port, purpose)
 
     def observe_instances(self, instances: Iterable[ListedInstance]) -> None:
-        """Take the platform's instance list."""
+        """Apply the platform's instance list."""
         now = self._seconds()
         listed = tuple(instances)
         self._listed = frozenset(entry.name for entry in listed)
         self._carry_out(self._decider.observe_instances(listed, now))
 
     def leave(self) -> None:
-        """Tell all proxies that this one is leaving and wants no new work."""
+        """Announce that this proxy is leaving and accepts no new work."""
         self._carry_out(self._decider.leave())
         self._flush()
 
     def stop(self) -> Deferred:
-        """Tell all proxies that this one has left, and close everything.
+        """Announce that this proxy has left, and close all links.
 
         Returns
         -------
@@ -205,12 +206,12 @@
         return self._table.stop()
 
     def abort(self) -> Deferred:
-        """Break all connections without a word, as a crash does; for tests."""
+        """Abort all links without an announcement, as a crash does; for tests."""
         self._stop_timers()
         return self._table.abort()
 
     def handle_link_opened(self, link: PeerLink) -> None:
-        """Take a link whose peer is proved."""
+        """Start to use a link whose peer is authenticated."""
         if link.peer.purpose != CONTROL:
             self._accept_other_link(link)
             return
@@ -218,11 +219,11 @@
         actions = self._decider.handle_link_opened(
             link.peer.name, link.opened_here, now
         )
-        log.info("peers: linked with %s", link.peer.name)
+        log.info("peers: opened a control link with %s", link.peer.name)
         self._carry_out(actions)
 
     def handle_message(self, link: PeerLink, message: Message) -> None:
-        """Take a message of a peer."""
+        """Handle a message of a peer."""
         if link.peer.purpose != CONTROL:
             self._link_handlers[link.peer.purpose].handle_message(link, message)
             return
@@ -231,45 +232,45 @@
         self._report_findings()
 
     def handle_link_writable(self, link: PeerLink) -> None:
-        """Send what waited while the link was stuck."""
+        """Send the items that were queued while the link was blocked."""
         if link.peer.purpose != CONTROL:
             self._link_handlers[link.peer.purpose].handle_link_writable(link)
             return
         self._schedule_flush()
 
     def handle_link_closed(self, link: PeerLink, orderly: bool) -> None:
-        """Take that the link to a peer has closed."""
+        """Handle that the link to a peer has closed."""
         if link.peer.purpose != CONTROL:
             self._link_handlers[link.peer.purpose].handle_link_closed(link, orderly)
             return
-        log.info("peers: link to %s closed", link.peer.name)
+        log.info("peers: the control link to %s has closed", link.peer.name)
         now = self._seconds()
         self._carry_out(self._decider.handle_link_closed(link.peer.name, orderly, now))
 
     def handle_connect_failure(self, peer: str, purpose: str) -> None:
-        """Take that a link could not be opened."""
+        """Handle that a link could not be opened."""
         if purpose != CONTROL:
             self._link_handlers[purpose].handle_connect_failure(peer, purpose)
             return
         self._carry_out(self._decider.handle_connect_failure(peer, self._seconds()))
 
     def _accept_other_link(self, link: PeerLink) -> None:
-        """Hand on a link that is not for control, if somebody takes its purpose."""
-        owner = self._link_handlers.get(link.peer.purpose)
-        if owner is None:
+        """Pass a link to the handler of its purpose; close it if there is none."""
+        handler = self._link_handlers.get(link.peer.purpose)
+        if handler is None:
             self._table.close(link.peer.name, link.peer.purpose, "nobody takes it")
         else:
-            owner.handle_link_opened(link)
+            handler.handle_link_opened(link)
 
     def _tick(self) -> None:
-        """Let the decider do what time asks for; a fault must not end the ticks."""
+        """Run the decider's tick; an error must not stop the timer."""
         try:
             self._carry_out(self._decider.tick(self._seconds()))
         except Exception:
-            log.exception("peers: tick failed")
+            log.exception("peers: a tick failed; the next one follows as usual")
 
     def _carry_out(self, actions: Iterable[Action]) -> None:
-        """Do what the decider asked for."""
+        """Carry out the decider's actions."""
         for action in actions:
             match action:
                 case SendMessage(peer, message):
@@ -283,27 +284,29 @@
         self._schedule_flush()
 
     def _send(self, peer: str, message: Message) -> None:
-        """Send a message unless its link is stuck and it can be made up for."""
+        """Send a message; on a blocked link only items, as others are repeated."""
         link = self._table.get(peer, CONTROL)
         if link is None or (link.is_blocked and not isinstance(message, Items)):
             return
         link.send(message)
 
     def _notify_subscribers(self, item: GossipItem) -> None:
-        """Call who subscribed; one that fails does not harm the others."""
+        """Call the subscribers; one that fails does not affect the others."""
         for callback in self._subscribers[item.kind]:
             try:
                 callback(item)
             except Exception:
-                log.exception("peers: subscriber of %s failed", item.kind)
+                log.exception(
+                    "peers: a subscriber failed on an item of kind %s", item.kind
+                )
 
     def _schedule_flush(self) -> None:
-        """Have pending items sent shortly, many changes in one message."""
+        """Schedule a flush, so that many changes share one message."""
         if self._flushing is None and self._running and self._decider.has_pending:
             self._flushing = self._reactor.callLater(FLUSH_DELAY, self._flush)
 
     def _flush(self) -> None:
-        """Send pending items on all links that take them."""
+        """Send the pending items over all links that are not blocked."""
         if self._flushing is not None and self._flushing.active():
             self._flushing.cancel()
         self._flushing = None
@@ -311,10 +314,12 @@
             self._send(action.peer, action.message)
 
     def _report_findings(self) -> None:
-        """Log what was wrong with messages."""
+        """Count and log the errors found in messages."""
         for finding in self._decider.findings:
             self.counters.malformed += 1
-            log.warning("peers: message refused: %s", format_finding(finding))
+            log.warning(
+                "peers: ignored an invalid item or message: %s", format_finding(finding)
+            )
         self._decider.findings.clear()
 
     def _stop_timers(self) -> None:
