--- a/beryltrack/peers/forwarder.py
+++ b/beryltrack/peers/forwarder.py
@@ -163,8 +163,8 @@
         self._sinks: dict[int, ForwardSink] = {}
         self.forwarded_count = 0
         self._running: dict[StreamKey, tuple[Deferred, ForwardWriter]] = {}
-        self._ticking = LoopingCall(self._tick)
-        self._ticking.clock = reactor
+        self._ticker = LoopingCall(self._tick)
+        self._ticker.clock = reactor
 
     @property
     def stream_count(self) -> int:
@@ -175,7 +175,7 @@
         """Register for the forwarding links and start the timer."""
         self._peers.set_link_handler(FORWARDING, self)
         self._peers.subscribe(MEMBER_KIND, self._observe_member)
-        self._ticking.start(TICK_PERIOD)
+        self._ticker.start(TICK_PERIOD)
 
     def leave(self) -> None:
         """Refuse new requests of other proxies; running ones are finished."""
@@ -183,8 +183,8 @@
 
     def stop(self) -> None:
         """Stop the timer and cancel the requests of other proxies."""
-        if self._ticking.running:
-            self._ticking.stop()
+        if self._ticker.running:
+            self._ticker.stop()
         for running, _ in tuple(self._running.values()):
             running.cancel()
 
--- a/beryltrack/peers/link.py
+++ b/beryltrack/peers/link.py
@@ -50,7 +50,7 @@
 """Maximum frame size after the peer is authenticated."""
 
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-"""Bytes written while blocked above which a link is aborted."""
+"""Bytes sent since the send buffer last drained above which a blocked link aborts."""
 
 NORMAL_CLOSE_CODE = 1000
 """WebSocket status of an orderly close (RFC 6455)."""
@@ -84,11 +84,11 @@
     handler : LinkHandler
         Receives the link's events.
     clock : IReactorTime
-        For the timeout of the handshake.
+        Clock of the timeouts.
     websocket : ClientProtocol or ServerProtocol
-        The sans-I/O layer, fresh.
+        The sans-I/O layer, not yet used.
     handshake : OpeningHandshake or AnsweringHandshake
-        The own side's handshake, fresh.
+        This side's handshake, not yet used.
     counters : LinkCounters
         Where traffic is counted.
     """
@@ -101,7 +101,7 @@
         self._websocket = websocket
         self._handshake = handshake
         self._counters: LinkCounters = counters
-        self._timeout = None
+        self._timer = None
         self._queued_bytes = 0
         self._orderly = False
 
@@ -114,7 +114,7 @@
         """Start the handshake."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._timeout = self._clock.callLater(
+        self._timer = self._clock.callLater(
             HANDSHAKE_TIMEOUT, self._refuse, "the handshake took too long"
         )
         if self.opened_here:
@@ -136,7 +136,7 @@
 
     def connectionLost(self, reason) -> None:
         """Report the end of the link."""
-        self._stop_timeout()
+        self._stop_timer()
         self._handler.handle_link_closed(self, self._orderly)
 
     def send(self, message: Message) -> None:
@@ -164,7 +164,7 @@
         if self._orderly:
             return
         self._orderly = True
-        self._stop_timeout()
+        self._stop_timer()
         if self._websocket.state is not State.OPEN:
             self._disconnect()
             return
@@ -173,7 +173,7 @@
         self._websocket.send_close(code, reason)
         self._flush_output()
         wait = CLOSE_TIMEOUT if self.peer is not None else 0.0
-        self._timeout = self._clock.callLater(wait, self._disconnect)
+        self._timer = self._clock.callLater(wait, self._disconnect)
 
     def abort(self) -> None:
         """Reset the connection; the peer sees a failure."""
@@ -256,7 +256,7 @@
         if step.is_authenticated:
             self._websocket.max_message_size = MAX_FRAME_BYTES
         if step.peer is not None:
-            self._stop_timeout()
+            self._stop_timer()
             self.peer = step.peer
             self._handler.handle_link_opened(self)
 
@@ -288,10 +288,10 @@
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
-    def _stop_timeout(self) -> None:
+    def _stop_timer(self) -> None:
         """Cancel the running timeout."""
-        if self._timeout is not None and self._timeout.active():
-            self._timeout.cancel()
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
 
     def _describe_peer(self, address: object = "") -> str:
         """Return the peer's name, or its address if it is not authenticated."""
--- a/beryltrack/peers/membership.py
+++ b/beryltrack/peers/membership.py
@@ -235,7 +235,7 @@
         tuple of Member
             Members that the list newly shows as leaving, to be announced.
         """
-        entries = [entry for entry in instances if _is_reachable(entry)]
+        entries = [entry for entry in instances if _has_valid_address(entry)]
         listed_before, leaving_before = self._listed, self._listed_as_leaving
         self._listed = {
             entry.name: Member(
@@ -374,7 +374,7 @@
     return member.incarnation, STATE_RANKS[member.state]
 
 
-def _is_reachable(entry: ListedInstance) -> bool:
+def _has_valid_address(entry: ListedInstance) -> bool:
     """Return whether an entry of the list has a valid address."""
     return _is_ip_address(entry.host) and 0 < entry.port < 65536
 
--- a/beryltrack/peers/sharing.py
+++ b/beryltrack/peers/sharing.py
@@ -108,8 +108,8 @@
         self._peers = peers
         self._settings = settings
         self._received: list[PlatformObject] = []
-        self._applying = None
-        self._choosing = None
+        self._apply_timer = None
+        self._choice_timer = None
         self._stopped = False
 
     def start(self) -> None:
@@ -117,7 +117,7 @@
         self._settings.subscribe_objects(self._publish)
         self._publish(self._settings.get_objects())
         self._settings.set_watcher(False)
-        self._choosing = self._reactor.callLater(
+        self._choice_timer = self._reactor.callLater(
             FIRST_WATCHER_CHOICE_DELAY, self._choose_watchers
         )
         self._peers.subscribe(SETTINGS_KIND, self._buffer_item)
@@ -126,7 +126,7 @@
     def stop(self) -> None:
         """Stop sharing."""
         self._stopped = True
-        for call in (self._applying, self._choosing):
+        for call in (self._apply_timer, self._choice_timer):
             if call is not None and call.active():
                 call.cancel()
 
@@ -144,27 +144,27 @@
         if found is None or self._stopped:
             return
         self._received.append(found)
-        if self._applying is None:
-            self._applying = self._reactor.callLater(
+        if self._apply_timer is None:
+            self._apply_timer = self._reactor.callLater(
                 SETTINGS_BATCH_DELAY, self._apply_settings
             )
 
     def _apply_settings(self) -> None:
         """Apply the buffered objects."""
-        self._applying = None
+        self._apply_timer = None
         received, self._received = self._received, []
         self._settings.learn(received)
 
     def _schedule_choice(self, item: GossipItem) -> None:
         """Schedule a choice of the watchers, one for many changes of the fleet."""
-        if self._choosing is None and not self._stopped:
-            self._choosing = self._reactor.callLater(
+        if self._choice_timer is None and not self._stopped:
+            self._choice_timer = self._reactor.callLater(
                 WATCHER_CHOICE_DELAY, self._choose_watchers
             )
 
     def _choose_watchers(self) -> None:
         """Set whether this proxy watches the store, and the size of the fleet."""
-        self._choosing = None
+        self._choice_timer = None
         self._settings.set_watcher(self._peers.is_watcher)
         self._settings.set_fleet_size(len(self._peers.members))
 
--- a/beryltrack/peers/task.py
+++ b/beryltrack/peers/task.py
@@ -92,11 +92,11 @@
         # Handlers of the links, by purpose, except those for control.
         self._link_handlers: dict[str, LinkTableHandler] = {}
         self._listed: frozenset[str] | None = None
-        self._ticking = LoopingCall(self._tick)
-        self._ticking.clock = reactor
+        self._ticker = LoopingCall(self._tick)
+        self._ticker.clock = reactor
         self._running = False
-        self._starting = None
-        self._flushing = None
+        self._start_timer = None
+        self._flush_timer = None
 
     @property
     def name(self) -> str:
@@ -145,8 +145,8 @@
         # A random delay spreads the heartbeats of proxies that start together.
         delay = self._rng.uniform(0.0, HEARTBEAT_PERIOD)
         self._tick()
-        self._starting = self._reactor.callLater(
-            delay, self._ticking.start, HEARTBEAT_PERIOD
+        self._start_timer = self._reactor.callLater(
+            delay, self._ticker.start, HEARTBEAT_PERIOD
         )
 
     def publish(self, item: GossipItem) -> None:
@@ -302,14 +302,14 @@
 
     def _schedule_flush(self) -> None:
         """Schedule a flush, so that many changes share one message."""
-        if self._flushing is None and self._running and self._decider.has_pending:
-            self._flushing = self._reactor.callLater(FLUSH_DELAY, self._flush)
+        if self._flush_timer is None and self._running and self._decider.has_pending:
+            self._flush_timer = self._reactor.callLater(FLUSH_DELAY, self._flush)
 
     def _flush(self) -> None:
         """Send the pending items over all links that are not blocked."""
-        if self._flushing is not None and self._flushing.active():
-            self._flushing.cancel()
-        self._flushing = None
+        if self._flush_timer is not None and self._flush_timer.active():
+            self._flush_timer.cancel()
+        self._flush_timer = None
         for action in self._decider.flush(self._table.get_blocked(CONTROL)):
             self._send(action.peer, action.message)
 
@@ -325,9 +325,9 @@
     def _stop_timers(self) -> None:
         """Stop all timers."""
         self._running = False
-        if self._ticking.running:
-            self._ticking.stop()
-        for call in (self._starting, self._flushing):
+        if self._ticker.running:
+            self._ticker.stop()
+        for call in (self._start_timer, self._flush_timer):
             if call is not None and call.active():
                 call.cancel()
-        self._flushing = None
+        self._flush_timer = None
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Real peer tasks on loopback, for tests with sockets."""
+"""Starts real peer tasks on loopback, for tests with sockets."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def start_fleet(names, **kwargs):
-    """Start proxies that find each other in an instance list."""
+    """Start proxies that find each other through an instance list."""
     tasks = [make_task(name, **kwargs) for name in names]
     for task in tasks:
         task.start()
@@ -30,7 +30,7 @@
 
 
 def list_instance(task):
-    """Return a task's line in the instance list."""
+    """Return a task's entry in the instance list."""
     own = task.own
     return InstanceEntry(own.name, own.host, own.port, own.zone, "live")
 
--- a/tests/peers/network.py
+++ b/tests/peers/network.py
@@ -1,4 +1,4 @@
-"""Deciders of several proxies joined by links that a test can break."""
+"""Simulated network of peer deciders, in virtual time, with links that tests break."""
 
 import heapq
 import random
@@ -25,12 +25,12 @@
 
 
 class Network:
-    """Carries messages between deciders, in the order of a virtual time.
+    """Carries messages between deciders, ordered by virtual time.
 
     Parameters
     ----------
     size : int
-        Number of proxies that start at once; they are named n0, n1, ...
+        Number of proxies that start together, named n0, n1, ...
     seed : int
         Seed of everything random.
     """
@@ -40,7 +40,7 @@
         self.now = 0.0
         self.deciders = {}
         self.changes = {}
-        self.separated = set()
+        self.partitioned = set()
         self.sent = 0
         self.bytes = 0
         self._links = set()
@@ -51,19 +51,21 @@
             self.start(name, names)
 
     def start(self, name, listed, incarnation=1):
-        """Start a proxy that finds some names in the platform's list."""
+        """Start a proxy whose instance list holds the names `listed`."""
         entry = make_instance(name)
         own = Member(name, entry.host, entry.port, entry.zone, JOINED, incarnation)
         decider = PeerDecider(own, (), random.Random(self.rng.random()), self.now)
         self.deciders[name] = decider
         self.changes[name] = []
-        self.do(name, decider.join(entry.port))
-        self.do(name, decider.observe_instances(map(make_instance, listed), self.now))
+        self.perform(name, decider.join(entry.port))
+        self.perform(
+            name, decider.observe_instances(map(make_instance, listed), self.now)
+        )
         self._at(self.rng.uniform(0.0, 1.0), self._tick, name, decider)
         return decider
 
     def kill(self, name):
-        """End a proxy without a word; its links break."""
+        """Crash a proxy; its links break."""
         del self.deciders[name]
         self.break_links(lambda a, b: name in (a, b))
 
@@ -74,19 +76,19 @@
             for name, peer in ((a, b), (b, a)):
                 self._at(DELAY, self._close, name, peer, False)
 
-    def separate(self, names):
-        """Drop everything between some proxies and the others."""
-        self.separated = set(names)
+    def partition(self, names):
+        """Partition the network: drop all messages between `names` and the others."""
+        self.partitioned = set(names)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance virtual time by `seconds`."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             self.now, _, function, args = heapq.heappop(self._events)
             function(*args)
         self.now = end
 
-    def do(self, name, actions):
+    def perform(self, name, actions):
         """Carry out the actions of a proxy's decider."""
         for action in actions:
             match action:
@@ -101,7 +103,7 @@
                     self.changes[name].append(item)
 
     def get_states(self, name):
-        """Return the states in which all proxies see one."""
+        """Return the states in which the proxies see the member `name`."""
         return {
             member.state
             for decider in self.deciders.values()
@@ -113,8 +115,8 @@
         """Return the number of different digests."""
         return len({decider.store.digest for decider in self.deciders.values()})
 
-    def is_cut(self, a, b):
-        return (a in self.separated) != (b in self.separated)
+    def is_partitioned(self, a, b):
+        return (a in self.partitioned) != (b in self.partitioned)
 
     def _at(self, delay, function, *args):
         event = (self.now + delay, next(self._order), function, args)
@@ -122,28 +124,32 @@
 
     def _tick(self, name, decider):
         if self.deciders.get(name) is decider:
-            self.do(name, decider.tick(self.now))
+            self.perform(name, decider.tick(self.now))
             self._at(1.0, self._tick, name, decider)
 
     def _flush(self, name):
         if name in self.deciders:
-            self.do(name, self.deciders[name].flush())
+            self.perform(name, self.deciders[name].flush())
 
     def _open(self, name, peer):
         if name not in self.deciders:
             return
-        if peer not in self.deciders or self.is_cut(name, peer):
-            self.do(name, self.deciders[name].handle_connect_failure(peer, self.now))
+        if peer not in self.deciders or self.is_partitioned(name, peer):
+            self.perform(
+                name, self.deciders[name].handle_connect_failure(peer, self.now)
+            )
             return
         self._links |= {(name, peer), (peer, name)}
-        self.do(name, self.deciders[name].handle_link_opened(peer, True, self.now))
-        self.do(peer, self.deciders[peer].handle_link_opened(name, False, self.now))
+        self.perform(name, self.deciders[name].handle_link_opened(peer, True, self.now))
+        self.perform(
+            peer, self.deciders[peer].handle_link_opened(name, False, self.now)
+        )
         self._at(DELAY, self._flush, name)
         self._at(DELAY, self._flush, peer)
 
     def _close(self, name, peer, orderly):
         if name in self.deciders and (name, peer) not in self._links:
-            self.do(
+            self.perform(
                 name, self.deciders[name].handle_link_closed(peer, orderly, self.now)
             )
             self._at(DELAY, self._flush, name)
@@ -152,7 +158,7 @@
         data = encode_message(message)
         self.sent += 1
         self.bytes += len(data)
-        if (name, peer) in self._links and not self.is_cut(name, peer):
+        if (name, peer) in self._links and not self.is_partitioned(name, peer):
             self._at(DELAY, self._deliver, name, peer, data)
 
     def _deliver(self, name, peer, data):
@@ -160,5 +166,5 @@
             return
         message, findings = decode_message(data, name)
         assert not findings
-        self.do(peer, self.deciders[peer].receive(name, message, self.now))
+        self.perform(peer, self.deciders[peer].receive(name, message, self.now))
         self._at(DELAY, self._flush, peer)
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back; malformed bytes are findings."""
+"""Round trips of all messages; malformed bytes become findings."""
 
 import cbor2
 import pytest
@@ -40,7 +40,7 @@
         SyncRequest((ItemKey("k", "a"),)),
     ],
 )
-def test_each_message_survives(message):
+def test_each_message_round_trips(message):
     assert decode_message(encode_message(message), "p") == (message, [])
 
 
@@ -62,23 +62,23 @@
         [8, "text"],
     ],
 )
-def test_what_is_no_message_is_a_finding(value):
+def test_invalid_messages_are_reported_as_findings(value):
     message, findings = decode_message(cbor2.dumps(value), "p")
     assert message is None
     assert findings[0].source == "p"
 
 
-def test_all_faults_are_found_together():
+def test_all_field_errors_are_reported_together():
     _, findings = decode_message(cbor2.dumps([1, "a", "b", 3, 4, 5, 6]), "p")
     assert len(findings) == 5
 
 
-def test_fields_of_a_newer_version_are_passed_over():
+def test_additional_fields_of_a_newer_version_are_ignored():
     assert decode_message(cbor2.dumps([4, 9, "new"]), "p") == (Heartbeat(9), [])
 
 
 @settings(derandomize=True, database=None, max_examples=200)
 @given(st.binary(max_size=40))
-def test_no_bytes_raise(data):
+def test_decoding_never_raises(data):
     message, findings = decode_message(data, "p")
     assert (message is None) == bool(findings)
--- a/tests/peers/test_counters.py
+++ b/tests/peers/test_counters.py
@@ -1,10 +1,10 @@
-"""The counts of the links as metrics."""
+"""Export of the link counters as metrics."""
 
 from beryltrack.daemon.metrics import InstanceMetrics
 from beryltrack.peers.counters import LinkCounters, register_counters
 
 
-def test_each_count_can_be_scraped():
+def test_each_counter_is_exported():
     metrics, counters = InstanceMetrics("n1"), LinkCounters(refused=3)
     register_counters(metrics.meter, counters)
     counters.bytes_sent = 17
--- a/tests/peers/test_decider.py
+++ b/tests/peers/test_decider.py
@@ -1,4 +1,4 @@
-"""Membership and shared knowledge among several deciders."""
+"""Membership and gossip among several deciders on a simulated network."""
 
 import pytest
 
@@ -23,22 +23,22 @@
 
 
 def publish(network, name, item):
-    network.do(name, network.deciders[name].publish(item))
-    network.do(name, network.deciders[name].flush())
+    network.perform(name, network.deciders[name].publish(item))
+    network.perform(name, network.deciders[name].flush())
 
 
-def test_everybody_joins_and_links_are_few(network):
+def test_all_members_join_with_few_links(network):
     assert all(network.get_states(name) == {"joined"} for name in network.deciders)
     assert max(len(decider.linked) for decider in network.deciders.values()) <= 10
 
 
-def test_a_change_reaches_everybody_by_pushes_alone(network):
+def test_pushes_alone_spread_an_item_to_all(network):
     publish(network, "n0", make_item(1))
     network.run(0.2)
     assert all(get_item(decider) for decider in network.deciders.values())
 
 
-def test_an_older_version_is_heard_by_nobody(network):
+def test_an_older_version_is_not_spread(network):
     publish(network, "n0", make_item(2, "new"))
     network.run(0.2)
     publish(network, "n5", make_item(1, "old"))
@@ -50,13 +50,13 @@
     )
 
 
-def test_a_crash_is_known_to_all_within_seconds(network):
+def test_all_detect_a_crash_within_seconds(network):
     network.kill("n3")
     network.run(4.0)
     assert network.get_states("n3") == {"dead"}
 
 
-def test_a_silent_peer_is_found_dead_although_its_links_stay_open(network):
+def test_a_silent_peer_with_open_links_is_detected_as_dead(network):
     del network.deciders["n3"]
     network.run(9.0)
     assert network.get_states("n3") == {"dead"}
@@ -69,25 +69,25 @@
     assert network.deciders["n3"].own.incarnation > 1
 
 
-def test_leaving_is_told_at_once_and_not_taken_for_a_death(network):
-    network.do("n3", network.deciders["n3"].leave())
-    network.do("n3", network.deciders["n3"].flush())
+def test_leaving_spreads_at_once_and_is_not_treated_as_death(network):
+    network.perform("n3", network.deciders["n3"].leave())
+    network.perform("n3", network.deciders["n3"].flush())
     network.run(0.2)
     assert network.get_states("n3") == {"leaving"}
-    network.do("n3", network.deciders["n3"].finish())
-    network.do("n3", network.deciders["n3"].flush())
+    network.perform("n3", network.deciders["n3"].finish())
+    network.perform("n3", network.deciders["n3"].flush())
     network.run(0.1)
     network.kill("n3")
     network.run(10.0)
     assert network.get_states("n3") == {"left"}
 
 
-def test_the_lists_word_that_one_leaves_reaches_all(network):
+def test_leaving_read_from_the_instance_list_spreads_to_all(network):
     entries = [make_instance(name) for name in network.deciders]
     entries[3] = make_instance("n3", "leaving")
     watcher = network.deciders["n0"]
-    network.do("n0", watcher.observe_instances(entries, network.now))
-    network.do("n0", watcher.flush())
+    network.perform("n0", watcher.observe_instances(entries, network.now))
+    network.perform("n0", watcher.flush())
     network.run(0.2)
     assert network.get_states("n3") == {"leaving"}
 
@@ -108,7 +108,7 @@
     assert network.get_states("n3") == {"joined"}
 
 
-def test_a_new_member_learns_all_from_one_peer_while_the_list_is_down(network):
+def test_a_new_member_syncs_from_one_peer_without_the_instance_list(network):
     for number in range(300):
         publish(network, "n0", make_item(1, "v" * 50, f"key {number}"))
     network.run(2.0)
@@ -118,24 +118,24 @@
     assert network.deciders["n20"].store.size == 300 + 13
 
 
-def test_two_halves_meet_again_after_a_partition(network):
-    network.separate(["n0", "n1", "n2", "n3", "n4"])
+def test_a_partitioned_fleet_merges_again(network):
+    network.partition(["n0", "n1", "n2", "n3", "n4"])
     network.run(30.0)
     assert network.get_states("n0") == {"joined", "dead"}
     publish(network, "n0", make_item(1, "here", "one"))
     publish(network, "n9", make_item(1, "there", "two"))
-    network.separate([])
+    network.partition([])
     network.run(40.0)
     assert all(network.get_states(name) == {"joined"} for name in network.deciders)
     assert network.count_digests() == 1
 
 
-def test_the_return_from_a_partition_is_no_storm():
+def test_merging_after_a_partition_causes_no_message_storm():
     network = Network(24)
     network.run(12.0)
-    network.separate([f"n{number}" for number in range(12)])
+    network.partition([f"n{number}" for number in range(12)])
     network.run(20.0)
-    network.separate([])
+    network.partition([])
     before = network.bytes
     network.run(30.0)
     assert network.count_digests() == 1
@@ -143,29 +143,29 @@
     assert (network.bytes - before) / 24 / 30 < 1000
 
 
-def test_an_address_that_is_none_is_passed_over(network):
+def test_an_invalid_listed_address_is_ignored(network):
     entries = [make_instance(name) for name in network.deciders]
     entries[0].host = "not an ip"
     network.deciders["n1"].observe_instances(entries, network.now)
     assert network.get_states("n0") == {"joined"}
 
 
-def test_knowledge_lost_with_a_link_is_repaired_by_digests(network):
-    lost = network.deciders["n0"]
-    lost.publish(make_item(1))
-    lost._pushes.flush()
+def test_anti_entropy_repairs_lost_pushes(network):
+    decider = network.deciders["n0"]
+    decider.publish(make_item(1))
+    decider._pushes.flush()  # Drops the messages, as a lost link does.
     network.run(12.0)
     assert all(get_item(decider) for decider in network.deciders.values())
 
 
-def test_a_process_that_slept_suspects_nobody(network):
-    sleeper = network.deciders["n3"]
-    actions = sleeper.tick(network.now + 60.0)
+def test_a_suspended_process_suspects_no_member(network):
+    suspended = network.deciders["n3"]
+    actions = suspended.tick(network.now + 60.0)
     assert "no heartbeat" not in [getattr(action, "reason", "") for action in actions]
-    assert {member.state for member in sleeper.members} == {"joined"}
+    assert {member.state for member in suspended.members} == {"joined"}
 
 
-def test_members_gone_for_long_are_forgotten_with_what_is_about_them(network):
+def test_expired_members_are_dropped_with_their_items(network):
     publish(network, "n3", GossipItem("member.load", "n3", (1,), 5))
     network.run(1.0)
     watcher = network.deciders["n0"]
@@ -180,7 +180,7 @@
     assert "n3" not in {member.name for member in watcher.members if member.incarnation}
 
 
-def test_steady_traffic_of_a_node_does_not_grow_with_the_fleet():
+def test_steady_traffic_per_proxy_does_not_grow_with_the_fleet():
     def measure(size):
         network = Network(size)
         network.run(15.0)
--- a/tests/peers/test_forwarder.py
+++ b/tests/peers/test_forwarder.py
@@ -15,7 +15,7 @@
 
 
 class Handler:
-    """Answers with many bytes, or not at all."""
+    """Answers with many bytes; a request `hang` gets no answer."""
 
     def __init__(self):
         self.unsent = 0
@@ -34,7 +34,7 @@
 
 
 class Sink:
-    """Keeps an answer; takes more only while `is_reading`."""
+    """Counts the bytes of an answer; consumes them only while `is_reading`."""
 
     def __init__(self, is_reading=True):
         self.is_reading = is_reading
@@ -75,7 +75,7 @@
     run(call)
 
 
-def test_a_large_answer_comes_whole_and_with_its_trailer(site):
+def test_a_large_answer_arrives_whole_with_its_trailer(site):
     _, forwarders, _ = site
     sink = Sink()
     assert forwarders[1].is_owner("g") and not forwarders[0].is_owner("g")
@@ -85,7 +85,7 @@
     assert sink.size == CHUNKS * len(CHUNK)
 
 
-def test_a_caller_that_does_not_read_holds_the_owner_back(site):
+def test_a_caller_that_does_not_read_blocks_the_owner(site):
     _, forwarders, handlers = site
     slow, other = Sink(is_reading=False), Sink()
     forward(forwarders[0], b"", slow)
@@ -108,7 +108,7 @@
     assert handlers[1].cancelled
 
 
-def test_an_owner_that_dies_leaves_the_outcome_unknown_then_unreached(site):
+def test_owner_crash_gives_unknown_then_not_run(site):
     tasks, forwarders, _ = site
     first, second = Sink(), Sink()
     forward(forwarders[0], b"hang", first)
--- a/tests/peers/test_forwarding.py
+++ b/tests/peers/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded requests: true outcomes, whole answers, bounded queues."""
+"""Forwarding without sockets: correct outcomes, whole answers and bounded queues."""
 
 import random
 from collections import defaultdict, deque
@@ -69,7 +69,7 @@
     assert get_outcomes(client.handle_connect_failure("c", 2.0)) == ["NOT_RUN"]
 
 
-def test_a_request_that_no_owner_took_in_time_was_not_run():
+def test_a_request_not_sent_by_its_deadline_was_not_run():
     client = make_client()
     client.forward(("b",), "g", b"r", 9.0, 0.0)
     assert client.tick(8.9) == []
@@ -77,7 +77,7 @@
     assert client.handle_link_opened("b", 9.1) == []
 
 
-def test_after_it_was_sent_only_the_owner_knows():
+def test_a_sent_request_whose_link_is_lost_is_unknown():
     client = make_client("b")
     client.forward(("b",), "g", b"r", 9.0, 0.0)
     assert client.tick(100.0) == []
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("outcome", ForwardOutcome)
-def test_the_owners_word_is_passed_on(outcome):
+def test_the_owners_outcome_is_passed_on(outcome):
     client = make_client("b")
     stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
     end = ForwardEnd(stream, int(outcome), "why", b"t")
@@ -94,7 +94,7 @@
     assert client.receive("b", end) == []
 
 
-def test_an_outcome_of_a_newer_version_proves_nothing():
+def test_an_unsupported_outcome_counts_as_unknown():
     client = make_client("b")
     stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
     assert get_outcomes(client.receive("b", ForwardEnd(stream, 77, "", b""))) == [
@@ -108,14 +108,14 @@
     assert client.receive("c", ForwardData(stream, b"x")) == []
 
 
-def test_an_owner_that_sends_more_than_allowed_is_cut_off():
+def test_an_owner_that_exceeds_its_credit_is_disconnected():
     client = make_client("b")
     stream, _ = client.forward(("b",), "g", b"r", 9.0, 0.0)
     data = ForwardData(stream, b"x" * (CREDIT_WINDOW_BYTES + 1))
     assert isinstance(client.receive("b", data)[0], BreakForwardLink)
 
 
-def test_a_stuck_link_takes_no_request():
+def test_a_blocked_link_gets_no_request():
     client = make_client("b")
     client.set_blocked("b", True)
     _, actions = client.forward(("b",), "g", b"r", 9.0, 0.0)
@@ -134,7 +134,7 @@
     ]
 
 
-def test_a_cancelled_answer_is_dropped_but_its_end_is_told():
+def test_a_cancelled_answer_is_dropped_but_its_end_is_sent():
     server = make_server()
     key = start(server, credit=1)
     server.write(key, b"abc")
@@ -143,7 +143,7 @@
     assert server.finish(key, unknown) == [SendForward("a", ForwardEnd(1, 4, "", b""))]
 
 
-def test_a_leaving_owner_refuses_what_is_new_and_finishes_the_rest():
+def test_a_leaving_owner_refuses_new_requests_and_finishes_running_ones():
     server = make_server()
     key = start(server)
     server.leave()
@@ -152,7 +152,7 @@
     assert server.write(key, b"x") == [SendForward("a", ForwardData(1, b"x"))]
 
 
-def test_a_number_used_again_breaks_the_link():
+def test_a_reused_stream_number_breaks_the_link():
     server = make_server()
     start(server)
     again = server.receive("a", ForwardOpen(1, "g", 5.0, 9, b""), 0.0)
@@ -170,29 +170,29 @@
 
 
 class Pair:
-    """An entry and its owner, joined by a link that can be cut at any moment."""
+    """A forward client and server joined by a link that may be cut at any step."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.client, self.server = ForwardClient(), ForwardServer()
-        self.to_owner, self.to_entry = deque(), deque()
+        self.to_server, self.to_client = deque(), deque()
         self.linked = False
         self.running = {}
         self.written, self.received = defaultdict(bytes), defaultdict(bytes)
         self.started, self.results = set(), {}
 
-    def do(self, actions):
+    def perform(self, actions):
         for action in actions:
             match action:
                 case SendForward("b", message) if self.linked:
-                    self.to_owner.append(encode_message(message))
+                    self.to_server.append(encode_message(message))
                 case SendForward("a", message) if self.linked:
-                    self.to_entry.append(encode_message(message))
+                    self.to_client.append(encode_message(message))
                 case DeliverData(stream, data):
                     self.received[stream] += data
                     assert stream not in self.results
                     if self.rng.random() < 0.8:
-                        self.do(self.client.consume(stream, len(data)))
+                        self.perform(self.client.consume(stream, len(data)))
                 case FinishStream(stream, result):
                     assert stream not in self.results
                     self.results[stream] = result.outcome
@@ -209,37 +209,37 @@
 
     def finish(self, key, outcome):
         del self.running[key]
-        self.do(self.server.finish(key, ForwardResult(outcome)))
+        self.perform(self.server.finish(key, ForwardResult(outcome)))
 
-    def cut(self):
+    def break_link(self):
         self.linked = False
-        self.to_owner.clear()
-        self.to_entry.clear()
-        self.do(
+        self.to_server.clear()
+        self.to_client.clear()
+        self.perform(
             self.client.handle_link_closed("b") + self.server.handle_link_closed("a")
         )
 
     def link(self):
         self.linked = True
-        self.do(self.server.handle_link_opened("a"))
-        self.do(self.client.handle_link_opened("b", 0.0))
+        self.perform(self.server.handle_link_opened("a"))
+        self.perform(self.client.handle_link_opened("b", 0.0))
 
     def step(self, choice):
         if choice == 0 and not self.linked:
             self.link()
         elif choice == 1 and self.rng.random() < 0.3:
-            self.cut()
+            self.break_link()
         elif choice in (2, 3):
             _, actions = self.client.forward(("b",), "g", b"r", 1.0, 0.0)
-            self.do(actions)
+            self.perform(actions)
         elif choice == 4 and self.client.stream_count:
-            self.do(self.client.cancel(self.rng.randrange(1, 20)))
-        elif choice in (5, 6) and self.to_owner:
-            message, _ = decode_message(self.to_owner.popleft(), "a")
-            self.do(self.server.receive("a", message, 0.0))
-        elif choice in (7, 8) and self.to_entry:
-            message, _ = decode_message(self.to_entry.popleft(), "b")
-            self.do(self.client.receive("b", message))
+            self.perform(self.client.cancel(self.rng.randrange(1, 20)))
+        elif choice in (5, 6) and self.to_server:
+            message, _ = decode_message(self.to_server.popleft(), "a")
+            self.perform(self.server.receive("a", message, 0.0))
+        elif choice in (7, 8) and self.to_client:
+            message, _ = decode_message(self.to_client.popleft(), "b")
+            self.perform(self.client.receive("b", message))
         elif self.running:
             self.work(self.rng.choice(list(self.running)))
 
@@ -250,17 +250,17 @@
             self.running[key] -= 1
             data = bytes([key.stream % 256]) * self.rng.choice((10, 90_000))
             self.written[key.stream] += data
-            self.do(self.server.write(key, data))
+            self.perform(self.server.write(key, data))
 
 
 @settings(derandomize=True, database=None, max_examples=60, deadline=None)
 @given(st.integers(0, 10**6), st.lists(st.integers(0, 12), max_size=120))
-def test_whatever_happens_outcomes_are_true_and_answers_whole(seed, steps):
+def test_random_link_losses_keep_outcomes_correct_and_answers_whole(seed, steps):
     pair = Pair(seed)
     for choice in steps:
         pair.step(choice)
-    pair.cut()
-    pair.do(pair.client.tick(1.0))
+    pair.break_link()
+    pair.perform(pair.client.tick(1.0))
     assert pair.client.stream_count == pair.server.stream_count == 0
     for stream, outcome in pair.results.items():
         assert pair.written[stream].startswith(pair.received[stream])
--- a/tests/peers/test_knowledge.py
+++ b/tests/peers/test_knowledge.py
@@ -1,4 +1,4 @@
-"""The store of items: highest version wins, digests find differences."""
+"""The gossip store: the highest version wins, and digests find differences."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 @settings(derandomize=True, database=None, max_examples=60)
 @given(st.lists(items), st.randoms(use_true_random=False))
-def test_order_and_repetition_change_nothing(entries, rng):
+def test_order_and_repetition_of_items_do_not_matter(entries, rng):
     shuffled = entries + entries
     rng.shuffle(shuffled)
     assert fill(entries).digest == fill(shuffled).digest
@@ -31,7 +31,7 @@
 
 @settings(derandomize=True, database=None, max_examples=60)
 @given(st.lists(items), st.lists(items))
-def test_one_comparison_makes_two_stores_equal(left, right):
+def test_one_exchange_makes_two_stores_equal(left, right):
     a, b = fill(left), fill(right)
     buckets = b.find_different_buckets(a.get_bucket_digests())
     versions = [entry for bucket in buckets for entry in b.get_versions(bucket)]
@@ -50,7 +50,7 @@
     assert not store.accept(GossipItem("k", "a", (9, 9), "between"))
 
 
-def test_items_that_do_not_count_leave_the_digest_alone():
+def test_items_outside_the_digest_do_not_change_it():
     store = fill([GossipItem("k", "a", (1,), "v")])
     store.accept(GossipItem("k", "a", (2,), "gone"), in_digest=False)
     assert store.digest == 0
@@ -58,5 +58,5 @@
     assert (store.digest, store.size) == (0, 0)
 
 
-def test_digests_of_another_length_differ_everywhere():
+def test_digests_of_another_length_differ_in_all_buckets():
     assert len(GossipStore().find_different_buckets(b"x")) == 128
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""What one proxy makes of the words about members."""
+"""One proxy's handling of member states: precedence, suspicion, expiry."""
 
 from beryltrack.peers.membership import MembershipDecider
 from beryltrack.peers.messages import Member
@@ -20,13 +20,13 @@
     return decider.get_member(name).state
 
 
-def test_words_win_by_incarnation_then_state_in_any_order():
-    words = [make_member(state="suspected"), make_member(), make_member(incarnation=2)]
-    for order in (words, words[::-1]):
+def test_states_win_by_incarnation_then_rank_in_any_order():
+    states = [make_member(state="suspected"), make_member(), make_member(incarnation=2)]
+    for order in (states, states[::-1]):
         assert make_decider(*order).get_member("b") == make_member(incarnation=2)
 
 
-def test_a_suspicion_that_nobody_refutes_ends_in_death():
+def test_an_unrefuted_suspicion_ends_in_death():
     decider = make_decider(make_member())
     assert decider.suspect("b", 10.0) == (make_member(state="suspected"),)
     assert decider.suspect("b", 10.5) == ()
@@ -34,7 +34,7 @@
     assert decider.handle_timeouts(12.0).changed == (make_member(state="dead"),)
 
 
-def test_a_refutation_in_time_is_the_end_of_it():
+def test_a_refutation_in_time_ends_the_suspicion():
     decider = make_decider(make_member())
     decider.suspect("b", 10.0)
     decider.observe_member(make_member(incarnation=2), 11.0)
@@ -42,7 +42,7 @@
     assert decider.has_refuted_recently("b", 20.0)
 
 
-def test_the_dead_are_forgotten_and_not_learned_again():
+def test_dead_members_expire_and_are_not_added_again():
     decider = make_decider(make_member(state="suspected"))
     decider.handle_timeouts(2.0)
     assert decider.handle_timeouts(4000.0).expired == ("b",)
@@ -50,7 +50,7 @@
     assert decider.observe_member(make_member(), 4001.0).accepted
 
 
-def test_two_processes_of_one_name_do_not_refute_without_end():
+def test_refutations_between_two_processes_of_one_name_are_rate_limited():
     decider = make_decider()
     refutations = [
         decider.observe_member(
@@ -63,7 +63,7 @@
     assert decider.handle_timeouts(3.0).changed == ()
 
 
-def test_the_lists_leaving_of_an_earlier_process_is_not_believed():
+def test_a_listed_leaving_state_of_an_earlier_process_is_ignored():
     decider = make_decider(make_member())
     leaving = [make_instance("n1", "leaving")]
     leaving[0].name = "b"
@@ -71,7 +71,7 @@
     assert decider.observe_instances(leaving, 61.0) == (make_member(state="leaving"),)
 
 
-def test_the_listed_are_contacts_and_leave_with_the_list():
+def test_listed_instances_are_contacts_until_they_leave_the_list():
     decider = make_decider()
     decider.observe_instances(
         [make_instance("n1"), make_instance("n2", "leaving")], 0.0
--- a/tests/peers/test_placement.py
+++ b/tests/peers/test_placement.py
@@ -1,4 +1,4 @@
-"""Neighbours, watchers and owners."""
+"""Placement of neighbours, watchers and owners."""
 
 from beryltrack.peers.messages import DEAD, JOINED, Member
 from beryltrack.peers.placement import (
@@ -30,14 +30,14 @@
     return links, reached, steps
 
 
-def test_the_links_of_the_largest_fleet_are_few_and_short():
+def test_the_largest_fleet_has_few_links_and_short_paths():
     links, reached, steps = measure_distances(make_members(520))
     assert len(reached) == 520
     assert max(map(len, links.values())) <= 6
     assert steps <= 6
 
 
-def test_a_lost_member_changes_few_links():
+def test_a_lost_member_changes_only_links_to_it():
     members = make_members(100)
     before = {m.name: get_neighbours(m.name, members) for m in members}
     members[5] = members[5]._replace(state=DEAD)
@@ -45,7 +45,7 @@
     assert set(changed) - {"n5"} == {n for n in before if "n5" in before[n]}
 
 
-def test_watchers_are_of_different_zones_and_known_to_all():
+def test_watchers_are_in_different_zones_and_independent_of_order():
     members = make_members(30)
     watchers = get_watchers(members)
     assert {int(name[1:]) % 3 for name in watchers} == {0, 1, 2}
@@ -54,7 +54,7 @@
     assert get_watchers(make_members(2)) == get_watchers(make_members(2)[::-1])
 
 
-def test_a_member_that_goes_moves_its_own_groups_only():
+def test_a_removed_member_moves_only_its_own_groups():
     members = make_members(20)
     groups = [f"g{number}" for number in range(50)]
     before = {group: get_owners(group, members, 3) for group in groups}
@@ -64,6 +64,6 @@
         assert list(after[group][: len(kept)]) == kept
 
 
-def test_the_fleets_polls_do_not_grow_with_it():
+def test_the_total_poll_rate_does_not_grow_with_the_fleet():
     assert compute_poll_period(1) == compute_poll_period(8)
     assert 64 / compute_poll_period(64) == 520 / compute_poll_period(520)
--- a/tests/peers/test_pushes.py
+++ b/tests/peers/test_pushes.py
@@ -1,4 +1,4 @@
-"""Items that wait for links."""
+"""Queues of items to push over links."""
 
 from beryltrack.peers.actions import SendMessage
 from beryltrack.peers.batches import MAX_PENDING_ITEMS, split_items
@@ -17,7 +17,7 @@
     return queues
 
 
-def test_an_item_goes_to_all_links_but_its_source():
+def test_an_item_is_pushed_to_all_links_but_its_source():
     queues = make_queues("a", "b", "c")
     queues.push([make_item()], "b")
     message = Items((make_item(),))
@@ -25,7 +25,7 @@
     assert not queues.has_pending
 
 
-def test_the_newest_takes_the_place_of_what_waits_for_a_stuck_link():
+def test_a_newer_item_replaces_the_queued_one_of_a_blocked_link():
     queues = make_queues("a")
     queues.push([make_item(version=1)])
     assert queues.flush(blocked={"a"}) == []
@@ -33,7 +33,7 @@
     assert queues.flush() == [SendMessage("a", Items((make_item(version=2),)))]
 
 
-def test_what_exceeds_the_bound_is_dropped_and_counted():
+def test_items_beyond_the_queue_bound_are_dropped_and_counted():
     queues = make_queues("a")
     queues.push([make_item(str(number)) for number in range(MAX_PENDING_ITEMS + 3)])
     queues.push([make_item("0", version=2)])
@@ -43,6 +43,6 @@
     assert sent[0] == make_item("0", version=2)
 
 
-def test_batches_keep_their_bound_unless_one_item_exceeds_it():
+def test_batches_stay_within_the_limit_unless_one_item_exceeds_it():
     items = [make_item(value="v" * size) for size in (10, 10, 500, 10)]
     assert [len(batch) for batch in split_items(items, limit=100)] == [2, 1, 1]
--- a/tests/peers/test_sharing.py
+++ b/tests/peers/test_sharing.py
@@ -18,7 +18,7 @@
     run(fleet.stop)
 
 
-def test_three_watch_the_store_and_all_learn_also_while_it_is_down(fleet):
+def test_three_watch_the_store_and_all_get_settings_even_while_it_is_down(fleet):
     run(wait_for, lambda: fleet.is_joined() and fleet.platform.watch_count == 3)
     value = run(fleet.change_settings, 5.0)
     run(wait_for, lambda: fleet.count_in_force(value) == 4)
@@ -37,7 +37,7 @@
         GossipItem("settings", "settings/a/b/c", (1,), [{}, 0]),
     ],
 )
-def test_what_is_no_settings_object_is_a_finding(item):
+def test_invalid_settings_items_are_reported_as_findings(item):
     found, findings = parse_settings_item(item)
     assert found is None
     assert len(findings) == 1
--- a/tests/peers/test_task.py
+++ b/tests/peers/test_task.py
@@ -36,7 +36,7 @@
 
 
 def connect(task):
-    """Return a socket past the WebSocket upgrade."""
+    """Return a client and a socket after the WebSocket upgrade."""
     client = ClientProtocol(parse_uri("ws://peer/peers"))
     client.send_request(client.connect())
     connection = socket.create_connection((task.own.host, task.own.port))
@@ -55,25 +55,25 @@
     return b"".join(iter(lambda: connection.recv(4096), b""))
 
 
-def test_two_proxies_share_membership_and_knowledge(tasks):
+def test_two_proxies_share_membership_and_items(tasks):
     start(tasks, ["n1", "n2"])
-    heard = []
-    run(tasks[1].subscribe, "k", heard.append)
+    received = []
+    run(tasks[1].subscribe, "k", received.append)
     run(tasks[0].publish, ITEM)
-    run(wait_for, lambda: heard == [ITEM])
+    run(wait_for, lambda: received == [ITEM])
     run(tasks[1].publish, ITEM._replace(version=(2,)))
     run(wait_for, lambda: tasks[0].gossip_store.get_items("k")[0].version == (2,))
     run(tasks[0].leave)
     run(wait_for, lambda: get_state(tasks[1], "n1") == "leaving")
 
 
-def test_a_broken_process_is_suspected_at_once(tasks):
+def test_a_crashed_process_is_suspected_at_once(tasks):
     start(tasks, ["n1", "n2", "n3"])
     run(tasks.pop().abort)
     run(wait_for, lambda: all(get_state(t, "n3") == "suspected" for t in tasks))
 
 
-def test_a_stopped_process_has_left(tasks):
+def test_a_stopped_process_is_seen_as_left(tasks):
     start(tasks, ["n1", "n2", "n3"])
     run(tasks.pop().stop)
     run(wait_for, lambda: all(get_state(t, "n3") == "left" for t in tasks))
@@ -85,13 +85,13 @@
     run(wait_for, lambda: tasks[1].gossip_store.get_items("k"))
 
 
-def test_a_proxy_without_the_key_is_not_let_in(tasks):
+def test_a_proxy_without_the_key_is_refused(tasks):
     start(tasks, ["n1"])
     seed = Endpoint(tasks[0].own.host, tasks[0].own.port)
-    stranger = make_task("n2", key="another key", seeds=(seed,))
-    tasks.append(stranger)
-    run(stranger.start)
-    run(wait_for, lambda: stranger.counters.refused)
+    outsider = make_task("n2", key="another key", seeds=(seed,))
+    tasks.append(outsider)
+    run(outsider.start)
+    run(wait_for, lambda: outsider.counters.refused)
     assert not tasks[0].linked
     assert [member.name for member in tasks[0].members] == ["n1"]
 
@@ -106,7 +106,7 @@
 ]
 
 
-def test_a_malformed_handshake_closes_that_link_alone(tasks):
+def test_a_malformed_handshake_closes_only_that_link(tasks):
     start(tasks, ["n1", "n2"])
     for data in MALFORMED_HANDSHAKES:
         client, connection = connect(tasks[0])
@@ -118,7 +118,7 @@
     assert tasks[0].linked == ("n2",)
 
 
-def test_bytes_that_are_no_websocket_close_that_connection(tasks):
+def test_bytes_that_are_not_websocket_close_the_connection(tasks):
     start(tasks, ["n1"])
     address = (tasks[0].own.host, tasks[0].own.port)
     with socket.create_connection(address) as connection:
@@ -127,7 +127,7 @@
         assert b"101" not in read_to_end(connection)
 
 
-def test_a_malformed_message_of_a_peer_harms_nothing(tasks):
+def test_malformed_messages_of_a_peer_are_counted_and_ignored(tasks):
     start(tasks, ["n1", "n2"])
     link = tasks[0]._table.get("n2", "control")
     run(link._websocket.send_binary, cbor2.dumps([77, "new"]))
