--- a/beryltrack/settings/__init__.py
+++ b/beryltrack/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: objects under paths, one subtree a team, checked and versioned."""
+"""Settings objects: versioned, validated, under one subtree of paths per team."""
--- a/beryltrack/settings/change.py
+++ b/beryltrack/settings/change.py
@@ -1,10 +1,11 @@
-"""Carries out one change of a settings object, exactly once or not at all.
-
-A change is a conditional update that carries an identifier of its own. Its
-answer may be lost after it took effect. Then the object is read back: the
-identifier in it proves that the change was made, a version that moved on
-without it proves that it never will be, and an unchanged version lets the same
-update be sent again, since its condition can hold only once.
+"""Makes one change of a settings object, exactly once or not at all.
+
+A change is a compare-and-set on the object's version and carries a unique
+identifier. Its answer may be lost after it took effect. The object is then read
+back: the identifier in its records proves that the change was made; the record of
+another change of the same version proves that it never will be; and an unchanged
+version allows the same update to be sent again, since its condition can hold only
+once.
 """
 
 import enum
@@ -24,10 +25,11 @@
 )
 
 MAX_ATTEMPTS = 5
+"""Maximum number of times that an update is sent."""
 
 
 class ObjectStore(Protocol):
-    """What a change needs of the platform's client."""
+    """The methods of the platform's client that a change uses."""
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
         """Return one object, or None if there is none."""
@@ -36,15 +38,15 @@
     async def put(
         self, path: str, value: object, if_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is `if_version`."""
+        """Write an object if its version is `if_version`; return its new version."""
         ...
 
 
 class FailureKind(enum.Enum):
-    """What a failed change means.
+    """Outcome of a failed change.
 
-    CONFLICT says that another change came first, NOT_DONE that the platform
-    refused the change, and UNKNOWN that it may have been made or may still be.
+    CONFLICT means that another change came first, NOT_DONE that the platform
+    refused the change, and UNKNOWN that it may have taken effect or still may.
     After CONFLICT and NOT_DONE the change was not made and never will be.
     """
 
@@ -54,16 +56,16 @@
 
 
 class ChangeFailure(NamedTuple):
-    """Why a change failed.
+    """Failure of a change.
 
     Parameters
     ----------
     kind : FailureKind
-        What it means.
+        The outcome.
     text : str
         The reason, as one short sentence.
     version : int
-        Present version of the object, 0 if there is none or it is not known.
+        Current version of the object, 0 if there is none or it is not known.
     """
 
     kind: FailureKind
@@ -77,11 +79,11 @@
     Parameters
     ----------
     version : int
-        Version that the object has now.
+        Current version of the object.
     changed : bool
-        False if the object had these settings before, so nothing was written.
+        False if the object already had these settings, so nothing was written.
     replaced : bool
-        True if another change has replaced this one since.
+        True if a later change has already replaced this one.
     """
 
     version: int
@@ -90,7 +92,7 @@
 
 
 class Resolution(enum.Enum):
-    """What reading an object back says of a change in doubt."""
+    """State of a change in doubt, derived from reading its object back."""
 
     DONE = "done"
     REPLACED = "replaced"
@@ -102,23 +104,23 @@
 def resolve_change(
     change_id: str, from_version: int, present: PlatformObject | None
 ) -> Resolution:
-    """Decide what became of a change from the object as it is now.
+    """Return the state of a change in doubt from the object as read back.
 
     Parameters
     ----------
     change_id : str
         Identifier of the change.
     from_version : int
-        Version that the change was conditional on, 0 for no object.
+        Version that the change was conditional on, 0 if there was no object.
     present : PlatformObject or None
         The object as read back, None if there is none.
 
     Returns
     -------
     Resolution
-        CONFLICT only if another change is proven to have followed
-        `from_version`: the one update whose condition can hold. If the history
-        no longer reaches back that far the outcome stays UNRESOLVED.
+        CONFLICT only if the history proves that another change has replaced
+        `from_version`, as only one can. UNRESOLVED if the history no longer
+        reaches back that far.
     """
     version = present.version if present else 0
     if version == from_version:
@@ -128,20 +130,20 @@
         return Resolution.DONE
     if any(record.get("change_id") == change_id for record in records):
         return Resolution.REPLACED
-    # Each change names the version that it followed, and only one can follow a
-    # version.
+    # Each record names the version that its change replaced, and only one change can
+    # replace a version.
     if any(record.get("from_version") == from_version for record in records):
         return Resolution.CONFLICT
     return Resolution.UNRESOLVED
 
 
 class SettingsChange:
-    """One change on its way.
+    """One change of a settings object.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Clock of the delays between attempts.
+        Clock for the delays between attempts.
     store : ObjectStore
         The platform's client.
     request : ChangeRequest
@@ -161,29 +163,29 @@
         self._version = 0
 
     async def run(self) -> Result[ChangeDone, ChangeFailure]:
-        """Carry out the change.
+        """Make the change.
 
         Returns
         -------
         Result
-            What was done, or why it failed and what that means.
+            The change made, or its failure.
         """
         read = await self._store.get(self._request.path)
         match read:
             case Failure(error):
-                return _fail(FailureKind.NOT_DONE, error.text)
+                return _make_failure(FailureKind.NOT_DONE, error.text)
             case Success(present):
                 return await self._change(present)
 
     async def _change(
         self, present: PlatformObject | None
     ) -> Result[ChangeDone, ChangeFailure]:
-        """Change the object from the version that was read."""
+        """Change the object if the version that was read allows it."""
         self._version = present.version if present else 0
         wanted = self._request.if_version
         if wanted not in (None, self._version):
-            text = f"the object has version {self._version}, not {wanted}"
-            return _fail(FailureKind.CONFLICT, text, self._version)
+            text = f"the object has version {self._version}, not {wanted} as required"
+            return _make_failure(FailureKind.CONFLICT, text, self._version)
         before = present.value if present else None
         if get_settings(before) == self._request.settings:
             return Success(ChangeDone(self._version, changed=False))
@@ -191,7 +193,7 @@
         return await self._send(value)
 
     async def _send(self, value: object) -> Result[ChangeDone, ChangeFailure]:
-        """Send the update until its outcome is certain or attempts are used up."""
+        """Send the update until its outcome is certain or `MAX_ATTEMPTS` is reached."""
         failure = ChangeFailure(FailureKind.NOT_DONE, "")
         for attempt in range(1, MAX_ATTEMPTS + 1):
             if attempt > 1:
@@ -202,17 +204,17 @@
                 case Success(version):
                     return Success(ChangeDone(version))
                 case Failure(error):
-                    outcome, failure = await self._judge(error)
+                    outcome, failure = await self._handle_failure(error)
             if outcome is not None:
                 return outcome
         return Failure(failure)
 
-    async def _judge(
+    async def _handle_failure(
         self, error: PlatformError
     ) -> tuple[Result[ChangeDone, ChangeFailure] | None, ChangeFailure]:
-        """Return a certain outcome or None, and what to report if it stays so."""
+        """Return the outcome or None, and the failure to report if it stays unknown."""
         self._in_doubt |= error.kind is ErrorKind.UNKNOWN
-        failure = self._describe(error)
+        failure = self._classify(error)
         if error.kind is ErrorKind.REFUSED:
             return None, failure
         if error.kind is ErrorKind.INVALID and not self._in_doubt:
@@ -223,8 +225,8 @@
             case Failure(PlatformError(text=text)):
                 return None, failure._replace(text=text)
 
-    def _describe(self, error: PlatformError) -> ChangeFailure:
-        """Return what a failed attempt means if nothing more can be learned."""
+    def _classify(self, error: PlatformError) -> ChangeFailure:
+        """Return the failure to report if reading back does not resolve the outcome."""
         if self._in_doubt:
             return ChangeFailure(FailureKind.UNKNOWN, error.text, error.version)
         if error.kind is ErrorKind.CONFLICT:
@@ -234,7 +236,7 @@
     def _resolve(
         self, present: PlatformObject | None
     ) -> Result[ChangeDone, ChangeFailure] | None:
-        """Return the outcome that the object proves, None to send again."""
+        """Return the outcome that the object proves; None to send the update again."""
         version = present.version if present else 0
         match resolve_change(self._request.change_id, self._version, present):
             case Resolution.DONE:
@@ -244,17 +246,19 @@
             case Resolution.UNCHANGED:
                 return None
             case Resolution.UNRESOLVED if self._in_doubt:
-                text = "the object was changed so often or removed that its record"
-                return _fail(
-                    FailureKind.UNKNOWN, f"{text} does not tell the outcome", version
+                text = "the object was removed, or changed so often that its history"
+                return _make_failure(
+                    FailureKind.UNKNOWN,
+                    f"{text} does not show whether this change was made",
+                    version,
                 )
             case _:
                 text = f"another change came first; the object has version {version}"
-                return _fail(FailureKind.CONFLICT, text, version)
+                return _make_failure(FailureKind.CONFLICT, text, version)
 
 
-def _fail(
+def _make_failure(
     kind: FailureKind, text: str, version: int = 0
 ) -> Result[ChangeDone, ChangeFailure]:
-    """Return a failed result."""
+    """Return a failed result of a kind."""
     return Failure(ChangeFailure(kind, text, version))
--- a/beryltrack/settings/decider.py
+++ b/beryltrack/settings/decider.py
@@ -1,14 +1,14 @@
-"""Decides which settings are in force, from objects that come in any order.
+"""Decides which settings are in force, from objects that arrive in any order.
 
-Objects come from lists and watches of the platform's store and from peers,
-late, repeated and out of order. Of each object the highest version counts and
-nothing goes back. An object that fails its checks leaves the last good
-settings in force: those of its own history first, so that a proxy which never
-saw them decides like the others.
+Objects arrive from lists and watches of the platform's store and by gossip from
+peers: late, repeated and out of order. The merge keeps the highest version of
+each object, so all proxies converge and no object goes back to an older version. If
+an object is invalid, the last valid settings stay in force: those in the object's own
+history first, so that a proxy that never saw them decides like the others.
 
-A store that was restored from a backup has lost changes that were confirmed. What it
-has instead, of a later era, does not count while it is what those changes followed; it
-is a finding until operators write them again.
+A store that is restored from a backup loses changes that were confirmed and has a
+later era. An object of that era is ignored while it is a version that the lost changes
+replaced; the loss is a finding until operators write the changes again.
 """
 
 from collections.abc import Iterable
@@ -17,26 +17,27 @@
 from beryltrack.findings import Finding
 from beryltrack.objects.eras import format_version, get_era
 from beryltrack.objects.messages import ObjectList, PlatformObject
-from beryltrack.settings.compact import JudgedObject, judge_object
+from beryltrack.settings.compact import EvaluatedObject, evaluate_object
 from beryltrack.settings.messages import SiteSettings
 from beryltrack.settings.paths import PREFIX
 from beryltrack.settings.site import EMPTY_SITE, AcceptedObject, build_site
-from beryltrack.settings.stored import is_overtaken
+from beryltrack.settings.stored import is_superseded
 
 MAX_TOMBSTONES = 4096
+"""Maximum number of deletions that are retained."""
 
 
 class SettingsUpdate(NamedTuple):
-    """What some new knowledge changed.
+    """Result of a merge.
 
     Parameters
     ----------
     objects : tuple of PlatformObject
-        Objects that were news, in their compact form, to be told to peers.
+        New or updated objects in their compact form, for peers.
     changed : bool
-        True if the settings in force are not what they were.
+        True if the settings in force have changed.
     findings : tuple of Finding
-        All findings now, if there was any news, else empty.
+        All findings if `objects` is not empty, else empty.
     """
 
     objects: tuple[PlatformObject, ...]
@@ -48,7 +49,7 @@
 
 
 class SettingsDecider:
-    """Keeps the highest version of each object and what follows from it."""
+    """Keeps the highest version of each object and derives the settings in force."""
 
     def __init__(self):
         self._objects: dict[str, PlatformObject] = {}
@@ -67,24 +68,24 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which all changes were seen."""
+        """Revision of the store up to which all changes are known."""
         return self._revision
 
     @property
     def objects(self) -> tuple[PlatformObject, ...]:
-        """Highest version of each object, deletions included, by path."""
+        """Highest version of each object in the order of paths, including deletions."""
         return tuple(self._objects[path] for path in sorted(self._objects))
 
     @property
     def findings(self) -> tuple[Finding, ...]:
-        """All that is wrong with the objects known."""
+        """All findings on the known objects."""
         own = (self._findings[path] for path in sorted(self._findings))
         lost = tuple(self._lost[path] for path in sorted(self._lost))
         faulty = tuple(item for group in own for item in group)
         return faulty + lost + self._site_findings
 
     def observe_list(self, answer: ObjectList) -> SettingsUpdate:
-        """Take in a full list of the store; what it lacks was deleted.
+        """Merge a full list of the store; an object that it lacks was deleted.
 
         A deletion has the list's revision as its version, so an object that is
         newer than the list stays.
@@ -95,7 +96,7 @@
             for path, item in self._objects.items()
             if path not in listed
             and not item.deleted
-            and not self._note_lost(item, answer.revision)
+            and not self._record_lost(item, answer.revision)
         )
         update = self.merge(answer.objects + deletions)
         self._revision = max(self._revision, answer.revision)
@@ -103,72 +104,75 @@
         return update
 
     def observe_changes(self, answer: ObjectList) -> SettingsUpdate:
-        """Take in the answer to a watch after `revision`."""
+        """Merge the answer to a watch from `revision`."""
         update = self.merge(answer.objects)
         self._revision = max(self._revision, answer.revision)
         return update
 
     def merge(self, objects: Iterable[PlatformObject]) -> SettingsUpdate:
-        """Take in objects from anywhere; older versions change nothing."""
-        taken = [item.path for item in objects if self._take(item)]
-        news = tuple(self._objects[path] for path in dict.fromkeys(taken))
-        if not news:
+        """Merge objects from any source; older versions are ignored."""
+        merged = [item.path for item in objects if self._merge_object(item)]
+        updated = tuple(self._objects[path] for path in dict.fromkeys(merged))
+        if not updated:
             return NO_UPDATE
-        self._forget_old_tombstones()
+        self._drop_old_tombstones()
         before = self._current
         revision = max(item.version for item in self._objects.values())
         self._current, self._site_findings = build_site(
             self._accepted.values(), max(revision, before.revision)
         )
         changed = self._current[1:] != before[1:]
-        return SettingsUpdate(news, changed, self.findings)
+        return SettingsUpdate(updated, changed, self.findings)
 
-    def _take(self, item: PlatformObject) -> bool:
-        """Keep one object if it is news; return whether it was."""
+    def _merge_object(self, item: PlatformObject) -> bool:
+        """Merge one object; return whether it is new or updated."""
         known = self._objects.get(item.path)
         if not item.path.startswith(PREFIX):
             return False
         if known is not None and item.version <= known.version:
             return False
-        if known is not None and is_overtaken(item.value, known.value):
-            self._note_lost(known, item.version)
+        if known is not None and is_superseded(item.value, known.value):
+            self._record_lost(known, item.version)
             return False
-        # A full list of a later revision lacked it, so it was deleted before.
+        # A full list of a later revision lacked the object, so it was deleted by then.
         if known is None and item.version <= self._listed_revision:
             return False
-        judged = judge_object(item)
+        evaluated = evaluate_object(item)
         self._lost.pop(item.path, None)
-        self._objects[item.path] = judged.item
-        self._put_in_force(judged)
+        self._objects[item.path] = evaluated.item
+        self._apply(evaluated)
         return True
 
-    def _note_lost(self, known: PlatformObject, told: int) -> bool:
-        """Return whether a version is one that the store has lost, and keep that."""
-        if get_era(known.version) >= get_era(told):
+    def _record_lost(self, known: PlatformObject, version: int) -> bool:
+        """Record a finding if the store has lost the known version; return whether so.
+
+        The store has lost it if `version`, which it has now, is of a later era.
+        """
+        if get_era(known.version) >= get_era(version):
             return False
         text = f"the store has lost version {format_version(known.version)}: "
-        finding = Finding(known.path, "", text + "it holds on, write it again")
+        finding = Finding(known.path, "", text + "it stays in force, write it again")
         self._lost[known.path] = finding
         return True
 
-    def _put_in_force(self, judged: JudgedObject) -> None:
-        """Replace what is in force of one object.
+    def _apply(self, evaluated: EvaluatedObject) -> None:
+        """Put the settings of one object in force.
 
-        A faulty object whose history does not tell what held before it leaves
-        in force what this proxy had.
+        If the object is invalid and its history does not contain the last valid
+        settings, those that this proxy has stay in force.
         """
-        path = judged.item.path
+        path = evaluated.item.path
         self._findings.pop(path, None)
-        if judged.findings:
-            self._findings[path] = judged.findings
-        if judged.settings is not None:
-            accepted = AcceptedObject(path, judged.created, judged.settings)
+        if evaluated.findings:
+            self._findings[path] = evaluated.findings
+        if evaluated.settings is not None:
+            accepted = AcceptedObject(path, evaluated.created, evaluated.settings)
             self._accepted[path] = accepted
-        elif judged.is_settled:
+        elif evaluated.is_conclusive:
             self._accepted.pop(path, None)
 
-    def _forget_old_tombstones(self) -> None:
-        """Keep the newest deletions only, so that they do not pile up."""
+    def _drop_old_tombstones(self) -> None:
+        """Drop the oldest deletions, so that their number stays bounded."""
         deleted = [item for item in self._objects.values() if item.deleted]
         deleted.sort(key=lambda item: item.version, reverse=True)
         for item in deleted[MAX_TOMBSTONES:]:
--- a/beryltrack/settings/incarnations.py
+++ b/beryltrack/settings/incarnations.py
@@ -1,16 +1,16 @@
-"""Names of databases, each of which stands for one incarnation.
+"""Names of databases, unique to each incarnation.
 
-A database may start again under the identifier that it had, and then holds nothing of
-before. All that an instance knows of a database is kept by its name: positions,
-receipts, grants, connections, what owners and peers tell. So the name changes with each
-start: it is the identifier and the time of the start. What was said of an earlier
-incarnation then belongs to a name that is no member any more.
+A database may restart under the same identifier and then holds none of its previous
+data. An instance keeps all state of a database by its name: positions, receipts,
+grants, connections, reports of owners and peers. Therefore a name consists of the
+identifier and the start time and changes with each start: state of an earlier
+incarnation then belongs to a name that is no longer a member.
 """
 
 from collections.abc import Iterable
 
 START_SEPARATOR = "@"
-"""Stands between the identifier and the time of the start; no identifier has it."""
+"""Separates the identifier from the start time; no identifier contains it."""
 
 
 def make_incarnation_name(identifier: str, started_at: int | None) -> str:
@@ -19,14 +19,14 @@
     Parameters
     ----------
     identifier : str
-        What the database is called outside of the product.
+        Identifier of the database outside of the proxy.
     started_at : int or None
-        When it started, milliseconds since 1970; None if it does not tell.
+        Its start time, milliseconds since 1970; None if it is not known.
 
     Returns
     -------
     str
-        The identifier alone if the time is not known.
+        The identifier alone if the start time is not known.
     """
     return (
         identifier
@@ -36,18 +36,18 @@
 
 
 def get_identifier(name: str) -> str:
-    """Return what a database is called outside of the product."""
+    """Return the identifier of a database outside of the proxy."""
     return name.partition(START_SEPARATOR)[0]
 
 
 def get_start_time(name: str) -> int:
-    """Return when a database started, by its name; 0 if that is not known."""
+    """Return the start time, milliseconds since 1970; 0 if it is not known."""
     started_at = name.partition(START_SEPARATOR)[2]
     return int(started_at) if started_at else 0
 
 
 def find_restarted(before: Iterable[str], after: Iterable[str]) -> frozenset[str]:
-    """Return the names in `after` that are later incarnations of some in `before`."""
+    """Return the names in `after` that are other incarnations of names in `before`."""
     known = set(before)
     identifiers = {get_identifier(name) for name in known}
     return frozenset(
--- a/beryltrack/settings/instance_file.py
+++ b/beryltrack/settings/instance_file.py
@@ -1,4 +1,4 @@
-"""Reads the settings file of one proxy process."""
+"""Parses the settings file of one proxy process."""
 
 from beryltrack.findings import Finding
 from beryltrack.settings.json_text import load_json
@@ -11,19 +11,19 @@
 def load_instance_settings(
     text: str, source: str
 ) -> tuple[InstanceSettings | None, tuple[Finding, ...]]:
-    """Check the text of an instance's settings file.
+    """Parse the text of an instance's settings file.
 
     Parameters
     ----------
     text : str
         The file's text, JSON.
     source : str
-        Name of the file, for the findings.
+        The file's name, for the findings.
 
     Returns
     -------
     tuple
-        The settings, or None, and all findings.
+        The settings, None if they are invalid, and all findings.
     """
     value, findings = load_json(text, source)
     if not findings:
--- a/beryltrack/settings/mechanisms.py
+++ b/beryltrack/settings/mechanisms.py
@@ -1,8 +1,8 @@
-"""The parts of an instance's decisions that can be switched off.
+"""Optional mechanisms of an instance, which can be switched off for ablation.
 
-Each answers a load or a fault. Switched off it shows what it is worth: the environment
-variable `DISABLED_VARIABLE` names what an instance does without. No promise rests on
-any of them.
+Each handles one kind of load or fault; switching it off shows its effect. The
+environment variable `DISABLED_VARIABLE` lists those that are off. No guarantee depends
+on any of them.
 """
 
 from collections.abc import Mapping
@@ -11,79 +11,80 @@
 from beryltrack.findings import Finding
 
 DISABLED_VARIABLE = "BERYLTRACK_DISABLED"
-"""Environment variable with the names of mechanisms to do without, between commas."""
+"""Environment variable with the names of disabled mechanisms, separated by commas."""
 
 
 class Mechanism(Enum):
-    """A mechanism, by the name that the settings use."""
+    """A mechanism; its value is its name in the settings."""
 
     ADMISSION_BOUND = "admission-bound"
-    """Fewer requests are taken on while the process has no processor time for them."""
+    """Fewer requests are admitted while the process lacks processor time for them."""
     CALM_GUARD = "calm-guard"
-    """A primary that nobody uses is asked each second, not each 0.4 s."""
+    """An unused primary is probed each second (idle probe interval), not each 0.4 s."""
     DEADLINE_ORDER = "deadline-order"
-    """Requests wait in the order of their deadlines, not in that of their arrival."""
+    """Requests are queued by deadline (earliest deadline first), not by arrival."""
     DETOURS = "detours"
-    """A database that is cut off from this instance is reached through others."""
+    """A database that this instance cannot reach is reached through other instances."""
     EARLY_REFUSAL = "early-refusal"
-    """Who cannot be done in time is told so at once, not when the time is over."""
+    """A request that cannot meet its deadline is refused before the deadline passes."""
     EXPECTED_TIME = "expected-time"
-    """Reads go where they are expected to be done first, by what owners tell."""
+    """Reads go where owners' reports predict the earliest completion."""
     FEW_CONNECTIONS = "few-connections"
-    """A connection is opened only for requests that have waited, and closed soon."""
+    """A connection is opened only for requests that have waited, and closed early."""
     OWNER_REPORTS = "owner-reports"
-    """Owners tell of their load; what waits there too long is refused in front."""
+    """Owners report their load; the receiving instance refuses requests that would wait
+    too long at the owner."""
     KEPT_CONNECTIONS = "kept-connections"
-    """Connections of accounts that ask often rest for long, and go last."""
+    """Connections of frequently active accounts stay idle for long and close last."""
     OWNER_PROBES = "owner-probes"
-    """An owner out of reach is passed over until it answers a probe, not for 2 s."""
+    """An unreachable owner is skipped until it answers a probe, not for 2 s."""
     OWN_REPLICAS = "own-replicas"
-    """An account's reads prefer one replica, on which it has a connection already."""
+    """An account's reads prefer one replica, to which it already has a connection."""
     PARALLEL_PROOFS = "parallel-proofs"
-    """Reads that others pass on run while the primary is asked whether it leads."""
+    """Reads relayed by other instances run in parallel with the primary's proof."""
     PRIORITY_ORDER = "priority-order"
-    """What waits at an owner runs by priority, and in turns among accounts."""
+    """Requests queued at an owner run by priority, then round robin among accounts."""
     REPLICA_PAUSE = "replica-pause"
-    """A replica that was behind is left alone for a while."""
+    """A replica that was found lagging is not used for a while."""
     LATE_STATEMENTS = "late-statements"
-    """A statement that is late makes its primary be asked whether it lives."""
+    """An overdue statement triggers a liveness probe of its primary."""
     LONG_PROOFS = "long-proofs"
-    """Writes need no new proof of the primary's term for seconds, not for 0.5 s."""
+    """A proof of the primary's term is valid for writes for seconds, not for 0.5 s."""
     LONG_QUEUE = "long-queue"
-    """Requests wait for a connection for up to 0.6 s, not 0.25 s."""
+    """Requests wait up to 0.6 s for a connection, not 0.25 s."""
     NEAR_REPLICAS = "near-replicas"
-    """Reads prefer replicas of the instance's own availability zone."""
+    """Reads prefer replicas in the instance's own availability zone."""
     RETRIES = "retries"
-    """What did not run is run again elsewhere."""
+    """A request that did not run is retried elsewhere."""
     RETRY_BUDGET = "retry-budget"
-    """Retries are at most a tenth of the requests."""
+    """Retries are limited to a tenth of the requests."""
     SHARED_COPIES = "shared-copies"
-    """Most instances of a large fleet are told by others what the store holds."""
+    """Most instances of a large fleet receive the store's objects from other ones."""
     SNAPSHOTS = "snapshots"
-    """An instance that starts goes by another one's copies while the store is away."""
+    """A starting instance uses another one's cached copies while the store is down."""
     STRONG_OWNERS = "strong-owners"
-    """Groups are owned by the instances that can carry the most, by their capacity."""
+    """Groups are owned by the instances with the largest capacity."""
     ZONE_OWNERS = "zone-owners"
-    """An account's operations run in the zone where they come in, not at one owner."""
+    """An account's operations run in the zone that receives them, not at one owner."""
     STATEMENT_LIMIT = "statement-limit"
-    """An owner lets only so many statements run as the database has room for."""
+    """An owner limits concurrent statements to the database's capacity."""
 
 
 def read_disabled_mechanisms(
     environment: Mapping[str, str],
 ) -> tuple[frozenset[Mechanism], list[Finding]]:
-    """Return the mechanisms that the environment switches off.
+    """Return the mechanisms that the environment disables.
 
     Returns
     -------
     tuple
-        The mechanisms, and a finding for each name that stands for none.
+        The mechanisms, and a finding for each unknown name.
     """
     text = environment.get(DISABLED_VARIABLE, "")
     names = [name.strip() for name in text.split(",") if name.strip()]
-    known = {each.value: each for each in Mechanism}
+    known = {mechanism.value: mechanism for mechanism in Mechanism}
     findings = [
-        Finding(DISABLED_VARIABLE, name, "names no mechanism")
+        Finding(DISABLED_VARIABLE, name, "is not the name of a mechanism")
         for name in names
         if name not in known
     ]
--- a/beryltrack/settings/messages.py
+++ b/beryltrack/settings/messages.py
@@ -1,19 +1,22 @@
-"""The settings in force, as the other slices read them.
+"""Typed settings, as the other packages read them.
 
-The JSON objects that operators write are turned into these tuples once, when
-they are accepted, so that no other slice handles bare maps.
+The JSON objects that operators write are converted to these tuples once, when
+they are accepted, so that no other package handles untyped maps.
+
+A group is a primary database and its replicas; a target is a database that the
+proxy connects to; a caller is a client account.
 """
 
 from typing import NamedTuple
 
 
 class Endpoint(NamedTuple):
-    """A TCP address by number.
+    """An IP address and a TCP port.
 
     Parameters
     ----------
     host : str
-        IP number.
+        IP address, not a host name.
     port : int
         TCP port.
     """
@@ -23,22 +26,22 @@
 
 
 class DatabaseSettings(NamedTuple):
-    """One database of a group, a target.
+    """One database of a group: a target.
 
     Parameters
     ----------
     name : str
         Name of the database, unique in its group.
     endpoint : Endpoint
-        Where it listens.
+        Address at which it listens.
     zone : str
         Its availability zone.
     max_connections : int
-        Most connections to it over all proxies together.
+        Maximum number of connections to it from all proxies together.
     slots : int
-        Statements that it runs at once.
+        Number of statements that it runs concurrently.
     draining : bool
-        True if an operator wants it to get no new work and not to lead.
+        True if it must receive no new work and must not be the primary.
     """
 
     name: str
@@ -55,21 +58,22 @@
     Parameters
     ----------
     name : str
-        Name of the group; the database name that callers ask for.
+        Name of the group; the database name that callers connect to.
     team : str
-        The team whose subtree describes it.
+        The team whose subtree holds it.
     databases : tuple of DatabaseSettings
         Its members.
     user : str
-        The user by which proxies log on to the databases.
+        The user with which proxies log on to the databases.
     password : str
         That user's password; empty if the databases trust it.
     max_age : float
-        Staleness that reads accept by default, seconds. Zero: none.
+        Default staleness that reads accept, seconds; zero for none.
     lost_after : float
-        Seconds without a word after which a primary counts as lost.
+        Failure detection timeout: seconds without a message from the primary
+        after which it counts as lost.
     ledger_retention : float
-        Seconds for which the row of a marked request is kept.
+        Seconds for which the ledger row of an at-most-once request is retained.
     """
 
     name: str
@@ -92,17 +96,17 @@
     team : str
         The team whose subtree holds it.
     group : str
-        Group that it applies to; empty for each group of the team.
+        Group that it applies to; empty for all groups of the team.
     user : str
-        User of the caller that it applies to; empty for all.
+        User of the caller that it applies to; empty for all users.
     statement : str
-        Text that the statement must contain; empty for all.
+        Text that the statement must contain; empty for all statements.
     max_age : float or None
-        Staleness that the read accepts, seconds; None leaves the default.
+        Staleness that the read accepts, seconds; None for the group's default.
     reads : str
-        ``any`` or ``primary``: where the reads may go.
+        ``any`` or ``primary``: the databases that may run the reads.
     idempotent : bool or None
-        False marks the request as non-idempotent; None leaves the mark.
+        False declares the request non-idempotent; None keeps the caller's choice.
     """
 
     name: str
@@ -116,28 +120,29 @@
 
 
 class RouteSettings(NamedTuple):
-    """A database name that callers ask for, and how its requests are run.
+    """A database name that callers connect to, and how its requests are run.
 
     Parameters
     ----------
     name : str
-        The name that callers ask for.
+        The name that callers connect to.
     group : str
         The group that serves it.
     reads : str
-        ``any`` or ``primary``: where the reads may go.
+        ``any`` or ``primary``: the databases that may run the reads.
     max_age : float
         Staleness that its reads accept, seconds.
     reads_own_writes : bool
-        True if a read must also show all that its own session has written.
+        True for the read-your-writes guarantee: a read also sees all that its own
+        session has written.
     statement_timeout : float
-        Seconds that one statement may take.
+        Maximum duration of one statement, seconds.
     target_latency : float
-        Seconds within which callers want a whole operation done.
+        Time within which callers want an operation to complete, seconds.
     priority : int
-        Zero is the highest.
+        Priority of its requests; zero is the highest.
     is_public : bool
-        True if it serves callers of no account, too.
+        True if it also serves clients without an account.
     """
 
     name: str
@@ -159,10 +164,10 @@
     name : str
         Name of the user.
     team : str
-        The team; the user may use the groups of this team only.
+        The team; the user may use only the groups of this team.
     secret : str
-        SCRAM-SHA-256 secret in the form that PostgreSQL stores; empty means
-        trust, which must be asked for in the settings.
+        SCRAM-SHA-256 secret in the form that PostgreSQL stores; empty for log-on
+        without a password, which the settings must allow with ``trust``.
     """
 
     name: str
@@ -176,7 +181,7 @@
     Parameters
     ----------
     revision : int
-        The highest version among the objects it was made of.
+        The highest version among the objects that they were built from.
     groups : tuple of GroupSettings
         All groups.
     rules : tuple of RuleSettings
@@ -184,10 +189,10 @@
     users : tuple of UserSettings
         All users.
     routes : tuple of RouteSettings
-        All routes. Without any, callers ask for groups by their names.
+        All routes. Without any, callers connect to groups by their names.
     transaction_idle : float
-        Seconds after which a transaction that rests may be ended; zero for
-        the daemon's own limit.
+        Seconds after which an idle transaction may be ended; zero for the
+        daemon's own limit.
     """
 
     revision: int
@@ -199,7 +204,7 @@
 
 
 class InstanceSettings(NamedTuple):
-    """What one proxy process learns from its settings file.
+    """Settings that one proxy process reads from its settings file.
 
     Parameters
     ----------
@@ -208,23 +213,24 @@
     zone : str
         Its availability zone.
     listen : Endpoint
-        Where callers connect.
+        Listen address for callers.
     peer_listen : Endpoint
-        Where peers connect.
+        Listen address for peers.
     health_listen : Endpoint
-        Where the balancer asks for health and the scraper for metrics.
+        Listen address for health checks and metrics.
     platform_url : str
-        Base address of the platform's service.
+        Base URL of the platform's service.
     peer_key : str
-        Key that peers prove to each other.
+        Shared key with which peers authenticate each other.
     certificate : str
-        File of the TLS certificate and key for callers; empty for none.
+        File of the TLS certificate and key for callers; empty for no TLS.
     drain_limit : float
-        Seconds that a graceful shutdown waits for work in flight.
+        Maximum time that a graceful shutdown waits for work in flight, seconds.
     peer_seeds : tuple of Endpoint
-        Where other instances may be found while the platform cannot tell.
+        Addresses at which to look for other instances while the platform is
+        unavailable.
     seats : int
-        Number of shares into which connections are divided.
+        Number of seats: shares into which the connections are divided.
     """
 
     name: str
--- a/beryltrack/settings/node.py
+++ b/beryltrack/settings/node.py
@@ -1,4 +1,4 @@
-"""What one process learns of itself where the platform writes its settings."""
+"""Settings of one instance process where the platform supplies them at its start."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,16 @@
 from beryltrack.settings.messages import Endpoint
 
 DEFAULT_CHANGE_LIMIT = 3.0
-"""Seconds within which a change of the settings must be in force, if not stated; the
-shortest limit of today's sites."""
+"""Seconds within which a change of the settings must be in force, if the platform does
+not state it; the shortest limit of the current sites."""
 
 DEFAULT_DRAIN_LIMIT = 7.0
-"""Seconds until a database that is to leave gets no new work, if not stated."""
+"""Seconds within which a draining database must get no new work, if the platform does
+not state it."""
 
 
 class NodeSettings(NamedTuple):
-    """A process's own settings.
+    """Settings of one instance process.
 
     Parameters
     ----------
@@ -25,40 +26,43 @@
     zone : str
         Its availability zone.
     listen : Endpoint
-        Where callers connect.
+        Listen address for callers.
     ready_listen : Endpoint
-        Where the balancer asks whether the instance takes callers.
+        Listen address for the balancer's readiness checks.
     member_listen : Endpoint
-        Where other instances look whether this one is there.
+        Listen address for other instances' liveness probes.
     relay_listen : Endpoint
-        Where other instances use this one's connections to databases.
+        Listen address for statements that other instances relay through this
+        instance's connections to databases.
     store : Endpoint
         The object store.
     promotion : Endpoint
-        The service that carries out promotions.
+        The service that promotes databases to primary.
     grace : float
-        Seconds between SIGTERM and SIGKILL.
+        Termination grace period: seconds between SIGTERM and SIGKILL.
     is_first_start : bool
-        True if the whole system starts for the first time.
+        True if the deployment starts for the first time.
     snapshot_listen : Endpoint or None
-        Where this instance gives its copies of the store's objects; None if nowhere.
+        Listen address for snapshots of this instance's cached copies of the store's
+        objects; None if it serves none.
     snapshot_sources : tuple of Endpoint
-        Where others may give theirs.
+        Addresses at which other instances may serve their snapshots.
     is_fenced : bool
-        True if the service that promotes refuses a lower fencing token than it has
-        seen. Where it does not, replaced primaries go on for a while, too.
+        True if the promotion service refuses a fencing token lower than the highest
+        that it has seen. Where it does not, replaced primaries also stay active
+        for a while.
     change_limit : float
         Seconds within which a confirmed change of the settings must be in force.
     drain_limit : float
-        Seconds within which a database that is to leave must get no new work.
+        Seconds within which a draining database must get no new work.
     disabled : frozenset of Mechanism
-        What the instance does without.
+        Mechanisms that are switched off.
     capacity : float
-        Processor time that it may use, in cores.
+        Processor time that the instance may use, in cores.
     tolerance : Tolerance
-        How far accounts may exceed their limits.
+        Extent to which accounts may exceed their limits.
     load : LoadPolicy
-        The figures of the decisions under load.
+        Parameters of admission control and queueing under load.
     """
 
     name: str
@@ -83,19 +87,20 @@
 
     @property
     def cache_listen(self) -> Endpoint | None:
-        """Where it tells others of changes in the store: the port after the copies'."""
-        place = self.snapshot_listen
-        return None if place is None else Endpoint(place.host, place.port + 1)
+        """Listen address for the feed of store changes: the snapshots' port plus 1."""
+        snapshot = self.snapshot_listen
+        return None if snapshot is None else Endpoint(snapshot.host, snapshot.port + 1)
 
     @property
     def cache_sources(self) -> tuple[Endpoint, ...]:
-        """Where others may tell of changes in the store."""
+        """Addresses at which other instances may serve their feeds of store changes."""
         return tuple(
-            Endpoint(place.host, place.port + 1) for place in self.snapshot_sources
+            Endpoint(snapshot.host, snapshot.port + 1)
+            for snapshot in self.snapshot_sources
         )
 
     @property
     def quota_listen(self) -> Endpoint | None:
-        """Where it takes rights to run accounts' operations: the port after that."""
-        place = self.snapshot_listen
-        return None if place is None else Endpoint(place.host, place.port + 2)
+        """Listen address for accounts' quota shares: the snapshots' port plus 2."""
+        snapshot = self.snapshot_listen
+        return None if snapshot is None else Endpoint(snapshot.host, snapshot.port + 2)
--- a/beryltrack/settings/options.py
+++ b/beryltrack/settings/options.py
@@ -1,8 +1,8 @@
 """The options that operators can set, each with its meaning, unit and bounds.
 
-This one table is the source of the checks (`beryltrack.settings.schema`) and of
-the reference page docs/SETTINGS.md (`beryltrack.settings.reference`), so that
-the three cannot differ.
+These tables are the single source of the schemas (`beryltrack.settings.schema`)
+and of the reference page docs/SETTINGS.md (`beryltrack.settings.reference`), so
+that the three cannot differ.
 """
 
 import enum
@@ -10,13 +10,13 @@
 
 
 class OptionKind(enum.Enum):
-    """Form of an option's value in JSON."""
+    """Type of an option's JSON value; the text describes it on the reference page."""
 
     TEXT = "text"
     INTEGER = "integer"
     NUMBER = "number"
     FLAG = "true or false"
-    ENDPOINT = "object with host (IP number) and port"
+    ENDPOINT = "object with host (IP address) and port"
     TABLE = "list of objects"
     NUMBERS = "list of numbers"
 
@@ -38,23 +38,23 @@
     name : str
         Key in the JSON object.
     kind : OptionKind
-        Form of its value.
+        Type of its value.
     doc : str
-        What it does, in whole sentences.
+        What it does, in whole sentences, for the reference page.
     default : object
-        Value if it is left out; `REQUIRED` if it must be given. None makes
-        ``null`` a value too.
+        Value if it is omitted; `REQUIRED` if it must be given. None makes
+        ``null`` a valid value too.
     unit : str
         Unit of a number, else empty.
     minimum, maximum : float or None
-        Bounds of a number, of each number of a list, of the length of a text or of
-        a list of objects, or of the port of an endpoint, all inclusive.
+        Inclusive bounds of a number, of each number of a list, of the length of a
+        text or of a list of objects, or of the port of an endpoint.
     choices : tuple of str
-        The only values of a text; empty for any.
+        The allowed values of a text; empty for any.
     pattern : str
         Regular expression that a text must match; empty for any.
     secret : bool
-        True if the value must not be shown in findings.
+        True if findings must not show the value.
     columns : tuple of Option
         Options of each object in a table.
     """
@@ -80,7 +80,7 @@
     kind : str
         Third part of the object's path, for example ``groups``.
     doc : str
-        What one such object describes.
+        What one object of the kind describes, for the reference page.
     options : tuple of Option
         Its options.
     """
@@ -90,10 +90,14 @@
     options: tuple[Option, ...]
 
 
-# A text may not end in a newline either, which "$" would let through.
+# \Z instead of "$", which would also match before a newline at the end.
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}\Z"
-MAX_TEXT = 1000
+MAX_TEXT_LENGTH = 1000
+"""Maximum length of a text, characters."""
+
 MAX_AGE_LIMIT = 86400.0
+"""Maximum staleness that reads can accept, seconds."""
+
 MAX_DATABASES = 9
 MAX_SEEDS = 64
 
@@ -104,7 +108,12 @@
         "Name of the database, unique in its group.",
         pattern=NAME_PATTERN,
     ),
-    Option("endpoint", OptionKind.ENDPOINT, "Where the database listens.", minimum=1),
+    Option(
+        "endpoint",
+        OptionKind.ENDPOINT,
+        "Address at which the database listens.",
+        minimum=1,
+    ),
     Option(
         "zone",
         OptionKind.TEXT,
@@ -114,7 +123,7 @@
     Option(
         "max_connections",
         OptionKind.INTEGER,
-        "Most connections to the database over all proxies together.",
+        "Maximum number of connections to the database from all proxies together.",
         unit="connections",
         minimum=1,
         maximum=10000,
@@ -122,7 +131,7 @@
     Option(
         "slots",
         OptionKind.INTEGER,
-        "Statements that the database runs at once.",
+        "Number of statements that the database runs concurrently.",
         default=3,
         unit="statements",
         minimum=1,
@@ -131,7 +140,7 @@
     Option(
         "draining",
         OptionKind.FLAG,
-        "True takes new work off the database. If it is the primary, another "
+        "True stops new work on the database. If it is the primary, another "
         "database takes over first (planned hand-over).",
         default=False,
     ),
@@ -140,12 +149,12 @@
 GROUPS = OptionTable(
     "groups",
     "One database group. The object's name is the database name that callers "
-    "ask for; it must be unique over all teams.",
+    "connect to; it must be unique among all teams.",
     (
         Option(
             "databases",
             OptionKind.TABLE,
-            "Members of the group. An odd number of at least three survives the "
+            "Members of the group. An odd number of at least three tolerates the "
             "loss of one.",
             minimum=1,
             maximum=MAX_DATABASES,
@@ -154,7 +163,7 @@
         Option(
             "user",
             OptionKind.TEXT,
-            "User by which proxies log on to the databases.",
+            "User with which proxies log on to the databases.",
             minimum=1,
             maximum=63,
         ),
@@ -163,14 +172,14 @@
             OptionKind.TEXT,
             "That user's password. Empty if the databases trust the proxies.",
             default="",
-            maximum=MAX_TEXT,
+            maximum=MAX_TEXT_LENGTH,
             secret=True,
         ),
         Option(
             "max_age",
             OptionKind.NUMBER,
-            "Staleness that reads accept unless a rule or the caller says "
-            "otherwise. Zero: only the newest data that was acknowledged.",
+            "Staleness that reads accept unless a rule or the caller sets "
+            "another. Zero: reads see all acknowledged writes.",
             default=0,
             unit="seconds",
             minimum=0,
@@ -179,8 +188,8 @@
         Option(
             "lost_after",
             OptionKind.NUMBER,
-            "Time without a word after which a primary counts as lost. Shorter "
-            "means shorter failovers and more needless ones.",
+            "Time without a message from the primary after which it counts as lost. "
+            "A shorter time makes failovers faster and unnecessary ones more frequent.",
             default=0.3,
             unit="seconds",
             minimum=0.05,
@@ -189,8 +198,8 @@
         Option(
             "ledger_retention",
             OptionKind.NUMBER,
-            "Time for which a marked request is remembered. A repeat that comes "
-            "later runs again.",
+            "Time for which the ledger remembers an at-most-once request. A repeat "
+            "after that runs again.",
             default=604800,
             unit="seconds",
             minimum=3600,
@@ -202,19 +211,19 @@
 RULES = OptionTable(
     "rules",
     "One routing rule. A team's rules are tried in the order of their names; the "
-    "first that matches a statement applies to it.",
+    "first that matches a statement applies.",
     (
         Option(
             "group",
             OptionKind.TEXT,
-            "Group of the same team that the rule is for. Empty: each of them.",
+            "Group of the same team that the rule applies to. Empty: all its groups.",
             default="",
             maximum=63,
         ),
         Option(
             "user",
             OptionKind.TEXT,
-            "User of the caller that the rule is for. Empty: all.",
+            "User of the caller that the rule applies to. Empty: all users.",
             default="",
             maximum=63,
         ),
@@ -223,12 +232,12 @@
             OptionKind.TEXT,
             "Text that the statement must contain. Empty: all statements.",
             default="",
-            maximum=MAX_TEXT,
+            maximum=MAX_TEXT_LENGTH,
         ),
         Option(
             "max_age",
             OptionKind.NUMBER,
-            "Staleness that the read accepts. Null leaves the group's.",
+            "Staleness that the read accepts. Null: the group's default.",
             default=None,
             unit="seconds",
             minimum=0,
@@ -237,15 +246,15 @@
         Option(
             "reads",
             OptionKind.TEXT,
-            "Where reads may go: to any database, or to the primary only.",
+            "Databases that may run the reads: any, or only the primary.",
             default="any",
             choices=("any", "primary"),
         ),
         Option(
             "idempotent",
             OptionKind.FLAG,
-            "False marks the statement as non-idempotent, so that it needs a "
-            "request identifier. Null leaves the caller's mark.",
+            "False declares the statement non-idempotent, so that it needs a "
+            "request identifier. Null: the caller's choice.",
             default=None,
         ),
     ),
@@ -261,7 +270,7 @@
             OptionKind.TEXT,
             "SCRAM-SHA-256 secret in the form that PostgreSQL stores.",
             default="",
-            maximum=MAX_TEXT,
+            maximum=MAX_TEXT_LENGTH,
             pattern=r"^\Z|^SCRAM-SHA-256\$\d+:[A-Za-z0-9+/=]+\$"
             r"[A-Za-z0-9+/=]+:[A-Za-z0-9+/=]+\Z",
             secret=True,
@@ -269,7 +278,7 @@
         Option(
             "trust",
             OptionKind.FLAG,
-            "True lets the user log on without a password.",
+            "True allows the user to log on without a password.",
             default=False,
         ),
     ),
@@ -277,7 +286,7 @@
 
 INSTANCE = OptionTable(
     "instance",
-    "The settings file of one proxy process. It is read once, at start-up.",
+    "The settings file of one proxy process, read once at start-up.",
     (
         Option(
             "name",
@@ -291,34 +300,40 @@
             "Its availability zone.",
             pattern=NAME_PATTERN,
         ),
-        Option("listen", OptionKind.ENDPOINT, "Where callers connect.", minimum=0),
-        Option("peer_listen", OptionKind.ENDPOINT, "Where peers connect.", minimum=0),
+        Option("listen", OptionKind.ENDPOINT, "Listen address for callers.", minimum=0),
+        Option(
+            "peer_listen",
+            OptionKind.ENDPOINT,
+            "Listen address for peers.",
+            minimum=0,
+        ),
         Option(
             "health_listen",
             OptionKind.ENDPOINT,
-            "Where the balancer asks for health, the scraper for metrics and the "
-            "operators' tool for status.",
+            "Listen address for health checks, metrics and the operators' tool "
+            "(status).",
             minimum=0,
         ),
         Option(
             "platform_url",
             OptionKind.TEXT,
-            "Base address of the platform's service.",
-            maximum=MAX_TEXT,
+            "Base URL of the platform's service.",
+            maximum=MAX_TEXT_LENGTH,
             pattern="^https?://[^/]+",
         ),
         Option(
             "peer_key",
             OptionKind.TEXT,
-            "Key that peers prove to each other; the same on the whole fleet.",
+            "Key with which peers authenticate each other; the same on all instances.",
             minimum=16,
-            maximum=MAX_TEXT,
+            maximum=MAX_TEXT_LENGTH,
             secret=True,
         ),
         Option(
             "peer_seeds",
             OptionKind.TABLE,
-            "Where other instances may be found while the platform cannot tell.",
+            "Addresses at which to look for other instances while the platform is "
+            "unavailable.",
             default=(),
             minimum=0,
             maximum=MAX_SEEDS,
@@ -326,7 +341,7 @@
                 Option(
                     "endpoint",
                     OptionKind.ENDPOINT,
-                    "Where the peers of an instance connect.",
+                    "An instance's listen address for peers.",
                     minimum=1,
                 ),
             ),
@@ -334,9 +349,9 @@
         Option(
             "seats",
             OptionKind.INTEGER,
-            "Number of shares into which the connections of the databases are "
-            "divided; at least the number of instances, and the same on all of "
-            "them. Changing it means stopping all instances first.",
+            "Number of seats: shares into which the connections of the databases are "
+            "divided. At least the number of instances, and the same on all of them. "
+            "A change requires that all instances are stopped first.",
             default=8,
             unit="seats",
             minimum=1,
@@ -345,14 +360,14 @@
         Option(
             "certificate",
             OptionKind.TEXT,
-            "PEM file with the TLS certificate and key for callers. Empty: none.",
+            "PEM file with the TLS certificate and key for callers. Empty: no TLS.",
             default="",
-            maximum=MAX_TEXT,
+            maximum=MAX_TEXT_LENGTH,
         ),
         Option(
             "drain_limit",
             OptionKind.NUMBER,
-            "Time that a graceful shutdown waits for work in flight.",
+            "Maximum time that a graceful shutdown waits for work in flight.",
             default=30,
             unit="seconds",
             minimum=0,
--- a/beryltrack/settings/parsing.py
+++ b/beryltrack/settings/parsing.py
@@ -1,7 +1,7 @@
-"""Turns the JSON of one settings object into the tuples of `messages`.
+"""Parses the JSON of one settings object into the tuples of `messages`.
 
-What can be judged from one object alone is checked here; what needs the others
-is checked in `beryltrack.settings.site`.
+It checks each object by itself; `beryltrack.settings.site` checks objects
+against each other.
 """
 
 from collections import Counter
@@ -24,7 +24,7 @@
 def parse_settings(
     path: str, value: object
 ) -> tuple[SettingsObject | None, tuple[Finding, ...]]:
-    """Check one settings object and return its typed form.
+    """Validate one settings object and return its typed form.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     Returns
     -------
     tuple
-        The typed settings, or None, and all findings.
+        The typed settings, None if they are invalid, and all findings.
     """
     parts, findings = parse_path(path)
     if parts is None:
@@ -52,35 +52,35 @@
 
 
 def build_endpoint(value: dict[str, object]) -> Endpoint:
-    """Return an endpoint from its checked JSON form."""
+    """Return an endpoint from its valid JSON form."""
     return Endpoint(value["host"], value["port"])
 
 
 def _build_database(value: dict[str, object]) -> DatabaseSettings:
-    """Return a database from its checked JSON form."""
+    """Return a database from its valid JSON form."""
     return DatabaseSettings(**value | {"endpoint": build_endpoint(value["endpoint"])})
 
 
 def _build_group(parts: SettingsPath, value: dict[str, object]) -> GroupSettings:
-    """Return a group from its checked JSON form."""
+    """Return a group from its valid JSON form."""
     databases = tuple(_build_database(row) for row in value["databases"])
     return GroupSettings(parts.name, parts.team, **value | {"databases": databases})
 
 
 def _build_rule(parts: SettingsPath, value: dict[str, object]) -> RuleSettings:
-    """Return a rule from its checked JSON form."""
+    """Return a rule from its valid JSON form."""
     return RuleSettings(parts.name, parts.team, **value)
 
 
 def _build_user(parts: SettingsPath, value: dict[str, object]) -> UserSettings:
-    """Return a user from its checked JSON form."""
+    """Return a user from its valid JSON form."""
     return UserSettings(parts.name, parts.team, value["secret"])
 
 
-def _find_repeated(
+def _find_duplicates(
     path: str, column: str, values: tuple[object, ...]
 ) -> tuple[Finding, ...]:
-    """Return a finding for each value that stands in a column again."""
+    """Return a finding for each database whose value occurs more than once."""
     counts = Counter(values)
     return tuple(
         Finding(path, f"/databases/{row}/{column}", "two databases have the same value")
@@ -92,10 +92,10 @@
 def _check_group(
     path: str, group: GroupSettings, value: dict[str, object]
 ) -> tuple[Finding, ...]:
-    """Check what the schema of a group cannot say."""
+    """Check the constraints of a group that its schema cannot express."""
     databases = group.databases
-    findings = _find_repeated(path, "name", tuple(item.name for item in databases))
-    findings += _find_repeated(
+    findings = _find_duplicates(path, "name", tuple(item.name for item in databases))
+    findings += _find_duplicates(
         path, "endpoint", tuple(item.endpoint for item in databases)
     )
     findings += tuple(
@@ -112,16 +112,18 @@
 def _check_rule(
     path: str, rule: RuleSettings, value: dict[str, object]
 ) -> tuple[Finding, ...]:
-    """Check what the schema of a rule cannot say."""
+    """Check the constraints of a rule that its schema cannot express."""
     if rule.reads == "primary" and rule.max_age:
-        return (Finding(path, "/max_age", "reads of the primary have no staleness"),)
+        return (
+            Finding(path, "/max_age", "reads of the primary cannot have a staleness"),
+        )
     return ()
 
 
 def _check_user(
     path: str, user: UserSettings, value: dict[str, object]
 ) -> tuple[Finding, ...]:
-    """Check that a user has a secret, or that trust is asked for."""
+    """Check that a user has either a secret or trust."""
     if value["trust"] and user.secret:
         return (Finding(path, "/trust", "a user with a secret cannot be trusted"),)
     if not value["trust"] and not user.secret:
--- a/beryltrack/settings/paths.py
+++ b/beryltrack/settings/paths.py
@@ -1,4 +1,4 @@
-"""Paths of settings objects: ``settings/TEAM/KIND/NAME``."""
+"""Parsing and checks of settings paths: ``settings/TEAM/KIND/NAME``."""
 
 import re
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 
 class SettingsPath(NamedTuple):
-    """The parts of a path.
+    """A parsed path.
 
     Parameters
     ----------
     team : str
-        The team whose subtree it is in.
+        The team whose subtree holds the object.
     kind : str
         ``groups``, ``rules`` or ``users``.
     name : str
@@ -31,31 +31,33 @@
 
 
 def parse_path(text: str) -> tuple[SettingsPath | None, tuple[Finding, ...]]:
-    """Read a path.
+    """Parse a path.
 
     Parameters
     ----------
     text : str
-        The path as written.
+        The path.
 
     Returns
     -------
     tuple
-        The parts, or None with the findings.
+        The parsed path, None if it is invalid, and the findings.
     """
     parts = text.split("/")
     if len(parts) != PART_COUNT or parts[0] + "/" != PREFIX:
-        finding = Finding(text, "", "a path has the form settings/TEAM/KIND/NAME")
+        finding = Finding(
+            text, "", "the path must have the form settings/TEAM/KIND/NAME"
+        )
         return None, (finding,)
     _, team, kind, name = parts
     findings = tuple(
-        Finding(text, "", f"{part!r} is no name of a {label}")
+        Finding(text, "", f"{part!r} is not a valid {label} name")
         for label, part in (("team", team), ("object", name))
         if not _NAME.match(part)
     )
     if kind not in TABLES_BY_KIND:
         kinds = ", ".join(TABLES_BY_KIND)
-        findings += (Finding(text, "", f"{kind!r} is none of the kinds {kinds}"),)
+        findings += (Finding(text, "", f"{kind!r} is not one of the kinds {kinds}"),)
     return (None if findings else SettingsPath(team, kind, name)), findings
 
 
@@ -67,17 +69,17 @@
     paths : iterable of str
         Paths of settings objects.
     team : str or None
-        The team; None lets all paths pass.
+        The team; None allows all paths.
 
     Returns
     -------
     tuple of Finding
-        Empty if all paths are the team's.
+        Empty if all paths are in the team's subtree.
     """
     if team is None:
         return ()
     return tuple(
-        Finding(path, "", f"the path is not in the subtree of the team {team}")
+        Finding(path, "", f"the path is outside the subtree of the team {team}")
         for path in paths
         if not path.startswith(f"{PREFIX}{team}/")
     )
--- a/beryltrack/settings/plan.py
+++ b/beryltrack/settings/plan.py
@@ -1,8 +1,8 @@
-"""Works out what a set of wanted objects would change, before any is written.
+"""Plans the changes that produce a set of wanted objects, before any is written.
 
-The check runs against the tree in force, so that an operator sees clashes with
-other objects at once. A finding that was there before is not the operator's
-doing and does not stop the change.
+The plan is validated against the whole current tree, so that an operator sees
+conflicts with other objects at once. Findings that the tree has already are not
+caused by the operator and do not block the change.
 """
 
 from collections.abc import Mapping
@@ -19,21 +19,21 @@
 
 Settings = dict[str, object] | None
 
-# An object that is not there yet would be the last one created.
-NOT_CREATED = "9999"
+CREATED_LAST = "9999"
+"""Creation time of an object that does not exist yet: it sorts after all others."""
 
 
 class PlannedChange(NamedTuple):
-    """One object that would change.
+    """One planned change of an object.
 
     Parameters
     ----------
     path : str
         Path of the object.
     version : int
-        Its version in the tree that was checked, 0 if it is not there.
+        Its version in the current tree, 0 if it does not exist.
     before, after : dict or None
-        Its settings in that tree, and the wanted ones; None for no settings.
+        Its current and its wanted settings; None for no settings.
     """
 
     path: str
@@ -45,7 +45,7 @@
 def plan_changes(
     tree: ObjectList, wanted: Mapping[str, Settings], when: str
 ) -> tuple[tuple[PlannedChange, ...], tuple[Finding, ...]]:
-    """Return the changes that make the tree hold the wanted objects.
+    """Return the changes that bring the tree to the wanted objects.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     Returns
     -------
     tuple
-        The changes, in the order of `wanted`, and what they would make wrong.
+        The changes, in the order of `wanted`, and the findings that they would add.
     """
     present = {item.path: item for item in tree.objects}
     changes = tuple(
@@ -67,7 +67,9 @@
     )
     changes = tuple(change for change in changes if change.before != change.after)
     findings = tuple(
-        finding for path, after in wanted.items() for finding in _check(path, after)
+        finding
+        for path, after in wanted.items()
+        for finding in _validate_object(path, after)
     )
     if findings:
         return changes, findings
@@ -82,14 +84,14 @@
 def _plan_change(
     path: str, present: PlatformObject | None, after: Settings
 ) -> PlannedChange:
-    """Return the change of one object."""
+    """Return the planned change of one object."""
     if present is None:
         return PlannedChange(path, 0, None, after)
     return PlannedChange(path, present.version, get_settings(present.value), after)
 
 
-def _check(path: str, after: Settings) -> tuple[Finding, ...]:
-    """Check one object by itself."""
+def _validate_object(path: str, after: Settings) -> tuple[Finding, ...]:
+    """Return the findings of one object by itself."""
     if after is None:
         return parse_path(path)[1]
     return parse_settings(path, after)[1]
@@ -98,19 +100,19 @@
 def _find_clashes(
     tree: ObjectList, changes: tuple[PlannedChange, ...]
 ) -> tuple[Finding, ...]:
-    """Return the findings that the whole tree has only with the changes."""
+    """Return the findings that the changes would add to the whole tree."""
     decider = SettingsDecider()
     decider.observe_list(tree)
     before = set(decider.findings)
-    decider.merge(_overlay(change, tree) for change in changes)
+    decider.merge(_make_planned_object(change, tree) for change in changes)
     return tuple(item for item in decider.findings if item not in before)
 
 
-def _overlay(change: PlannedChange, tree: ObjectList) -> PlatformObject:
-    """Return the object that a change would leave in the store."""
+def _make_planned_object(change: PlannedChange, tree: ObjectList) -> PlatformObject:
+    """Return the object that the store would hold after a change."""
     values = {item.path: item.value for item in tree.objects}
     present = values.get(change.path)
-    created = NOT_CREATED
+    created = CREATED_LAST
     if isinstance(present, dict):
         created = present.get("created", "")
     value = {"settings": change.after, "created": created}
--- a/beryltrack/settings/reference.py
+++ b/beryltrack/settings/reference.py
@@ -1,7 +1,7 @@
-"""Writes docs/SETTINGS.md from the options table.
+"""Generates docs/SETTINGS.md from the options tables.
 
-``python -m beryltrack.settings.reference docs/SETTINGS.md`` writes the page; a
-test compares it with the table.
+Run ``python -m beryltrack.settings.reference docs/SETTINGS.md`` to write the page;
+a test checks that it is up to date.
 """
 
 import json
@@ -20,23 +20,23 @@
     OptionTable,
 )
 
-HEAD = """# Settings
+PAGE_HEAD = """# Settings
 
-Made from `beryltrack/settings/options.py` by
+Generated from `beryltrack/settings/options.py` by
 `python -m beryltrack.settings.reference docs/SETTINGS.md`; change it there.
 
 Settings are JSON objects in the platform's store, under paths
 `settings/TEAM/KIND/NAME`. A team's subtree is `settings/TEAM/`; the kinds are
-`groups`, `rules` and `users`. Names have letters, digits, `_`, `.` and `-`, at
-most 63 of them. [OPERATORS.md](OPERATORS.md) tells how they are changed.
-
-What the table cannot say is checked too. In a group: no two databases of one name
-or endpoint, no more slots than connections, at least one database that is not
-draining. In a rule: reads of the primary have no staleness. A user needs a secret
-or trust, not both. Between objects: names of groups and of users are unique over
-all teams (the object created first has the name, the other is not in force); a
-rule that names a group or user that its team has not is not in force; two groups
-should not share an endpoint.
+`groups`, `rules` and `users`. Names consist of at most 63 letters, digits, `_`, `.`
+and `-`. [OPERATORS.md](OPERATORS.md) explains how to change settings.
+
+These constraints apply beyond the tables. In a group, databases have different names
+and endpoints, none has more slots than connections, and at least one is not
+draining. In a rule, reads of the primary cannot have a staleness. A user has either
+a secret or trust. Between objects, names of groups and of users are unique among
+all teams (the object created first is in force, the other is not); a rule that
+names a group or user that its team does not have is not in force; two groups should
+not share an endpoint.
 """
 EXAMPLES = {
     "groups": {
@@ -66,13 +66,16 @@
     },
     "load": {"per_slot": 2, "floors": [0, 0.2, 0.1, 0.05]},
 }
-TITLES = {"instance": "The instance's file", "load": "The decisions under load"}
+TITLES = {
+    "instance": "The instance's settings file",
+    "load": "The decisions under load",
+}
 
 
 def format_page() -> str:
     """Return the text of docs/SETTINGS.md."""
     sections = [format_table(table) for table in (*SITE_TABLES, INSTANCE, LOAD_OPTIONS)]
-    return "\n".join([HEAD, *sections, format_parts()])
+    return "\n".join([PAGE_HEAD, *sections, format_mechanisms()])
 
 
 def format_table(table: OptionTable) -> str:
@@ -80,7 +83,7 @@
     nested = [option for option in table.options if option.columns]
     title = TITLES.get(table.kind, f"Kind `{table.kind}`")
     example = json.dumps(EXAMPLES[table.kind], indent=2)
-    parts = [
+    blocks = [
         f"## {title}\n",
         f"{table.doc}\n",
         _format_options(table.options),
@@ -90,38 +93,38 @@
         ),
         f"```json\n{example}\n```\n",
     ]
-    return "\n".join(parts)
+    return "\n".join(blocks)
 
 
-def format_parts() -> str:
-    """Return the table of what calls for each part of the decisions under load."""
+def format_mechanisms() -> str:
+    """Return the table of the mechanisms of the decisions under load."""
     head = (
-        "What calls for each part of these decisions, and what switches it off in "
+        "The mechanisms of these decisions, and the name that switches each off in "
         f"`{DISABLED_VARIABLE}`:\n\n"
-        "| part | called for by | options | switched off by |\n|---|---|---|---|\n"
+        "| mechanism | active with | options | switched off by |\n|---|---|---|---|\n"
     )
-    return head + "".join(map(_format_part, LOAD_MECHANISMS))
+    return head + "".join(map(_format_mechanism, LOAD_MECHANISMS))
 
 
-def _format_part(part: LoadMechanism) -> str:
-    """Return the row of one part of the decisions under load."""
+def _format_mechanism(mechanism: LoadMechanism) -> str:
+    """Return the table row of one mechanism."""
     cells = (
-        part.decides,
-        part.called_for_by,
-        ", ".join(f"`{name}`" for name in part.options),
-        f"`{part.switch.value}`" if part.switch else "",
+        mechanism.decides,
+        mechanism.called_for_by,
+        ", ".join(f"`{name}`" for name in mechanism.options),
+        f"`{mechanism.switch.value}`" if mechanism.switch else "",
     )
     return f"| {' | '.join(cells)} |\n"
 
 
 def _format_options(options: tuple[Option, ...]) -> str:
-    """Return the rows of a table of options."""
+    """Return the Markdown table of options."""
     head = "| option | value | default | bounds | meaning |\n|---|---|---|---|---|\n"
     return head + "".join(_format_option(option) for option in options)
 
 
 def _format_option(option: Option) -> str:
-    """Return the row of one option."""
+    """Return the table row of one option."""
     cells = (
         f"`{option.name}`",
         " or ".join(f"`{choice}`" for choice in option.choices) or option.kind.value,
@@ -133,7 +136,7 @@
 
 
 def _format_bounds(option: Option) -> str:
-    """Return what bounds an option's value, with its unit."""
+    """Return the bounds of an option's value with their unit."""
     unit = {
         OptionKind.TEXT: "characters",
         OptionKind.TABLE: "objects",
@@ -151,7 +154,7 @@
 
 
 def main() -> None:
-    """Write the page to the file that the first argument names."""
+    """Write the page to the file named by the first argument."""
     Path(sys.argv[1]).write_text(format_page())
 
 
--- a/beryltrack/settings/roster.py
+++ b/beryltrack/settings/roster.py
@@ -1,18 +1,18 @@
-"""The members of groups that register themselves in a store, and the site's settings.
+"""Members of groups whose databases register in a store, and the site's settings.
 
-An entry can vanish while its database lives, for the store drops what it has not
-heard of for some seconds, also while the store itself was away. So an entry that is
-missing is believed for a short time still. After that its database gets no new
-work. It counts as a member for some seconds more, in which the others receive what
-only it may have confirmed, and for good if its group would be left with one database,
-which could confirm a commit to itself alone.
+An entry can disappear while its database is alive, because the store expires entries
+that are not renewed for some seconds, also if the store itself was down. A missing
+entry therefore stays valid for a grace period. After that its database gets no new
+work, but it remains a member for some seconds, in which the others receive commits
+that only it may have confirmed. It remains a member permanently if its group would
+be left with one database, which could confirm commits to itself alone.
 
-A store that is restored from a backup has entries of before for a moment, until the
-databases have written theirs again. One that is behind what was known, by an earlier
-start or in that its database was to leave, does not count before they had that time.
+A store that is restored from a backup holds old entries until the databases have
+written theirs again. An entry older than the known one, with an earlier start or
+without the known draining, is ignored until the databases have had time for that.
 
-A database that has started again under its identifier is another member: what the one
-before held is lost, and nothing is waited for.
+A database that has restarted under its identifier is another member that replaces the
+earlier one at once, since the data of the earlier one is lost.
 """
 
 from typing import NamedTuple
@@ -28,37 +28,38 @@
 )
 
 MISSING_GRACE = 2.5
-"""Seconds for which a missing entry is still believed: entries that lapsed during an
-outage of the store are back within two seconds of its return."""
+"""Seconds for which a missing entry stays valid: entries that expired during an outage
+of the store are back within two seconds of its return."""
 
-GONE_AFTER = 6.0
-"""Seconds after which a missing entry is no member any more. Replicas receive a
-commit within one network delay and, when they lag, within seconds."""
+MEMBER_EXPIRY = 6.0
+"""Seconds after which a missing entry is no longer a member. Replicas receive a commit
+within one network delay and, if they lag, within seconds."""
 
-LEAST_MEMBERS = 2
-"""Members below which a group keeps one that is missing for good."""
+MIN_MEMBERS = 2
+"""Number of members below which a group retains missing ones permanently."""
 
-USUAL_MEMBERS = 3
-"""Members from which on a missing one is dropped without that wait."""
+IMMEDIATE_DROP_MEMBERS = 3
+"""Number of present members from which on a missing one is dropped as soon as
+`MISSING_GRACE` has passed."""
 
 
 class RosterEntry(NamedTuple):
-    """What a database says of itself in the store.
+    """The entry that a database registers in the store.
 
     Parameters
     ----------
     name : str
-        Its name, which no other incarnation has; see `incarnations`.
+        Its name, unique to the incarnation; see `incarnations`.
     group : str
         The group that it belongs to.
     endpoint : Endpoint
-        Where it listens.
+        Address at which it listens.
     zone : str
         Its availability zone.
     slots : int
-        Statements that it runs at once.
+        Number of statements that it runs concurrently.
     draining : bool
-        True if it is about to leave and wants no new work.
+        True if it is about to leave and must receive no new work.
     """
 
     name: str
@@ -70,14 +71,15 @@
 
 
 class GroupLimits(NamedTuple):
-    """What operators say of one group.
+    """Limits that operators configure for one group.
 
     Parameters
     ----------
     name : str
         Its name.
     max_connections : int
-        Most connections to each of its databases, of all instances together.
+        Maximum number of connections to each of its databases from all instances
+        together.
     """
 
     name: str
@@ -85,18 +87,18 @@
 
 
 class SiteConfiguration(NamedTuple):
-    """One version of what operators have configured.
+    """One version of the operators' configuration.
 
     Parameters
     ----------
     version : int
-        Grows with each change.
+        Version number; increases with each change.
     routes : tuple of RouteSettings
         All routes.
     groups : tuple of GroupLimits
         All groups.
     transaction_idle : float
-        Seconds after which a transaction that rests may be ended.
+        Seconds after which an idle transaction may be ended.
     accounts : tuple of AccountSettings or None
         All client accounts; None where callers need no key.
     """
@@ -108,72 +110,74 @@
     accounts: tuple[AccountSettings, ...] | None = None
 
 
-class _Known(NamedTuple):
-    """An entry, since when it is missing (None if it is not), and its store's era."""
+class _KnownEntry(NamedTuple):
+    """An entry, the time since when it is missing (None if present), and its era."""
 
     entry: RosterEntry
     missing_since: float | None
     era: int = 0
 
-    def miss(self, now: float) -> "_Known":
-        """Return the entry as missing since a time."""
+    def mark_missing(self, now: float) -> "_KnownEntry":
+        """Return the entry marked as missing since `now`."""
         return self._replace(missing_since=now)
 
 
 class Roster:
-    """The databases of all groups, as far as the store has told."""
+    """The databases of all groups, as registered in the store."""
 
     def __init__(self):
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _KnownEntry] = {}
         self._era = 0
-        self._behind: dict[str, float] = {}
+        self._older_since: dict[str, float] = {}
 
     def observe(
         self, entries: tuple[RosterEntry, ...], now: float, era: int = 0
     ) -> None:
-        """Take in all entries that the store has at a time, and the store's era."""
+        """Record all entries that the store has at `now`, and the store's era."""
         if era > self._era:
-            # The time within which entries are back begins with each restore.
-            self._era, self._behind = era, {}
+            # After a restore, entries have the whole grace period to return.
+            self._era, self._older_since = era, {}
             self._known = {
-                name: known if known.missing_since is None else known.miss(now)
+                name: known if known.missing_since is None else known.mark_missing(now)
                 for name, known in self._known.items()
             }
-        told = [
-            self._overtake(_Known(entry, None, era), now)
-            for entry in map(self._keep_name, entries)
+        reported = [
+            self._select_current(_KnownEntry(entry, None, era), now)
+            for entry in map(self._restore_name, entries)
         ]
-        present = {known.entry.name: known for known in told}
+        present = {known.entry.name: known for known in reported}
         identifiers = {get_identifier(name) for name in present}
         missing = {
-            name: known if known.missing_since is not None else known.miss(now)
+            name: known if known.missing_since is not None else known.mark_missing(now)
             for name, known in self._known.items()
             if get_identifier(name) not in identifiers
         }
         self._known = present | missing
 
-    def _overtake(self, told: _Known, now: float) -> _Known:
-        """Return what is known of a database if its entry is behind that, or the entry.
+    def _select_current(self, reported: _KnownEntry, now: float) -> _KnownEntry:
+        """Return the known entry if the reported one is older and of a new era.
 
-        An entry that is still behind when the store tells it again, after the time that
-        databases have to write theirs, is what its database says.
+        Otherwise return the reported one. An older entry that is still there after
+        `MISSING_GRACE`, in which databases write theirs again, was written by its
+        database and is accepted.
         """
-        identifier = get_identifier(told.entry.name)
+        identifier = get_identifier(reported.entry.name)
         earlier = (
             known
             for known in self._known.values()
-            if get_identifier(known.entry.name) == identifier and known.era < told.era
+            if get_identifier(known.entry.name) == identifier
+            and known.era < reported.era
         )
         known = next(earlier, None)
-        if known is None or not _is_behind(told.entry, known.entry):
-            return told
-        since = self._behind.setdefault(identifier, now)
-        return told if now - since >= MISSING_GRACE else known
+        if known is None or not _is_older(reported.entry, known.entry):
+            return reported
+        since = self._older_since.setdefault(identifier, now)
+        return reported if now - since >= MISSING_GRACE else known
 
-    def _keep_name(self, entry: RosterEntry) -> RosterEntry:
-        """Return an entry that does not tell its start under the name it had.
+    def _restore_name(self, entry: RosterEntry) -> RosterEntry:
+        """Return an entry without a start time under the database's known name.
 
-        It says nothing of another start, so that nothing known is given up.
+        Without a start time nothing shows a restart, so that the known state is kept.
         """
         if get_identifier(entry.name) != entry.name:
             return entry
@@ -181,49 +185,49 @@
         return entry._replace(name=next(names, entry.name))
 
     def get_members(self, group: str, now: float) -> tuple[RosterEntry, ...]:
-        """Return the members of a group; forget those that are gone for good."""
+        """Return the members of a group; drop those that have expired."""
         all_known = [
             known for known in self._known.values() if known.entry.group == group
         ]
-        fresh = [known.entry for known in all_known if not _is_gone(known, now)]
-        gone = [known.entry for known in all_known if _is_gone(known, now)]
-        waiting = [
+        fresh = [known.entry for known in all_known if not _is_past_grace(known, now)]
+        missing = [known.entry for known in all_known if _is_past_grace(known, now)]
+        unexpired = [
             entry
-            for entry in gone
-            if len(fresh) < USUAL_MEMBERS and not self._is_over(entry, now)
+            for entry in missing
+            if len(fresh) < IMMEDIATE_DROP_MEMBERS and not self._is_expired(entry, now)
         ]
-        over = [entry for entry in gone if entry not in waiting]
-        missing = max(0, LEAST_MEMBERS - len(fresh) - len(waiting))
-        for entry in over[missing:]:
+        expired = [entry for entry in missing if entry not in unexpired]
+        lacking = max(0, MIN_MEMBERS - len(fresh) - len(unexpired))
+        for entry in expired[lacking:]:
             del self._known[entry.name]
-        kept = waiting + over[:missing]
-        members = fresh + [entry._replace(draining=True) for entry in kept]
+        retained = unexpired + expired[:lacking]
+        members = fresh + [entry._replace(draining=True) for entry in retained]
         return tuple(sorted(members))
 
-    def _is_over(self, entry: RosterEntry, now: float) -> bool:
-        """Return whether a missing entry counts as a member no more."""
-        return now >= self._known[entry.name].missing_since + GONE_AFTER
+    def _is_expired(self, entry: RosterEntry, now: float) -> bool:
+        """Return whether a missing entry is no longer a member."""
+        return now >= self._known[entry.name].missing_since + MEMBER_EXPIRY
 
     def get_due(self, now: float) -> float | None:
-        """Return when to look at the members again, None if nothing is missing."""
+        """Return when the members next change by time; None if no entry is missing."""
         times = (
             known.missing_since + delay
             for known in self._known.values()
             if known.missing_since is not None
-            for delay in (MISSING_GRACE, GONE_AFTER)
+            for delay in (MISSING_GRACE, MEMBER_EXPIRY)
         )
         return min((time for time in times if time > now), default=None)
 
 
-def _is_behind(told: RosterEntry, known: RosterEntry) -> bool:
-    """Return whether an entry tells what was so before a known one."""
-    if told.name == known.name:
-        return known.draining and not told.draining
-    return get_start_time(told.name) < get_start_time(known.name)
+def _is_older(reported: RosterEntry, known: RosterEntry) -> bool:
+    """Return whether a reported entry shows an earlier state than the known one."""
+    if reported.name == known.name:
+        return known.draining and not reported.draining
+    return get_start_time(reported.name) < get_start_time(known.name)
 
 
-def _is_gone(known: _Known, now: float) -> bool:
-    """Return whether an entry has been missing for too long."""
+def _is_past_grace(known: _KnownEntry, now: float) -> bool:
+    """Return whether an entry has been missing for longer than the grace period."""
     since = known.missing_since
     return since is not None and now >= since + MISSING_GRACE
 
@@ -236,18 +240,19 @@
     Parameters
     ----------
     configuration : SiteConfiguration
-        What operators have configured.
+        The operators' configuration.
     roster : Roster
         The databases.
     lost_after : float
-        Seconds without a word after which a primary counts as lost.
+        Failure detection timeout: seconds without a message from the primary after
+        which it counts as lost.
     now : float
         The current time, seconds.
 
     Returns
     -------
     SiteSettings
-        Groups without any database are left out.
+        Groups without databases are omitted.
     """
     groups = (
         _make_group(limits, roster.get_members(limits.name, now), lost_after)
--- a/beryltrack/settings/schema.py
+++ b/beryltrack/settings/schema.py
@@ -1,7 +1,7 @@
-"""Checks JSON values against the options table and reports all findings.
+"""Validates JSON values against an options table and reports all findings.
 
-The `jsonschema` library does the checking; this module builds its schemas from
-the table and turns its errors into findings with a JSON pointer as place.
+It builds JSON schemas (draft 2020-12) from the table, validates with the
+`jsonschema` library, and converts its errors to findings with a JSON pointer each.
 """
 
 import functools
@@ -17,31 +17,33 @@
 from beryltrack.settings.options import REQUIRED, Option, OptionKind, OptionTable
 
 MAX_PORT = 65535
-MAX_MESSAGE = 300
-TEXT_TYPES = {
+MAX_MESSAGE_LENGTH = 300
+"""Maximum length of a finding's text, characters."""
+
+SCHEMA_TYPES = {
     OptionKind.TEXT: "string",
     OptionKind.INTEGER: "integer",
     OptionKind.NUMBER: "number",
     OptionKind.FLAG: "boolean",
 }
-FORMATS = FormatChecker(formats=())
+FORMAT_CHECKER = FormatChecker(formats=())
 
 
-@FORMATS.checks("ip", raises=ValueError)
+@FORMAT_CHECKER.checks("ip", raises=ValueError)
 def _check_ip(value: object) -> bool:
-    """Return True for an IP number, raise `ValueError` for any other text."""
+    """Return True for an IP address, raise `ValueError` for any other text."""
     if isinstance(value, str):
         ipaddress.ip_address(value)
     return True
 
 
 def _is_integer(checker: TypeChecker, value: object) -> bool:
-    """Return whether a value is a whole number; 20.0 would become a float."""
+    """Return whether a value is an integer; 20.0 is not, as it would become a float."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _is_number(checker: TypeChecker, value: object) -> bool:
-    """Return whether a value is a number; NaN passes all bounds and is none."""
+    """Return whether a value is a finite number; NaN would pass all bounds."""
     return _is_integer(checker, value) or (
         isinstance(value, float) and math.isfinite(value)
     )
@@ -75,7 +77,7 @@
             schema = {"type": "string"}
             names = ("minLength", "maxLength")
         case kind:
-            schema = {"type": TEXT_TYPES[kind]}
+            schema = {"type": SCHEMA_TYPES[kind]}
             names = ("minimum", "maximum")
     if option.default is None:
         schema["type"] = [schema["type"], "null"]
@@ -88,7 +90,7 @@
 
 
 def _build_endpoint_schema(option: Option) -> dict[str, object]:
-    """Return the JSON schema of a TCP address by number."""
+    """Return the JSON schema of an endpoint."""
     port = {"type": "integer", "minimum": option.minimum, "maximum": MAX_PORT}
     return {
         "type": "object",
@@ -100,8 +102,8 @@
 
 @functools.cache
 def _get_validator(table: OptionTable) -> Validator:
-    """Return the validator of a table, built once."""
-    return StrictValidator(build_schema(table.options), format_checker=FORMATS)
+    """Return the cached validator of a table."""
+    return StrictValidator(build_schema(table.options), format_checker=FORMAT_CHECKER)
 
 
 def _is_secret(table: OptionTable, error: ValidationError) -> bool:
@@ -113,7 +115,7 @@
 def validate_value(
     table: OptionTable, value: object, source: str
 ) -> tuple[Finding, ...]:
-    """Return all that is wrong with one JSON value.
+    """Return all errors of one JSON value.
 
     Parameters
     ----------
@@ -122,12 +124,12 @@
     value : object
         The JSON value.
     source : str
-        Where it came from, for the findings.
+        The value's origin, for the findings.
 
     Returns
     -------
     tuple of Finding
-        Empty if the value can be used.
+        Empty if the value is valid.
     """
     errors = sorted(
         _get_validator(table).iter_errors(value),
@@ -139,7 +141,7 @@
             format_pointer(tuple(error.absolute_path)),
             "the value does not have the required form"
             if _is_secret(table, error)
-            else error.message[:MAX_MESSAGE],
+            else error.message[:MAX_MESSAGE_LENGTH],
         )
         for error in errors
     )
@@ -148,7 +150,7 @@
 def fill_defaults(
     options: tuple[Option, ...], value: dict[str, object]
 ) -> dict[str, object]:
-    """Return a checked JSON object with the defaults of what was left out."""
+    """Return a valid JSON object with defaults in place of omitted options."""
     return {
         option.name: _fill_option(option, value.get(option.name, option.default))
         for option in options
@@ -156,7 +158,7 @@
 
 
 def _fill_option(option: Option, value: object) -> object:
-    """Return an option's value with the defaults of its columns."""
+    """Return an option's value; objects in a table get the defaults of its columns."""
     if option.kind is not OptionKind.TABLE:
         return value
     return [fill_defaults(option.columns, row) for row in value]
--- a/beryltrack/settings/site.py
+++ b/beryltrack/settings/site.py
@@ -1,8 +1,8 @@
-"""Puts all settings objects together and checks them against each other.
+"""Combines all settings objects and resolves conflicts between them.
 
-Teams write their subtrees without asking each other, so two objects that are
-each sound may still clash. Every proxy must then decide alike, whatever order
-the objects reached it in: the outcome depends on the objects alone.
+Teams write their subtrees independently, so two objects that are each valid
+may still conflict. All proxies must resolve a conflict in the same way: the
+result depends on the objects alone, not on the order in which they arrived.
 """
 
 from collections import defaultdict
@@ -23,14 +23,14 @@
 
 
 class AcceptedObject(NamedTuple):
-    """One object that passed the checks of its own.
+    """One object that is valid by itself.
 
     Parameters
     ----------
     path : str
         Path of the object.
     created : str
-        Time of its first change, UTC in ISO 8601.
+        Time of its creation, UTC in ISO 8601.
     settings : SettingsObject
         Its typed settings.
     """
@@ -43,82 +43,84 @@
 def build_site(
     objects: Iterable[AcceptedObject], revision: int
 ) -> tuple[SiteSettings, tuple[Finding, ...]]:
-    """Return the settings in force, and what clashes between objects.
+    """Return the settings in force, and the conflicts between objects.
 
     Parameters
     ----------
     objects : iterable of AcceptedObject
-        All objects that passed their own checks.
+        All objects that are valid by themselves.
     revision : int
-        Highest version among all objects known.
+        Highest version among all known objects.
 
     Returns
     -------
     tuple
-        The settings without the objects that lost a clash, and the findings.
+        The settings without the objects that lost a conflict, and the findings.
     """
     by_type = defaultdict(list)
     for item in sorted(objects, key=lambda item: item.path):
         by_type[type(item.settings)].append(item)
-    groups, group_findings = _drop_repeated(by_type[GroupSettings])
-    users, user_findings = _drop_repeated(by_type[UserSettings])
-    rules, rule_findings = _drop_unmatched(by_type[RuleSettings], groups, users)
-    site = SiteSettings(revision, _get_all(groups), _get_all(rules), _get_all(users))
+    groups, group_findings = _drop_duplicate_names(by_type[GroupSettings])
+    users, user_findings = _drop_duplicate_names(by_type[UserSettings])
+    rules, rule_findings = _drop_dangling_rules(by_type[RuleSettings], groups, users)
+    site = SiteSettings(
+        revision, _get_settings(groups), _get_settings(rules), _get_settings(users)
+    )
     findings = chain(
         group_findings, _find_shared_endpoints(groups), user_findings, rule_findings
     )
     return site, tuple(findings)
 
 
-def _get_all(objects: list[AcceptedObject]) -> tuple[SettingsObject, ...]:
-    """Return the settings of objects, in their order."""
+def _get_settings(objects: list[AcceptedObject]) -> tuple[SettingsObject, ...]:
+    """Return the settings of the objects, in the same order."""
     return tuple(item.settings for item in objects)
 
 
-def _drop_repeated(
+def _drop_duplicate_names(
     objects: list[AcceptedObject],
 ) -> tuple[list[AcceptedObject], list[Finding]]:
-    """Let only the object that was created first have a name."""
-    owners = {}
+    """Return the objects that were created first under their names, and findings."""
+    winners = {}
     for item in sorted(objects, key=lambda item: (item.created, item.path)):
-        owners.setdefault(item.settings.name, item)
-    kept = [item for item in objects if owners[item.settings.name] is item]
+        winners.setdefault(item.settings.name, item)
+    retained = [item for item in objects if winners[item.settings.name] is item]
     findings = [
         Finding(
             item.path,
             "",
-            f"not in force: {owners[item.settings.name].path} has the name already",
+            f"not in force: {winners[item.settings.name].path} already has the name",
         )
         for item in objects
-        if owners[item.settings.name] is not item
+        if winners[item.settings.name] is not item
     ]
-    return kept, findings
+    return retained, findings
 
 
 def _find_shared_endpoints(groups: list[AcceptedObject]) -> list[Finding]:
-    """Report databases of different groups that listen at one endpoint.
+    """Return a finding for each endpoint that databases of different groups share.
 
-    Their limits of connections would add up to more than either team allows.
+    Their connection limits would add up to more than either team allows.
     """
-    places = defaultdict(list)
+    uses = defaultdict(list)
     for item in groups:
         for row, database in enumerate(item.settings.databases):
-            places[database.endpoint].append((item.path, row))
+            uses[database.endpoint].append((item.path, row))
     return [
         Finding(path, f"/databases/{row}/endpoint", f"{other} has the same endpoint")
-        for shared in places.values()
+        for shared in uses.values()
         for path, row in shared
         for other, _ in shared
         if other != path
     ]
 
 
-def _drop_unmatched(
+def _drop_dangling_rules(
     rules: list[AcceptedObject],
     groups: list[AcceptedObject],
     users: list[AcceptedObject],
 ) -> tuple[list[AcceptedObject], list[Finding]]:
-    """Leave out the rules that name a group or user that the team has not."""
+    """Return the rules whose group and user exist in their team, and findings."""
     names = {
         (label, item.settings.team, item.settings.name)
         for label, items in (("group", groups), ("user", users))
--- a/beryltrack/settings/stored.py
+++ b/beryltrack/settings/stored.py
@@ -1,27 +1,32 @@
 """The stored form of a settings object: the settings with their audit record.
 
 The audit record is part of the same value as the change that it describes, so
-neither can be kept or lost without the other. Older records stay in the value
-as its history, newest first, within bounds.
+both are written or lost together. Older records stay in the value as its
+history, newest first, up to a maximum number and size.
 """
 
 import json
 from typing import NamedTuple, NotRequired, TypedDict
 
 MAX_HISTORY = 20
-MAX_KEPT_CHANGES = 8
-"""Newest changes of an object whose identifiers proxies keep: more than are made in the
-seconds that a store may lose."""
-# The platform holds values of up to a megabyte; half of it is left for growth.
+"""Maximum number of audit records in a value, including the newest."""
+
+MAX_CHANGE_IDS = 8
+"""Number of an object's newest changes whose identifiers proxies keep: more than are
+made in the seconds that a restored store may have lost."""
+
 MAX_VALUE_BYTES = 512 * 1024
+"""Size above which the oldest history is dropped. The platform stores values of up to a
+megabyte; half of that is left for growth."""
 
 
 class AuditRecord(TypedDict):
-    """Who changed an object, when, why, and what stood there before.
+    """Author, time, reason and previous settings of a change.
 
     Keys are ``change_id`` (text, unique to the change), ``who``, ``when`` (UTC,
-    ISO 8601), ``why``, ``from_version`` (0 if there was no object) and
-    ``before`` (the settings that were replaced, None if there were none).
+    ISO 8601), ``why``, ``from_version`` (the version that the change replaced, 0
+    if there was no object) and ``before`` (the settings that it replaced, None if
+    there were none).
     """
 
     change_id: str
@@ -33,12 +38,13 @@
 
 
 class StoredValue(TypedDict):
-    """A settings object as the platform keeps it, or cut down as proxies do.
+    """A settings object as the platform stores it, or in the proxies' compact form.
 
     ``settings`` is None after a deletion; the object itself stays, so that the
-    record of the deletion stays too. ``created`` is the time of the first
+    audit record of the deletion stays too. ``created`` is the time of the first
     change (UTC, ISO 8601); it decides between two teams that claim one name.
-    ``changes`` is kept by proxies: identifiers of the last changes, newest first.
+    ``changes`` is part of the compact form only: identifiers of the last changes,
+    newest first.
     """
 
     settings: dict[str, object] | None
@@ -49,7 +55,7 @@
 
 
 class ChangeRequest(NamedTuple):
-    """One change that an operator asks for.
+    """One change requested by an operator.
 
     Parameters
     ----------
@@ -58,13 +64,13 @@
     settings : dict or None
         The new settings; None deletes the object.
     who, why : str
-        For the audit record.
+        Author and reason, for the audit record.
     when : str
         Time of the change, UTC in ISO 8601.
     change_id : str
-        Identifier that no other change has.
+        Unique identifier of the change.
     if_version : int or None
-        Version that the change was made for; None takes the present one.
+        Version that the change must replace; None for the current one.
     """
 
     path: str
@@ -77,7 +83,7 @@
 
 
 def is_stored_value(value: object) -> bool:
-    """Return whether a JSON value has the stored form at all."""
+    """Return whether a JSON value has the stored form."""
     if not isinstance(value, dict) or "settings" not in value:
         return False
     history = value.get("history", [])
@@ -103,35 +109,35 @@
     return (*newest, *value.get("history", ()))
 
 
-def get_changes(value: object) -> tuple[str, ...]:
+def get_change_ids(value: object) -> tuple[str, ...]:
     """Return the identifiers of the last changes of a stored value, newest first."""
     if not is_stored_value(value):
         return ()
-    kept = value.get("changes")
-    if not isinstance(kept, list):
-        kept = [record.get("change_id") for record in get_records(value)]
-    return tuple(item for item in kept if isinstance(item, str))[:MAX_KEPT_CHANGES]
+    change_ids = value.get("changes")
+    if not isinstance(change_ids, list):
+        change_ids = [record.get("change_id") for record in get_records(value)]
+    return tuple(item for item in change_ids if isinstance(item, str))[:MAX_CHANGE_IDS]
 
 
-def is_overtaken(value: object, later: object) -> bool:
-    """Return whether a stored value is one that another one has followed."""
-    own, others = get_changes(value)[:1], get_changes(later)[1:]
+def is_superseded(value: object, later: object) -> bool:
+    """Return whether the last change of `value` precedes that of `later`."""
+    own, others = get_change_ids(value)[:1], get_change_ids(later)[1:]
     return bool(own) and own[0] in others
 
 
 def build_value(
     request: ChangeRequest, version: int, present: StoredValue | None
 ) -> StoredValue:
-    """Return the value that carries out a change.
+    """Return the stored value after a change.
 
     Parameters
     ----------
     request : ChangeRequest
         The change.
     version : int
-        Present version of the object, 0 if there is none.
+        Current version of the object, 0 if there is none.
     present : StoredValue or None
-        Present value of the object.
+        Current value of the object.
 
     Returns
     -------
--- a/beryltrack/settings/transitions.py
+++ b/beryltrack/settings/transitions.py
@@ -1,11 +1,11 @@
-"""Checks a change of a group's members against the settings it replaces.
+"""Validates membership changes of a group, as Raft's single-server changes do.
 
-A write is acknowledged by a majority of the group's databases and a new primary
-needs a majority too. That is safe only while any two majorities meet, also
-between a proxy with the old members in force and one with the new. Adding one
-database or removing one keeps that; replacing one at once does not: ``b, c`` is
-a majority of ``a, b, c`` and ``a, d`` one of ``a, b, d``. Two changes in a row
-must not overlap either, so the first has to be in force everywhere.
+A write is acknowledged by a majority of the group's databases, and a new primary
+needs a majority too. That is safe only while any two majorities intersect, also
+between a proxy with the old members in force and one with the new members. Adding
+or removing one database preserves that; replacing one in a single change does not:
+``b, c`` is a majority of ``a, b, c`` and ``a, d`` one of ``a, b, d``. Consecutive
+changes must not overlap either, so the first has to be in force everywhere.
 """
 
 from datetime import datetime
@@ -15,9 +15,12 @@
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.settings.stored import get_records, get_settings
 
-# Seconds; settings are in force everywhere well within this time.
 SETTLE_TIME = 60.0
-PLACE = "/databases"
+"""Seconds between two membership changes; settings are in force everywhere well within
+this time."""
+
+DATABASES_PLACE = "/databases"
+"""JSON pointer to the members of a group."""
 
 Members = frozenset[tuple[str, str, int]]
 
@@ -25,8 +28,8 @@
 def get_members(settings: dict[str, object] | None) -> Members | None:
     """Return names and endpoints of a group's databases, None for no group.
 
-    A database at another endpoint counts as another one: whether it holds the
-    same data cannot be seen from here.
+    A database at another endpoint counts as another member, since the settings do
+    not tell whether it holds the same data.
     """
     try:
         return frozenset(
@@ -40,7 +43,7 @@
 def validate_transition(
     present: PlatformObject, after: dict[str, object], when: str
 ) -> tuple[Finding, ...]:
-    """Return what makes a change of a group's members unsafe.
+    """Return the reasons why a membership change of a group is unsafe.
 
     Parameters
     ----------
@@ -54,7 +57,7 @@
     Returns
     -------
     tuple of Finding
-        Empty if any two majorities of the old and the new members meet.
+        Empty if any two majorities of the old and the new members intersect.
     """
     old, new = get_members(get_settings(present.value)), get_members(after)
     if old is None or new is None or old == new:
@@ -63,21 +66,21 @@
     if len(old ^ new) > 1:
         text = (
             "only one database can be added or removed in one change (a new "
-            "endpoint is a removal and an addition)"
+            "endpoint counts as a removal and an addition)"
         )
-        findings += (Finding(present.path, PLACE, text),)
-    elapsed = _get_settled_time(present, when)
+        findings += (Finding(present.path, DATABASES_PLACE, text),)
+    elapsed = _compute_time_since_change(present, when)
     if elapsed is not None and elapsed < SETTLE_TIME:
         text = (
             f"the databases changed {elapsed:.0f} s ago; wait until status shows that "
-            f"change in force everywhere, at least {SETTLE_TIME:.0f} s"
+            f"change in force everywhere, and at least {SETTLE_TIME:.0f} s"
         )
-        findings += (Finding(present.path, PLACE, text),)
+        findings += (Finding(present.path, DATABASES_PLACE, text),)
     return findings
 
 
-def _get_settled_time(present: PlatformObject, when: str) -> float | None:
-    """Return the seconds since the members last changed; None if not recorded."""
+def _compute_time_since_change(present: PlatformObject, when: str) -> float | None:
+    """Return the seconds since the last membership change; None if not recorded."""
     records = get_records(present.value)
     states = [get_settings(present.value), *(item.get("before") for item in records)]
     changes = (
@@ -89,7 +92,7 @@
     if last is None:
         return None
     try:
-        began = datetime.fromisoformat(last["when"])
-        return (datetime.fromisoformat(when) - began).total_seconds()
+        changed_at = datetime.fromisoformat(last["when"])
+        return (datetime.fromisoformat(when) - changed_at).total_seconds()
     except (KeyError, TypeError, ValueError):
         return None
--- a/tests/settings/test_roster.py
+++ b/tests/settings/test_roster.py
@@ -2,7 +2,7 @@
 
 from beryltrack.settings.messages import Endpoint
 from beryltrack.settings.roster import (
-    GONE_AFTER,
+    MEMBER_EXPIRY,
     MISSING_GRACE,
     GroupLimits,
     Roster,
@@ -64,8 +64,8 @@
     roster = Roster()
     roster.observe((A, B, C), 0.0)
     roster.observe((A, B), 1.0)
-    assert get_names(roster, 1.0 + GONE_AFTER - 0.1) == ["a", "b", "c"]
-    assert get_names(roster, 1.0 + GONE_AFTER) == ["a", "b"]
+    assert get_names(roster, 1.0 + MEMBER_EXPIRY - 0.1) == ["a", "b", "c"]
+    assert get_names(roster, 1.0 + MEMBER_EXPIRY) == ["a", "b"]
 
 
 def test_a_group_is_never_left_with_one_database():
--- a/tests/settings/test_task.py
+++ b/tests/settings/test_task.py
@@ -10,7 +10,7 @@
 from beryltrack.settings.task import (
     LIST_PERIODS,
     POLL_PERIOD,
-    WATCH_GAP,
+    WATCH_DELAY,
     SettingsTask,
     compute_poll_period,
 )
@@ -57,11 +57,11 @@
 def test_watcher_lists_once_and_then_watches_from_there():
     clock, store, task = start_task()
     store.answer(make_list(3, make_object(GROUP_PATH, 2, make_group())))
-    clock.advance(WATCH_GAP)
+    clock.advance(WATCH_DELAY)
     seen = []
     task.subscribe(seen.append)
     store.answer(make_list(5, make_object(GROUP_PATH, 5, make_group(max_age=1))))
-    clock.advance(WATCH_GAP)
+    clock.advance(WATCH_DELAY)
     assert store.calls == [("list",), ("watch", 3, 6.0), ("watch", 5, 6.0)]
     assert [site.groups[0].max_age for site in seen] == [1]
 
@@ -116,7 +116,7 @@
 def test_watch_that_the_store_cannot_answer_is_mended_by_a_list():
     clock, store, _ = start_task()
     store.answer(make_list(3))
-    clock.advance(WATCH_GAP)
+    clock.advance(WATCH_DELAY)
     store.answer(Failure(PlatformError(ErrorKind.INVALID, "too old")))
     clock.advance(1.0)
     assert store.calls[-1] == ("list",)
