--- a/tests/settings/examples.py
+++ b/tests/settings/examples.py
@@ -1,4 +1,4 @@
-"""Small settings objects shared by the tests of this slice."""
+"""Small settings objects shared by the tests of the settings."""
 
 from beryltrack.objects.messages import PlatformObject
 
@@ -29,5 +29,5 @@
 
 
 def make_deletion(path: str, version: int) -> PlatformObject:
-    """Return the platform's word that an object is no more."""
+    """Return the platform's record of a deleted object."""
     return PlatformObject(path, version, None, True)
--- a/tests/settings/test_change.py
+++ b/tests/settings/test_change.py
@@ -1,4 +1,4 @@
-"""Changes whose answers get lost and that race, against a store with faults."""
+"""Changes with lost answers and concurrent writers, against a store with faults."""
 
 import random
 from itertools import product
@@ -42,7 +42,7 @@
 
 
 class FaultyStore:
-    """One object, and a script of what goes wrong with each update."""
+    """A store of one object, with a scripted fault for each update."""
 
     def __init__(self, puts=(), gets=()):
         self.version = 0
@@ -104,25 +104,25 @@
     return result.failure().kind
 
 
-def test_answer_lost_after_the_effect_is_done_once():
+def test_change_whose_answer_is_lost_after_the_effect_is_made_once():
     store = FaultyStore([LOST_AFTER])
     assert run_change(store) == Success(ChangeDone(1))
     assert store.effects == ["mine"]
 
 
-def test_answer_lost_before_the_effect_is_sent_again():
+def test_change_whose_update_is_lost_is_sent_again():
     store = FaultyStore([LOST_BEFORE, LOST_BEFORE])
     assert run_change(store) == Success(ChangeDone(1))
     assert store.effects == ["mine"]
 
 
-def test_change_replaced_while_its_answer_was_lost_was_done():
+def test_change_replaced_after_its_answer_was_lost_is_reported_as_made():
     store = FaultyStore([RIVAL_AFTER])
     assert run_change(store) == Success(ChangeDone(2, replaced=True))
     assert store.effects == ["mine", "rival 1"]
 
 
-def test_race_is_a_conflict_with_the_present_version():
+def test_lost_race_is_a_conflict_with_the_current_version():
     store = FaultyStore([RIVAL_FIRST])
     result = run_change(store)
     assert get_kind(result) is FailureKind.CONFLICT
@@ -130,24 +130,24 @@
     assert store.effects == ["rival 0"]
 
 
-def test_race_after_a_lost_update_is_a_conflict():
+def test_lost_race_after_a_lost_update_is_a_conflict():
     result = run_change(FaultyStore([LOST_BEFORE, RIVAL_FIRST]))
     assert get_kind(result) is FailureKind.CONFLICT
 
 
-def test_refused_throughout_was_not_done():
+def test_change_refused_at_each_attempt_is_not_done():
     store = FaultyStore([REFUSED] * 9)
     assert get_kind(run_change(store)) is FailureKind.NOT_DONE
     assert store.effects == []
 
 
-def test_doubt_that_nothing_resolves_is_reported_as_such():
+def test_unresolved_outcome_is_reported_as_unknown():
     for fault in (LOST_AFTER, LOST_BEFORE):
         store = FaultyStore([fault] + [REFUSED] * 9, [FINE] + [REFUSED] * 9)
         assert get_kind(run_change(store)) is FailureKind.UNKNOWN
 
 
-def test_present_version_that_is_not_the_wanted_one_is_a_conflict():
+def test_version_other_than_the_required_one_is_a_conflict():
     store = FaultyStore()
     store.write_as_rival()
     request = make_request(if_version=7)
@@ -155,20 +155,20 @@
     assert run_change(store, request._replace(if_version=1)) == Success(ChangeDone(2))
 
 
-def test_settings_that_are_there_already_are_not_written_again():
+def test_unchanged_settings_are_not_written_again():
     store = FaultyStore()
     run_change(store)
     again = make_request("again")
     assert run_change(store, again) == Success(ChangeDone(1, changed=False))
 
 
-def test_store_that_cannot_be_read_has_not_done_it():
+def test_change_is_not_done_if_the_store_cannot_be_read():
     store = FaultyStore(gets=[REFUSED])
     assert get_kind(run_change(store)) is FailureKind.NOT_DONE
 
 
 @pytest.mark.parametrize("length", [1, 2, 3])
-def test_report_is_true_after_every_sequence_of_faults(length):
+def test_reported_outcome_is_true_after_every_sequence_of_faults(length):
     for script in product(FAULTS, repeat=length):
         for gets in product((FINE, REFUSED), repeat=length):
             store = FaultyStore(script, (FINE, *gets))
@@ -182,7 +182,7 @@
                     assert made == 0
 
 
-def test_history_too_short_to_tell_leaves_the_outcome_open():
+def test_truncated_history_leaves_the_outcome_unresolved():
     store = FaultyStore()
     for _ in range(MAX_HISTORY + 2):
         store.write_as_rival()
@@ -192,7 +192,7 @@
     assert resolve_change("mine", 1, None) is Resolution.UNRESOLVED
 
 
-def test_audit_records_tell_who_replaced_what():
+def test_audit_records_hold_the_replaced_settings():
     store = FaultyStore()
     run_change(store)
     run_change(store, make_request("second", {"max_age": 7}, why="more"))
--- a/tests/settings/test_decider.py
+++ b/tests/settings/test_decider.py
@@ -1,4 +1,4 @@
-"""Versions in force: nothing goes back, whatever order objects come in."""
+"""Merging of object versions: the result does not depend on the order of arrival."""
 
 from itertools import permutations
 
@@ -15,7 +15,7 @@
 BAD = {"databases": 3}
 
 
-def test_object_that_a_list_lacks_is_deleted_and_stays_so():
+def test_object_missing_from_a_list_is_deleted_and_stays_deleted():
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, make_group()),))
     update = decider.observe_list(ObjectList(5, ()))
@@ -25,7 +25,7 @@
     assert decider.current.groups == ()
 
 
-def test_every_order_of_arrival_ends_alike():
+def test_every_order_of_arrival_converges():
     objects = (
         make_object(GROUP_PATH, 3, make_group(max_age=1)),
         make_object(GROUP_PATH, 7, make_group(max_age=2)),
@@ -48,14 +48,14 @@
     assert len(decider.current.groups) == 1
 
 
-def test_object_deleted_before_the_list_is_not_learned_from_a_peer():
+def test_object_deleted_before_the_list_is_not_merged_from_a_peer():
     decider = SettingsDecider()
     decider.observe_list(ObjectList(5, ()))
     assert decider.merge((make_object(GROUP_PATH, 4, make_group()),)).objects == ()
     assert decider.merge((make_object(GROUP_PATH, 6, make_group()),)).changed
 
 
-def test_faulty_object_leaves_the_last_good_one_in_force_and_is_reported():
+def test_invalid_object_is_reported_and_the_last_valid_one_stays_in_force():
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, make_group(max_age=4)),))
     update = decider.merge((make_object(GROUP_PATH, 5, BAD),))
@@ -65,7 +65,7 @@
     assert decider.objects[0].version == 5
 
 
-def test_proxy_that_never_saw_the_good_one_takes_it_from_the_history():
+def test_proxy_that_never_saw_the_valid_settings_takes_them_from_the_history():
     records = [{"before": BAD}, {"before": make_group(max_age=4)}, {"before": None}]
     item = make_object(GROUP_PATH, 5, BAD, audit=records[0], history=records[1:])
     decider = SettingsDecider()
@@ -74,20 +74,20 @@
     assert decider.findings
 
 
-def test_what_peers_are_told_is_small_and_judged_alike():
+def test_compact_objects_give_peers_the_same_settings_and_findings():
     records = [{"before": BAD}, {"before": make_group(max_age=4)}] * 5
     bad = make_object(GROUP_PATH, 5, BAD, audit=records[0], history=records[1:])
     good = make_object(RULE_PATH, 6, {"max_age": 5}, audit=records[0], history=records)
     first, second = SettingsDecider(), SettingsDecider()
-    told = first.merge((bad, good)).objects
-    assert second.merge(told).objects == told
+    compact = first.merge((bad, good)).objects
+    assert second.merge(compact).objects == compact
     assert second.current == first.current
     assert second.findings == first.findings
-    assert told[0].value["audit"] == {"before": make_group(max_age=4)}
-    assert told[1].value == {"settings": {"max_age": 5}, "created": ""}
+    assert compact[0].value["audit"] == {"before": make_group(max_age=4)}
+    assert compact[1].value == {"settings": {"max_age": 5}, "created": ""}
 
 
-def test_deleted_settings_do_not_come_back_with_a_faulty_object():
+def test_deleted_settings_do_not_come_back_with_an_invalid_object():
     records = [{"before": None}, {"before": make_group()}]
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, make_group()),))
@@ -96,7 +96,7 @@
     assert decider.current.groups == ()
 
 
-def test_finding_goes_when_the_object_is_mended():
+def test_finding_is_removed_when_the_object_is_corrected():
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, BAD),))
     decider.merge((make_object(GROUP_PATH, 4, make_group()),))
@@ -110,14 +110,14 @@
         assert decider.merge((item,)).findings
 
 
-def test_recorded_deletion_takes_the_object_out_of_force():
+def test_recorded_deletion_removes_the_object_from_the_settings_in_force():
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, make_group()),))
     decider.merge((make_object(GROUP_PATH, 4, None, audit={"before": make_group()}),))
     assert decider.current.groups == ()
 
 
-def test_old_deletions_do_not_pile_up(monkeypatch):
+def test_number_of_tombstones_is_bounded(monkeypatch):
     monkeypatch.setattr("beryltrack.settings.decider.MAX_TOMBSTONES", 2)
     decider = SettingsDecider()
     paths = [f"settings/shop/rules/r{number}" for number in range(5)]
--- a/tests/settings/test_json_text.py
+++ b/tests/settings/test_json_text.py
@@ -1,19 +1,19 @@
-"""Faults in the text of JSON."""
+"""Findings on invalid JSON text."""
 
 from beryltrack.settings.json_text import load_json
 
 
-def test_good_text_is_read():
+def test_valid_text_is_parsed():
     assert load_json('{"a": [1, {"a": 2}]}', "f") == ({"a": [1, {"a": 2}]}, ())
 
 
-def test_key_that_stands_twice_and_what_is_no_number_are_findings():
+def test_repeated_keys_and_invalid_numbers_are_findings():
     value, findings = load_json('{"a": 1, "a": 2, "b": NaN}', "f")
     assert value is None
     assert len(findings) == 2
 
 
-def test_broken_text_is_a_finding_with_its_line():
+def test_syntax_error_is_a_finding_with_its_line():
     assert load_json("{\n3}", "f")[1][0].place == "line 2"
 
 
--- a/tests/settings/test_lost_watch.py
+++ b/tests/settings/test_lost_watch.py
@@ -1,9 +1,9 @@
-"""A watch that is never answered must not hold settings up for too long.
+"""A watch that is never answered must not delay settings for too long.
 
-A store that is silent for a moment takes a watch and never answers it, while the
-connection stays open. The watch waited for 30 s and its answer for 5 s more, so that an
-instance that was to have a change in force within 15 s heard of it after 35 s. On the
-users' platform the same cause showed as
+A store that is silent for a moment may accept a watch and never answer it, while the
+connection stays open. With a watch timeout of 30 s and 5 s more for the answer, an
+instance that must have a change in force within 15 s receives it after 35 s, and its
+log shows a line such as
 
     objects: No answer for config for 17.1 s (unknown): no answer within 17 s.
 """
@@ -28,7 +28,7 @@
     return (200, {"revision": revision, "objects": [item]})
 
 
-def test_a_lost_watch_holds_settings_up_for_less_than_fifteen_seconds():
+def test_a_lost_watch_delays_settings_for_less_than_fifteen_seconds():
     clock = Clock()
     quiet = (200, {"revision": 5, "objects": []})
     site = ScriptedSite(
--- a/tests/settings/test_mechanisms.py
+++ b/tests/settings/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that the environment switches off."""
+"""Mechanisms that are disabled by the environment."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 
 
 @pytest.mark.parametrize("text", ["", " ", " , "])
-def test_by_default_nothing_is_switched_off(text):
+def test_no_mechanism_is_disabled_by_default(text):
     assert read_disabled_mechanisms({DISABLED_VARIABLE: text}) == (frozenset(), [])
     assert read_disabled_mechanisms({}) == (frozenset(), [])
 
 
-def test_names_stand_between_commas():
+def test_names_are_separated_by_commas():
     disabled, findings = read_disabled_mechanisms(
         {DISABLED_VARIABLE: "detours, retries"}
     )
--- a/tests/settings/test_parsing.py
+++ b/tests/settings/test_parsing.py
@@ -1,4 +1,4 @@
-"""Checks of single settings objects: all findings, each with its place."""
+"""Validation of single settings objects: all findings, each with its JSON pointer."""
 
 from beryltrack.settings.instance_file import load_instance_settings
 from beryltrack.settings.messages import Endpoint, RuleSettings
@@ -25,7 +25,7 @@
     assert not group.databases[1].draining
 
 
-def test_all_findings_of_a_group_come_at_once():
+def test_all_findings_of_a_group_are_reported_together():
     databases = [make_database("db0", 0), make_database("db1", 5, slots="x")]
     value = {"databases": databases, "max_age": -1, "colour": 1}
     places = get_places(GROUP_PATH, value)
@@ -38,7 +38,7 @@
     ]
 
 
-def test_host_must_be_an_ip_number():
+def test_host_must_be_an_ip_address():
     endpoint = {"host": "localhost", "port": 5}
     value = make_group(databases=[make_database("db0", 1, endpoint=endpoint)])
     assert get_places(GROUP_PATH, value) == ["/databases/0/endpoint/host"]
@@ -66,11 +66,11 @@
     assert rule == RuleSettings("stale", "shop", "", "", "", 5, "any", None)
 
 
-def test_rule_to_the_primary_has_no_staleness():
+def test_rule_for_the_primary_cannot_have_a_staleness():
     assert get_places(RULE_PATH, {"max_age": 5, "reads": "primary"}) == ["/max_age"]
 
 
-def test_user_without_a_secret_must_be_trusted_by_word():
+def test_user_without_a_secret_needs_explicit_trust():
     assert get_places(USER_PATH, {}) == ["/secret"]
     assert parse_settings(USER_PATH, {"trust": True})[0].secret == ""
 
@@ -81,7 +81,7 @@
     assert "hunter2" not in finding.text
 
 
-def test_numbers_are_whole_and_finite_where_they_must_be():
+def test_integers_and_finite_numbers_are_required():
     databases = [make_database("db0", 1, max_connections=20.0)]
     value = make_group(databases=databases, max_age=float("nan"))
     assert get_places(GROUP_PATH, value) == [
@@ -90,7 +90,7 @@
     ]
 
 
-def test_path_is_checked():
+def test_invalid_paths_are_findings():
     for path in (
         "settings/shop/rules/x\n",
         "settings/shop/orders",
@@ -100,7 +100,7 @@
         assert parse_settings(path, {})[1]
 
 
-def test_instance_file_is_checked_whole():
+def test_all_findings_of_an_instance_file_are_reported_together():
     settings, findings = load_instance_settings(
         '{"name": "p 1", "zone": "a", "listen": {"host": "127.0.0.1"},'
         ' "platform_url": "ftp://x", "peer_key": "short"}',
@@ -129,7 +129,7 @@
     assert settings.drain_limit == 30
 
 
-def test_text_that_is_no_json_is_a_finding_with_its_line():
+def test_invalid_json_is_a_finding_with_its_line():
     settings, findings = load_instance_settings('{\n"name": }', "p1.json")
     assert settings is None
     assert findings[0].place == "line 2"
--- a/tests/settings/test_plan.py
+++ b/tests/settings/test_plan.py
@@ -1,4 +1,4 @@
-"""What an operator sees before a change is written."""
+"""Planned changes and their findings, before anything is written."""
 
 from beryltrack.objects.messages import ObjectList
 from beryltrack.settings.plan import plan_changes as plan_changes_at
@@ -19,7 +19,7 @@
     return plan_changes_at(tree, wanted, WHEN)
 
 
-def test_only_what_differs_is_changed():
+def test_only_objects_that_differ_are_changed():
     wanted = {GROUP_PATH: make_group(), RULE_PATH: {"max_age": 2}}
     changes, findings = plan_changes(TREE, wanted)
     assert findings == ()
@@ -27,17 +27,17 @@
     assert changes[0].before == {"max_age": 1}
 
 
-def test_faults_of_all_objects_come_together():
+def test_findings_of_all_objects_are_reported_together():
     wanted = {RULE_PATH: {"max_age": -1}, "settings/shop/nothing/x": None}
     sources = [finding.source for finding in plan_changes(TREE, wanted)[1]]
     assert sources == [RULE_PATH, "settings/shop/nothing/x"]
 
 
-def test_finding_that_was_there_before_stops_nobody():
+def test_existing_findings_do_not_block_a_change():
     assert plan_changes(TREE, {RULE_PATH: None})[1] == ()
 
 
-def test_rule_for_a_group_that_is_to_be_deleted_is_a_clash():
+def test_rule_for_a_group_that_the_change_deletes_is_a_finding():
     wanted = {GROUP_PATH: None, RULE_PATH: {"group": "orders"}}
     assert plan_changes(TREE, {RULE_PATH: wanted[RULE_PATH]})[1] == ()
     (finding,) = plan_changes(TREE, wanted)[1]
--- a/tests/settings/test_reference.py
+++ b/tests/settings/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page is what the options table says, and its examples hold."""
+"""The reference page matches the options tables, and its examples are valid."""
 
 import json
 from pathlib import Path
@@ -21,13 +21,13 @@
     assert PAGE.read_text() == format_page()
 
 
-def test_examples_of_the_page_can_be_used():
+def test_examples_of_the_page_are_valid():
     for kind in ("groups", "rules", "users"):
         assert parse_settings(f"settings/shop/{kind}/x", EXAMPLES[kind])[1] == ()
     assert load_instance_settings(json.dumps(EXAMPLES["instance"]), "f")[1] == ()
 
 
-def test_each_option_has_its_field_and_each_field_its_option():
+def test_options_and_fields_correspond():
     by_path = {"name", "team"}
     for options, kind in (
         (GROUPS.options, GroupSettings),
--- a/tests/settings/test_restored_settings.py
+++ b/tests/settings/test_restored_settings.py
@@ -1,11 +1,10 @@
-"""Settings under paths when the store was restored from a backup.
+"""Settings objects after the store was restored from a backup.
 
-An instance that watched the store asked for what came after a revision that the store
-no longer had, for up to ten minutes, until its next full list. What had been changed in
-the lost seconds was taken back: a user who had been taken away could log on again.
-
-A wait that has expired is followed by a list now. What the store has of before does not
-count where it is known what followed it, by the identifiers of the changes.
+Two failures are guarded against. A watcher that asks for changes after a revision that
+the store has lost receives none for up to ten minutes, until its next full list;
+therefore an expired watch is followed by a list. And changes made in the lost seconds
+are undone, so that a removed user can log on again; therefore an object is ignored if
+the identifiers of the known changes show that a later change replaced it.
 """
 
 import random
@@ -25,7 +24,7 @@
 
 STEP = 0.1
 LIMIT = 15.0
-"""Seconds within which a change is in force everywhere."""
+"""Seconds within which a change must be in force everywhere."""
 
 
 class Instance:
@@ -47,7 +46,7 @@
 
 
 class Site:
-    """Two instances, an operator and a store that is restored from backups."""
+    """Two instances, an operator, and a store that can be restored from a backup."""
 
     def __init__(self):
         self.clock = Clock()
@@ -67,7 +66,7 @@
         )
 
     def change(self, path, settings):
-        """Let the operator change an object."""
+        """Change an object as the operator."""
         request = ChangeRequest(
             path, settings, "me", "", "", f"c{next(self.change_ids)}"
         )
@@ -83,7 +82,7 @@
                 agent.flush()
 
     def share(self):
-        """Let each instance tell the others all that it knows."""
+        """Send all known objects of each instance to the others."""
         for one in self.instances:
             for other in self.instances:
                 other.task.merge(one.task.get_objects())
@@ -106,7 +105,7 @@
     assert site.get_ages() == [9, 9]
 
 
-def test_what_was_confirmed_in_the_lost_seconds_stays_in_force():
+def test_changes_confirmed_in_the_lost_seconds_stay_in_force():
     site = Site()
     copy = site.platform.store.make_backup()
     site.change(GROUP_PATH, make_group(max_age=2))
@@ -123,7 +122,7 @@
     assert len(texts) == 2 and all("write it again" in text for text in texts)
 
 
-def test_it_is_over_once_it_was_written_again():
+def test_findings_end_when_the_changes_are_written_again():
     site = Site()
     copy = site.platform.store.make_backup()
     site.change(GROUP_PATH, make_group(max_age=3))
@@ -139,7 +138,7 @@
     assert site.instances[0].task.findings == ()
 
 
-def test_an_object_that_was_added_in_the_lost_seconds_stays_too():
+def test_an_object_created_in_the_lost_seconds_stays_in_force():
     site = Site()
     copy = site.platform.store.make_backup()
     site.change("settings/shop/rules/fresh", {"max_age": 1})
--- a/tests/settings/test_roster.py
+++ b/tests/settings/test_roster.py
@@ -1,4 +1,4 @@
-"""Databases that register themselves: what a missing entry means."""
+"""Membership of registered databases whose entries go missing or are replaced."""
 
 from beryltrack.settings.messages import Endpoint
 from beryltrack.settings.roster import (
@@ -23,7 +23,7 @@
     return [entry.name for entry in roster.get_members("main", now)]
 
 
-def test_an_entry_that_lapsed_and_came_back_was_never_away():
+def test_an_entry_that_returns_within_the_grace_stays_a_member():
     roster = Roster()
     roster.observe((A, B, C), 0.0)
     roster.observe((A,), 1.0)
@@ -42,7 +42,7 @@
     assert last == C._replace(draining=True)
 
 
-def test_a_missing_database_is_forgotten_once_the_group_is_large_enough():
+def test_a_missing_database_is_dropped_after_the_grace_in_a_large_enough_group():
     roster = Roster()
     roster.observe((A, B, C), 0.0)
     roster.observe((A, B, D), 1.0)
@@ -50,7 +50,7 @@
     assert get_names(roster, 1.0 + MISSING_GRACE) == ["a", "b", "d"]
 
 
-def test_groups_are_told_apart_and_empty_ones_left_out():
+def test_groups_are_separate_and_empty_ones_are_omitted():
     roster = Roster()
     roster.observe((A, make_entry("x", "other")), 0.0)
     groups = (GroupLimits("main", 20), GroupLimits("none", 20))
@@ -75,7 +75,7 @@
     assert get_names(roster, 99.0) == ["a", "b"]
 
 
-def test_a_database_that_started_again_replaces_the_one_before_at_once():
+def test_a_restarted_database_replaces_its_earlier_incarnation_at_once():
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((before, B, C), 0.0)
@@ -84,7 +84,7 @@
     assert roster.get_due(1.0) is None
 
 
-def test_a_start_that_is_not_told_is_no_other_start():
+def test_an_entry_without_a_start_time_is_not_a_restart():
     roster = Roster()
     roster.observe((make_entry("a@1000"), B, C), 0.0)
     roster.observe((make_entry("a", draining=True), B, C), 1.0)
@@ -92,7 +92,7 @@
     assert (first.name, first.draining) == ("a@1000", True)
 
 
-def test_a_database_that_lapsed_and_started_again_is_another_one():
+def test_a_restart_while_the_entry_is_missing_makes_another_member():
     roster = Roster()
     roster.observe((make_entry("a@1000"), B, C), 0.0)
     roster.observe((B, C), 1.0)
@@ -100,8 +100,8 @@
     assert get_names(roster, 2.0) == ["a@2000", "b", "c"]
 
 
-def test_an_earlier_start_is_not_believed_at_once_in_a_new_era():
-    """A store that was restored from a backup has what databases said before it."""
+def test_an_earlier_start_is_not_accepted_at_once_in_a_new_era():
+    """A store restored from a backup holds entries from before the backup."""
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((after, B, C), 0.0, era=1)
@@ -111,7 +111,7 @@
     assert roster.get_members("main", 20.0) == (after, B, C)
 
 
-def test_an_earlier_start_that_stays_is_believed_in_the_end():
+def test_an_earlier_start_that_stays_is_accepted_after_the_grace():
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((after, B, C), 0.0, era=1)
@@ -120,7 +120,7 @@
     assert roster.get_members("main", 1.0 + MISSING_GRACE) == (before, B, C)
 
 
-def test_while_the_store_tells_nothing_an_earlier_start_is_not_believed():
+def test_an_earlier_start_is_not_accepted_while_the_store_is_silent():
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((after, B, C), 0.0, era=1)
@@ -128,7 +128,7 @@
     assert roster.get_members("main", 60.0) == (after, B, C)
 
 
-def test_each_restore_gives_databases_their_time():
+def test_the_grace_starts_again_with_each_restore():
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((after, B, C), 0.0, era=1)
@@ -139,7 +139,7 @@
     assert roster.get_members("main", later) == (after, B, C)
 
 
-def test_within_an_era_the_last_word_counts():
+def test_within_an_era_the_last_entry_is_accepted():
     roster = Roster()
     before, after = make_entry("a@1000"), make_entry("a@2000")
     roster.observe((after, B, C), 0.0, era=1)
@@ -147,7 +147,7 @@
     assert roster.get_members("main", 1.0) == (before, B, C)
 
 
-def test_one_that_was_to_leave_gets_no_work_when_its_store_comes_back():
+def test_a_draining_database_gets_no_work_after_the_store_is_restored():
     roster = Roster()
     leaving = make_entry("a", draining=True)
     roster.observe((leaving, B, C), 0.0, era=1)
--- a/tests/settings/test_site.py
+++ b/tests/settings/test_site.py
@@ -1,4 +1,4 @@
-"""Clashes between objects that are each sound."""
+"""Conflicts between objects that are each valid."""
 
 from beryltrack.settings.parsing import parse_settings
 from beryltrack.settings.site import AcceptedObject, build_site
@@ -23,14 +23,14 @@
         assert [finding.source for finding in findings] == [OTHER_PATH]
 
 
-def test_users_share_one_space_of_names():
+def test_users_of_all_teams_share_one_namespace():
     paths = ("settings/shop/users/ana", "settings/depot/users/ana")
     site, findings = build_site([accept(path, TRUST) for path in paths], 1)
     assert [user.team for user in site.users] == ["depot"]
     assert findings[0].source == paths[0]
 
 
-def test_rule_that_names_what_the_team_has_not_is_left_out():
+def test_rule_for_a_group_or_user_that_the_team_lacks_is_dropped():
     objects = [
         accept(OTHER_PATH, make_group()),
         accept("settings/shop/rules/r1", {"group": "orders", "user": "ana"}),
--- a/tests/settings/test_sockets.py
+++ b/tests/settings/test_sockets.py
@@ -25,7 +25,7 @@
 
 
 class Proxy:
-    """The settings of one proxy, for the time of a test."""
+    """The settings task of one proxy."""
 
     def __init__(self, platform, seed=1):
         rng = random.Random(seed)
@@ -60,7 +60,7 @@
     return proxy
 
 
-def test_change_is_in_force_on_each_proxy_also_after_an_outage(platform):
+def test_change_comes_into_force_on_each_proxy_also_after_an_outage(platform):
     write(platform, 1)
     proxies = [start_proxy(platform, seed) for seed in (1, 2)]
     for proxy in proxies:
@@ -76,7 +76,7 @@
         run(proxy.stop)
 
 
-def test_proxy_that_starts_while_the_store_is_down_learns_from_a_peer(platform):
+def test_proxy_that_starts_while_the_store_is_down_gets_settings_from_a_peer(platform):
     write(platform, 1)
     old = start_proxy(platform)
     run(old.wait_for, 1)
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("lost_answers", [0, 3])
-def test_reports_of_racing_operators_are_what_the_history_tells(platform, lost_answers):
+def test_reports_to_concurrent_operators_match_the_history(platform, lost_answers):
     run(platform.set_fault, "lose_answers", lost_answers)
     client = run(PlatformClient, reactor, platform.url, random.Random(1), 1.0)
 
--- a/tests/settings/test_spread.py
+++ b/tests/settings/test_spread.py
@@ -1,4 +1,7 @@
-"""Whatever reaches proxies, in whatever order: nothing goes back, all end alike."""
+"""Random sequences of lists, watches and gossip.
+
+Versions never decrease, and all proxies converge to the same settings.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -18,7 +21,7 @@
 
 PROXIES = st.integers(0, 1)
 PATHS = st.sampled_from((RULE_PATH, USER_PATH))
-# Each is sound for one of the paths and faulty for the other.
+# Each object is valid under one of the paths and invalid under the other.
 VALUES = st.sampled_from(({"max_age": 1}, {"trust": True}, None))
 
 
--- a/tests/settings/test_task.py
+++ b/tests/settings/test_task.py
@@ -1,4 +1,4 @@
-"""Learning settings from the store and from peers, under a clock."""
+"""Updates of the settings from the store and from peers, on a simulated clock."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class FakeStore:
-    """Notes the calls; each waits until the test answers it."""
+    """Records the calls; each waits until the test answers it."""
 
     def __init__(self):
         self.calls = []
@@ -54,7 +54,7 @@
     return Success(ObjectList(revision, objects))
 
 
-def test_watcher_lists_once_and_then_watches_from_there():
+def test_watcher_lists_once_and_then_watches_from_that_revision():
     clock, store, task = start_task()
     store.answer(make_list(3, make_object(GROUP_PATH, 2, make_group())))
     clock.advance(WATCH_DELAY)
@@ -66,7 +66,7 @@
     assert [site.groups[0].max_age for site in seen] == [1]
 
 
-def test_others_poll_slowly_and_watch_when_chosen():
+def test_other_instances_poll_slowly_and_watch_when_chosen():
     clock, store, task = start_task(watcher=False)
     store.answer(make_list(3))
     clock.advance(POLL_PERIOD * 1.25)
@@ -77,17 +77,17 @@
     assert store.calls[2:] == [("watch", 3, 6.0)]
 
 
-def test_settings_hold_and_peers_are_heard_while_the_store_is_down():
+def test_settings_stay_in_force_and_peers_update_them_while_the_store_is_down():
     clock, store, task = start_task()
-    told = []
-    task.subscribe_objects(told.append)
+    published = []
+    task.subscribe_objects(published.append)
     ready = task.wait_ready()
     store.answer(DOWN)
     assert not ready.called
     item = make_object(GROUP_PATH, 2, make_group())
     task.merge((item,))
     assert ready.called
-    assert told == [(item,)]
+    assert published == [(item,)]
     assert len(task.current.groups) == 1
     clock.advance(0.1)
     store.answer(DOWN)
@@ -106,14 +106,14 @@
     assert len(store.calls) == 22
 
 
-def test_full_list_is_repeated_to_repair():
+def test_full_list_is_repeated():
     clock, store, _ = start_task()
     store.answer(make_list(3))
     clock.advance(LIST_PERIODS * POLL_PERIOD * 1.25)
     assert store.calls == [("list",), ("list",)]
 
 
-def test_watch_that_the_store_cannot_answer_is_mended_by_a_list():
+def test_watch_that_the_store_cannot_answer_is_followed_by_a_list():
     clock, store, _ = start_task()
     store.answer(make_list(3))
     clock.advance(WATCH_DELAY)
@@ -122,7 +122,7 @@
     assert store.calls[-1] == ("list",)
 
 
-def test_subscriber_that_fails_keeps_nothing_from_the_others():
+def test_failing_subscriber_does_not_affect_the_others():
     _, store, task = start_task()
     seen = []
     task.subscribe(lambda site: 1 / 0)
@@ -131,7 +131,7 @@
     assert len(seen) == 1
 
 
-def test_fault_while_learning_does_not_end_it():
+def test_exception_in_a_refresh_does_not_end_the_task():
     clock, store, task = start_task()
     store.answer(Success(None))
     clock.advance(POLL_PERIOD * 1.25)
@@ -148,7 +148,7 @@
     assert clock.getDelayedCalls() == []
 
 
-def test_polls_of_a_large_fleet_load_the_store_no_more_than_a_small_one():
+def test_poll_rate_of_a_large_fleet_is_no_higher_than_of_a_small_one():
     rates = [
         size / compute_poll_period(size, random.Random(1)) for size in (8, 64, 520)
     ]
--- a/tests/settings/test_transitions.py
+++ b/tests/settings/test_transitions.py
@@ -1,4 +1,4 @@
-"""Changes of a group's members keep all majorities meeting."""
+"""Membership changes of a group: majorities of old and new members must intersect."""
 
 from itertools import combinations
 
@@ -32,18 +32,18 @@
 
 
 @pytest.mark.parametrize("new", ["abc", "bca", "ab", "bc", "abcd"])
-def test_one_database_more_or_less_is_allowed_and_safe(new):
+def test_adding_or_removing_one_database_is_allowed_and_safe(new):
     assert get_faults("abc", new) == ()
     assert find_disjoint_majorities("abc", new) == []
 
 
 @pytest.mark.parametrize("new", ["abd", "ade", "a", "abcde", "def"])
-def test_more_at_once_is_refused(new):
+def test_changing_several_databases_at_once_is_refused(new):
     (finding,) = get_faults("abc", new)
     assert finding.place == "/databases"
 
 
-def test_replacing_a_database_at_once_would_let_two_majorities_miss_each_other():
+def test_replacing_a_database_at_once_would_allow_disjoint_majorities():
     assert ({"b", "c"}, {"a", "d"}) in find_disjoint_majorities("abc", "abd")
 
 
@@ -54,7 +54,7 @@
     assert validate_transition(present, after, NOON)
 
 
-def test_next_change_of_members_waits_until_the_last_is_in_force():
+def test_next_membership_change_waits_until_the_last_is_in_force():
     request = ChangeRequest(GROUP_PATH, members("abcd"), "ana", "", NOON, "x")
     present = make_object(GROUP_PATH, 3, members("abc"))
     value = build_value(request, 3, present.value)
@@ -67,7 +67,7 @@
     assert validate_transition(changed, drained, LATER) == ()
 
 
-def test_new_group_has_nothing_to_wait_for():
+def test_first_membership_change_of_a_new_group_need_not_wait():
     request = ChangeRequest(GROUP_PATH, members("abc"), "ana", "", NOON, "x")
     value = build_value(request, 0, None)
     present = make_object(GROUP_PATH, 3, None)._replace(value=value)
