--- a/beryltrack/settings/decider.py
+++ b/beryltrack/settings/decider.py
@@ -79,10 +79,10 @@
     @property
     def findings(self) -> tuple[Finding, ...]:
         """All findings on the known objects."""
-        own = (self._findings[path] for path in sorted(self._findings))
+        by_object = (self._findings[path] for path in sorted(self._findings))
         lost = tuple(self._lost[path] for path in sorted(self._lost))
-        faulty = tuple(item for group in own for item in group)
-        return faulty + lost + self._site_findings
+        invalid = tuple(item for findings in by_object for item in findings)
+        return invalid + lost + self._site_findings
 
     def observe_list(self, answer: ObjectList) -> SettingsUpdate:
         """Merge a full list of the store; an object that it lacks was deleted.
--- a/beryltrack/settings/task.py
+++ b/beryltrack/settings/task.py
@@ -140,7 +140,7 @@
             self._wake()
 
     def set_fleet_size(self, fleet_size: int) -> None:
-        """Set the number of instances that share the store; it slows the poll down."""
+        """Set the number of instances that share the store, which bounds the poll rate."""
         self._fleet_size = fleet_size
 
     def merge(self, objects: Iterable[PlatformObject]) -> None:
