--- a/beryltrack/settings/task.py
+++ b/beryltrack/settings/task.py
@@ -140,7 +140,7 @@
             self._wake()
 
     def set_fleet_size(self, fleet_size: int) -> None:
-        """Set the number of instances that share the store, which bounds the poll rate."""
+        """Set the number of instances in the fleet, for the poll period."""
         self._fleet_size = fleet_size
 
     def merge(self, objects: Iterable[PlatformObject]) -> None:
