--- a/tests/settings/test_decider.py
+++ b/tests/settings/test_decider.py
@@ -55,6 +55,16 @@
     assert decider.merge((make_object(GROUP_PATH, 6, make_group()),)).changed
 
 
+def test_object_deleted_twice_is_not_restored_by_an_older_list():
+    # A stale list brings back an object that was written again and deleted since.
+    decider = SettingsDecider()
+    decider.observe_changes(ObjectList(2, (make_deletion(RULE_PATH, 2),)))
+    decider.observe_list(ObjectList(4, ()))
+    stale = make_object(RULE_PATH, 3, {"max_age": 1})
+    decider.observe_list(ObjectList(3, (stale,)))
+    assert decider.current.rules == ()
+
+
 def test_invalid_object_is_reported_and_the_last_valid_one_stays_in_force():
     decider = SettingsDecider()
     decider.merge((make_object(GROUP_PATH, 3, make_group(max_age=4)),))
