--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -213,7 +213,7 @@
             events=EventLog(settings.name, write_line, self._seconds),
             retries=self._policies.retries,
             admission=self._policies.admission,
-            ways=directory,
+            account_owners=directory,
             is_crowded=lambda: directory.is_crowded,
         )
         self._kit.set_retries(self._services.retries)
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -18,7 +18,7 @@
 from beryltrack.requests.admission import AdmissionPolicy
 from beryltrack.requests.overdue import LATE_AFTER
 from beryltrack.requests.retry import RetryPolicy
-from beryltrack.requests.services import RETRIES
+from beryltrack.requests.services import DEFAULT_RETRIES
 from beryltrack.routing.decider import RoutingPolicy
 from beryltrack.settings.mechanisms import Mechanism
 
@@ -118,7 +118,7 @@
         options.ROUTING if is_fenced else options.UNFENCED_ROUTING,
         options.PROBES,
         options.FAILOVER if is_fenced else options.UNFENCED_FAILOVER,
-        RETRIES,
+        DEFAULT_RETRIES,
         AdmissionPolicy(),
         load,
         LATE_AFTER,
@@ -165,7 +165,7 @@
 
 
 _WITHOUT = {
-    Mechanism.ADMISSION_BOUND: _change("admission", most_delay=math.inf),
+    Mechanism.ADMISSION_BOUND: _change("admission", max_delay=math.inf),
     Mechanism.CALM_GUARD: _change("probes", idle_primary_interval=EAGER_GUARD),
     Mechanism.DEADLINE_ORDER: lambda each: _change_pools(each, by_deadline=False),
     Mechanism.EARLY_REFUSAL: _refuse_late,
@@ -182,9 +182,9 @@
     Mechanism.NEAR_REPLICAS: _change("routing", prefers_near=False),
     Mechanism.OWN_REPLICAS: _change("routing", prefers_account_replica=False),
     Mechanism.PRIORITY_ORDER: _change("load", is_ordered=False),
-    Mechanism.RETRIES: _change("retries", most_attempts=1),
+    Mechanism.RETRIES: _change("retries", max_attempts=1),
     Mechanism.RETRY_BUDGET: _change(
-        "retries", ratio=1.0, most_saved=UNBOUNDED, first_saved=UNBOUNDED
+        "retries", ratio=1.0, max_tokens=UNBOUNDED, initial_tokens=UNBOUNDED
     ),
     Mechanism.STATEMENT_LIMIT: _change("load", is_limited=False),
 }
--- a/beryltrack/daemon/proxy.py
+++ b/beryltrack/daemon/proxy.py
@@ -25,7 +25,7 @@
 from beryltrack.objects.registration import RegistrationTask
 from beryltrack.pause_aware_clock import TICK_PERIOD, Pause, get_pause_aware_clock
 from beryltrack.peers.counters import register_counters
-from beryltrack.requests.forward_course import ForwardToOwners
+from beryltrack.requests.forward_flow import ForwardToOwners
 from beryltrack.requests.forward_handler import ForwardHandler
 from beryltrack.requests.ledger_cleaner import LedgerCleaner
 from beryltrack.requests.postgres import PostgresProtocol
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -26,9 +26,9 @@
 from beryltrack.platform.target import LineTarget
 from beryltrack.relay.wire_format import format_account_message, take_demand_prefix
 from beryltrack.requests.protocol import (
+    ProtocolWithoutRequestIds,
     RequestPolicy,
     RunResult,
-    UnmarkedProtocol,
     describe_loss,
 )
 from beryltrack.requests.session import CallerSession, PinnedTransaction
@@ -51,7 +51,7 @@
 UNKNOWN_KEY = SqlError(INVALID_AUTHORIZATION, "the key belongs to no account")
 
 
-class LineProtocol(UnmarkedProtocol):
+class LineProtocol(ProtocolWithoutRequestIds):
     """The line protocol at both ends; see `WireProtocol`.
 
     Parameters
@@ -118,8 +118,8 @@
                 return Failure(error)
             caller.session.is_tracked = route.reads != READS_PRIMARY
             caller.session.has_written = False
-        marks = RequestOptions(route.max_age, "", True, route.reads)
-        return Success(LinePlan(unit, kind, marks, self._get_policy(route), shape))
+        options = RequestOptions(route.max_age, "", True, route.reads)
+        return Success(LinePlan(unit, kind, options, self._get_policy(route), shape))
 
     def answer_locally(self, plan: LinePlan, caller: LineCaller) -> bool:
         """Answer what concerns the session alone; False for all others."""
@@ -169,7 +169,7 @@
         needs_key = book is not None and not caller.route.is_public
         return UNKNOWN_KEY if needs_key and account is None else None
 
-    def proves_lead(self, plan: LinePlan) -> bool:
+    def proves_leadership(self, plan: LinePlan) -> bool:
         """Return whether a database refuses a unit once it leads no more."""
         return not plan.is_read
 
--- a/beryltrack/platform/statements.py
+++ b/beryltrack/platform/statements.py
@@ -44,7 +44,7 @@
         The statement as the caller sent it.
     kind : StatementKind
         What it does.
-    marks : RequestOptions
+    options : RequestOptions
         What its route asks for.
     policy : RequestPolicy
         The times that bound it.
@@ -54,7 +54,7 @@
 
     statement: LineStatement
     kind: StatementKind
-    marks: RequestOptions
+    options: RequestOptions
     policy: RequestPolicy
     shape: StatementShape | None = None
 
@@ -69,7 +69,7 @@
         return self.kind not in NEEDS_PRIMARY
 
     @property
-    def is_marked(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """False: this protocol carries no identifier that a repeat keeps."""
         return False
 
--- a/beryltrack/requests/admission.py
+++ b/beryltrack/requests/admission.py
@@ -15,7 +15,7 @@
 from beryltrack.errors import TOO_MANY_CONNECTIONS
 
 DEFAULT_WEIGHT = 1.0
-LEAST_RETRY_AFTER = 0.05
+MIN_RETRY_AFTER = 0.05
 SHRINK_FACTOR = 0.9
 
 
@@ -24,22 +24,22 @@
 
     Parameters
     ----------
-    most_requests : int
+    max_requests : int
         Most requests held at once, running and waiting.
-    least_requests : int
+    min_requests : int
         The bound never falls below this.
-    most_delay : float
+    max_delay : float
         Seconds of delay inside the process above which the bound shrinks.
-    late_time : float
+    shrink_after : float
         Seconds for which all delays must have been too long before that.
     adjust_period : float
         Least seconds between two changes of the bound.
     """
 
-    most_requests: int = 1024
-    least_requests: int = 64
-    most_delay: float = 0.05
-    late_time: float = 0.5
+    max_requests: int = 1024
+    min_requests: int = 64
+    max_delay: float = 0.05
+    shrink_after: float = 0.5
     adjust_period: float = 0.1
 
 
@@ -81,7 +81,7 @@
 AdmissionAction = Admit | RefuseRequest
 
 
-class _Held(NamedTuple):
+class _Admitted(NamedTuple):
     """A request that was taken on."""
 
     team: str
@@ -104,14 +104,14 @@
     ):
         self._policy = policy
         self._weights = dict(weights or {})
-        self._bound = float(policy.most_requests)
-        self._held: dict[int, _Held] = {}
+        self._bound = float(policy.max_requests)
+        self._admitted: dict[int, _Admitted] = {}
         # The waiting requests of each team, oldest first.
         self._waiting: defaultdict[str, dict[int, None]] = defaultdict(dict)
         self._counts: defaultdict[str, int] = defaultdict(int)
         self._adjusted_at = float("-inf")
         self._late_since: float | None = None
-        self._hold_time = LEAST_RETRY_AFTER
+        self._average_time = MIN_RETRY_AFTER
 
     @property
     def bound(self) -> int:
@@ -119,9 +119,9 @@
         return int(self._bound)
 
     @property
-    def held_count(self) -> int:
+    def admitted_count(self) -> int:
         """Requests held, running and waiting."""
-        return len(self._held)
+        return len(self._admitted)
 
     def get_count(self, team: str) -> int:
         """Return how many requests of a team are held."""
@@ -151,30 +151,30 @@
         """
         if deadline <= now:
             return [RefuseRequest(request, AdmissionReason.EXPIRED, 0.0)]
-        if len(self._held) < self.bound:
-            return [self._take(request, team, now)]
-        rival = self._get_rival(team)
+        if len(self._admitted) < self.bound:
+            return [self._admit(request, team, now)]
+        rival = self._choose_victim(team)
         if rival is None:
             return [self._refuse(request, AdmissionReason.OVERLOADED)]
         # The newest has waited least; to put it out wastes the least.
         newest = next(reversed(self._waiting[rival]))
-        self._forget(newest)
+        self._remove(newest)
         put_out = self._refuse(newest, AdmissionReason.TEAM_SHARE)
-        return [put_out, self._take(request, team, now)]
+        return [put_out, self._admit(request, team, now)]
 
     def start(self, request: int) -> None:
         """Take in that a request runs: from now on it is not put out."""
-        held = self._held.get(request)
+        held = self._admitted.get(request)
         if held is not None:
             self._waiting[held.team].pop(request, None)
 
     def finish(self, request: int, now: float) -> None:
         """Take in that a request is over, in whatever way."""
-        held = self._held.get(request)
+        held = self._admitted.get(request)
         if held is None:
             return
-        self._hold_time += (now - held.admitted_at - self._hold_time) / 8
-        self._forget(request)
+        self._average_time += (now - held.admitted_at - self._average_time) / 8
+        self._remove(request)
 
     def observe_delay(self, delay: float, now: float) -> None:
         """Take in how late the process ran a timer, seconds.
@@ -184,21 +184,21 @@
         for a while, by a tenth of what is held; as in congestion control it
         grows again by steps.
         """
-        if delay <= self._policy.most_delay:
+        if delay <= self._policy.max_delay:
             self._late_since = None
         elif self._late_since is None:
             self._late_since = now
         if now - self._adjusted_at < self._policy.adjust_period:
             return
         self._adjusted_at = now
-        most, least = self._policy.most_requests, self._policy.least_requests
+        most, least = self._policy.max_requests, self._policy.min_requests
         if self._late_since is None:
             self._bound = min(most, self._bound + most / 32)
-        elif now - self._late_since >= self._policy.late_time:
-            base = min(self._bound, max(len(self._held), least))
+        elif now - self._late_since >= self._policy.shrink_after:
+            base = min(self._bound, max(len(self._admitted), least))
             self._bound = max(least, base * SHRINK_FACTOR)
 
-    def _get_rival(self, team: str) -> str | None:
+    def _choose_victim(self, team: str) -> str | None:
         """Return the team that has to make room for `team`, or None."""
         active = {name for name, held in self._counts.items() if held} | {team}
         per_weight = self._bound / sum(map(self._get_weight, active))
@@ -218,16 +218,16 @@
     def _get_weight(self, team: str) -> float:
         return self._weights.get(team, DEFAULT_WEIGHT)
 
-    def _take(self, request: int, team: str, now: float) -> Admit:
-        self._held[request] = _Held(team, now)
+    def _admit(self, request: int, team: str, now: float) -> Admit:
+        self._admitted[request] = _Admitted(team, now)
         self._waiting[team][request] = None
         self._counts[team] += 1
         return Admit(request)
 
-    def _forget(self, request: int) -> None:
-        held = self._held.pop(request)
+    def _remove(self, request: int) -> None:
+        held = self._admitted.pop(request)
         self._waiting[held.team].pop(request, None)
         self._counts[held.team] -= 1
 
     def _refuse(self, request: int, reason: AdmissionReason) -> RefuseRequest:
-        return RefuseRequest(request, reason, max(LEAST_RETRY_AFTER, self._hold_time))
+        return RefuseRequest(request, reason, max(MIN_RETRY_AFTER, self._average_time))
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-UNCOUNTED = 0
+UNADMITTED = 0
 """Number of a request that goes on although it was not taken on."""
 
 DELAY_PERIOD = 0.1
@@ -33,7 +33,7 @@
 _Value = TypeVar("_Value")
 
 
-class PutOut(Exception):
+class Evicted(Exception):
     """Raised in a request that waits when it must not wait any more.
 
     Parameters
@@ -75,18 +75,18 @@
         if self._error is not None:
             deferred.cancel()
             deferred.addErrback(lambda _: None)
-            raise PutOut(self._error)
+            raise Evicted(self._error)
         self._waiting = deferred
         try:
             return await deferred
         except CancelledError:
             if self._error is not None:
-                raise PutOut(self._error) from None
+                raise Evicted(self._error) from None
             raise
         finally:
             self._waiting = None
 
-    def put_out(self, error: SqlError) -> None:
+    def evict(self, error: SqlError) -> None:
         """Stop the request's waiting; one that runs goes on."""
         self._error = error
         if self._waiting is not None:
@@ -122,9 +122,9 @@
         self._measuring.clock = reactor
 
     @property
-    def held_count(self) -> int:
+    def admitted_count(self) -> int:
         """Requests held, running and waiting."""
-        return self._decider.held_count
+        return self._decider.admitted_count
 
     def start(self) -> None:
         """Begin to measure the delay inside the process."""
@@ -155,7 +155,7 @@
         actions = self._decider.admit(number, team, deadline, self._seconds())
         for action in actions:
             if isinstance(action, RefuseRequest) and action.request != number:
-                self._tickets[action.request].put_out(_make_error(action))
+                self._tickets[action.request].evict(_make_error(action))
         last = actions[-1]
         if not isinstance(last, Admit):
             return Failure(_make_error(last))
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -96,15 +96,15 @@
     @property
     def search(self) -> TargetSearch:
         """Where and how long to look for a target."""
-        done_by = self.deadline if self.plan.policy else None
+        deadline = self.deadline if self.plan.policy else None
         return TargetSearch(
             self.services,
             self.runtime,
             self.ticket,
             self.give_up_at,
-            done_by,
+            deadline,
             self.demand,
-            self.hold_until,
+            self.wait_until,
         )
 
     @property
@@ -115,7 +115,7 @@
             self.policy.target_latency,
             self.policy.request_timeout,
             self.caller.account,
-            is_retry=self.arrived_at >= self.caller.session.come_back_at,
+            is_retry=self.arrived_at >= self.caller.session.retry_at,
         )
 
     @property
@@ -129,13 +129,13 @@
         return self.arrived_at + self.policy.target_timeout
 
     @property
-    def hold_until(self) -> float:
+    def wait_until(self) -> float:
         """When it is refused if no database can take it, by the node's clock."""
         policy, is_crowded = self.policy, self.services.is_crowded()
-        hold = compute_target_wait(
+        wait = compute_target_wait(
             policy.target_timeout, policy.target_latency, is_crowded
         )
-        return self.arrived_at + hold
+        return self.arrived_at + wait
 
 
 async def confirm_commit(
@@ -178,8 +178,8 @@
 ) -> None:
     """Send the rest of an answer and say that the caller may go on."""
     caller = context.caller
-    caller.session.come_back_at = math.inf
-    parts = [sink.take_held()]
+    caller.session.retry_at = math.inf
+    parts = [sink.take_buffered()]
     if has_new_token:
         parts.append(context.services.protocol.encode_token(caller))
     parts.append(tail)
@@ -193,7 +193,7 @@
     """Answer with an error."""
     caller = context.caller
     wait = error.retry_after or math.inf
-    caller.session.come_back_at = context.services.seconds() + wait
+    caller.session.retry_at = context.services.seconds() + wait
     caller.send_error(error)
     caller.send_ready(status)
     outcome = _OUTCOMES.get(error.sqlstate)
@@ -218,7 +218,7 @@
     # Only where a request has a policy of its own does its route have a priority.
     policy = context.plan.policy
     priority = policy.priority if policy else None
-    verdict = name_refusal(reason) if step is RequestStep.NOT_RUN else ""
+    verdict = classify_refusal(reason) if step is RequestStep.NOT_RUN else ""
     if not services.events.reserve_line(step):
         shared = SharedDecision(
             step, reason, view.term, view.primary, priority, verdict
@@ -295,12 +295,12 @@
         bool(context.caller.account),
         is_served,
         is_served and elapsed <= policy.target_latency,
-        name_refusal(reason) if is_refused else "",
+        classify_refusal(reason) if is_refused else "",
     )
     services.metrics.count_by_priority(end)
 
 
-def name_refusal(message: str) -> str:
+def classify_refusal(message: str) -> str:
     """Return the reason of a refusal in one word of few, as metrics need it."""
     found = (word for text, word in _REFUSALS.items() if text in message)
     return next(found, OTHER_REASON)
--- a/beryltrack/requests/marked.py
+++ b/beryltrack/requests/at_most_once.py
@@ -58,7 +58,7 @@
 REPEAT_TEXT = "the request identifier was used for another request"
 
 
-class MarkedCourse:
+class AtMostOnceFlow:
     """Carries one marked unit outside of a transaction through to its answer.
 
     Parameters
@@ -69,7 +69,7 @@
 
     def __init__(self, context: RequestContext):
         self._context = context
-        self._request_id = context.plan.marks.request_id
+        self._request_id = context.plan.options.request_id
         self._fingerprint = context.plan.fingerprint
         self._may_have_run = False
 
@@ -143,13 +143,13 @@
         """Run the unit inside the transaction that holds its row, and commit."""
         context, connection = self._context, target.connection
         context.runtime.is_ledger_ready = True
-        sink = AnswerSink(context.caller, max_held=ledger.MAX_RECORDED_ANSWER)
+        sink = AnswerSink(context.caller, max_buffered=ledger.MAX_RECORDED_ANSWER)
         end = await run_plan(connection, context.plan, sink, context.caller)
         if isinstance(end, RunLost):
             return self._drop(target, sink)
         if end.error is not None:
             return await self._end_refused(target, sink, end)
-        frames = b"" if sink.is_answered else sink.get_held()
+        frames = b"" if sink.is_answered else sink.get_buffered()
         is_extended = context.plan.extended is not None
         answer = ledger.make_recorded_answer(is_extended, frames, end.tail)
         # From here on the commit may take effect although its answer is lost.
@@ -206,7 +206,7 @@
         if sink.is_answered:
             self._give_up(make_rolled_back_error("the primary was replaced"))
             return True
-        sink.take_held()
+        sink.take_buffered()
         return False
 
     async def _answer_repeat(self, target: FoundTarget) -> bool:
@@ -215,7 +215,7 @@
         row = await read_row(target.connection, self._request_id)
         is_read = isinstance(row, ledger.LedgerRow)
         target.pool.release(target.connection, is_read)
-        if not is_read or not await confirm_seen(context, target.database):
+        if not is_read or not await confirm_durable(context, target.database):
             self._may_have_run = True
             return False
         if row.fingerprint != self._fingerprint:
@@ -250,7 +250,7 @@
     return ledger.LedgerRow(fingerprint, ledger.decode_answer(answer))
 
 
-async def confirm_seen(context: RequestContext, database: str) -> bool:
+async def confirm_durable(context: RequestContext, database: str) -> bool:
     """Return whether what was just read at a primary will last.
 
     A position sampled now lies after all that was read before. If the sample
@@ -282,7 +282,7 @@
         of it has committed, or since its connection was lost.
     """
     created_at = datetime.now(UTC).isoformat(timespec="seconds")
-    request_id = context.plan.marks.request_id
+    request_id = context.plan.options.request_id
     insert = ledger.format_insert(request_id, COMMIT_FINGERPRINT, created_at)
     text = f"{ledger.CREATE_TABLE}; {insert}"
     end = await run_command(pinned.connection, text)
@@ -336,7 +336,7 @@
 
 async def _probe_ledger(context: RequestContext, target: FoundTarget) -> bool | None:
     """Return whether a request has committed; None if that is still open."""
-    connection, request_id = target.connection, context.plan.marks.request_id
+    connection, request_id = target.connection, context.plan.options.request_id
     opened = await run_command(
         connection, ledger.format_open(request_id, COMMIT_FINGERPRINT, "")
     )
@@ -351,6 +351,6 @@
         ledger.UNDEFINED_TABLE: False,
         ledger.UNIQUE_VIOLATION: True,
     }.get(sqlstate)
-    if has_committed is None or not await confirm_seen(context, target.database):
+    if has_committed is None or not await confirm_durable(context, target.database):
         return None
     return has_committed
--- a/beryltrack/requests/execution.py
+++ b/beryltrack/requests/execution.py
@@ -89,7 +89,7 @@
     if result.error is not None:
         connection.close()
         return result
-    settings.note_applied(connection, caller)
+    settings.record_applied(connection, caller)
     return None
 
 
--- a/beryltrack/requests/course.py
+++ b/beryltrack/requests/flow.py
@@ -32,7 +32,7 @@
     decide_after_failure,
 )
 from beryltrack.requests.protocol import RunLost, RunResult
-from beryltrack.requests.retry import FailedAttempt, may_repeat_refused
+from beryltrack.requests.retry import FailedAttempt, may_retry_refused
 from beryltrack.requests.session import PinnedTransaction
 from beryltrack.requests.sink import AnswerSink
 from beryltrack.requests.targets import FoundTarget, find_target
@@ -43,12 +43,12 @@
 UNPROVEN_TEXT = "the primary's lead was not proven"
 REPLACED_TEXT = "the primary was replaced"
 
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 """Attempts after which a refusal as over a limit is the answer: one in each zone that
 has rights to an account, mostly, and one that met another failure."""
 
 
-class RequestCourse:
+class RequestFlow:
     """Carries one unit outside of a transaction through to its answer.
 
     Parameters
@@ -114,8 +114,8 @@
         return ReadRequest(
             context.arrived_at,
             token,
-            context.plan.marks.max_age,
-            context.plan.marks.reads,
+            context.plan.options.max_age,
+            context.plan.options.reads,
             context.services.zone,
             excluded=self._excluded,
             deadline=context.give_up_at,
@@ -123,7 +123,7 @@
             sequence=next(context.services.sequence),
             account=context.caller.account,
             may_run_unproven=context.services.is_crowded() and not self._lacked_proof,
-            via_zone=context.services.ways.get_zone(context.caller.account),
+            via_zone=context.services.account_owners.get_zone(context.caller.account),
         )
 
     async def _attempt(self, target: FoundTarget) -> tuple[NextStep, str]:
@@ -137,14 +137,14 @@
             self._exclude(target)
             return self._decide_failure(RunFailure(result.is_sent, "")), LOST_TEXT
         if self._is_passed_on:
-            self._sink.take_held()
+            self._sink.take_buffered()
             target.pool.release(target.connection, True, False)
             return NextStep.RETRY, result.error.message
         if result.error is not None:
             step = self._decide_failure(RunFailure(True, result.error.sqlstate))
             if step is not NextStep.ANSWER:
                 self._exclude(target)
-                self._note_refusal(target, result.error)
+                self._record_refusal(target, result.error)
                 self._observe_refusal(target, result.error)
                 is_idle = result.status is TransactionStatus.IDLE
                 target.pool.release(target.connection, is_idle, False)
@@ -163,22 +163,24 @@
         is_refused = result.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED and way
         if not is_refused or self._sink.is_answered:
             return False
-        if self._attempts >= MOST_ATTEMPTS:
+        if self._attempts >= MAX_ATTEMPTS:
             return False
-        return context.services.ways.observe_quota_refusal(context.caller.account, way)
+        return context.services.account_owners.observe_quota_refusal(
+            context.caller.account, way
+        )
 
     async def _run_on(self, target: FoundTarget) -> RunResult:
         """Run the unit on a connection."""
         context = self._context
         protocol, plan = context.services.protocol, context.plan
         if target.proof is not None:
-            self._sink.hold()
+            self._sink.buffer_all()
         self._sent_at = context.services.seconds()
         return await protocol.run(
             target.connection, plan, self._sink, context.caller, target.after
         )
 
-    def _note_refusal(self, target: FoundTarget, error: SqlError) -> None:
+    def _record_refusal(self, target: FoundTarget, error: SqlError) -> None:
         """Keep when another instance says to come back, and whether it is full."""
         if not (target.connection.way and error.retry_after):
             return
@@ -192,7 +194,7 @@
         refusal = self._refusal
         if refusal is None or refusal.sqlstate != TOO_MANY_CONNECTIONS:
             return False
-        return not may_repeat_refused(self._refusals, self._is_at_replica)
+        return not may_retry_refused(self._refusals, self._is_at_replica)
 
     def _observe_refusal(self, target: FoundTarget, error: SqlError) -> None:
         """Take in what a refusal tells of its database."""
@@ -215,7 +217,7 @@
         """Return the step after a failed run; drop what it has answered."""
         step = decide_after_failure(self._get_state(), failure)
         if step is not NextStep.ANSWER:
-            self._sink.take_held()
+            self._sink.take_buffered()
         if failure.sqlstate == READ_ONLY_REFUSAL:
             # What the text showed as a read may write after all.
             self._must_write = True
@@ -227,7 +229,7 @@
             is_read=not self._must_write,
             in_transaction=False,
             is_commit=True,
-            is_marked=False,
+            is_at_most_once=False,
             is_answered=self._sink.is_answered,
         )
 
@@ -249,7 +251,7 @@
             outcome = await confirm_commit(context, end.position, target.database)
             step = decide_after_commit(self._get_state(), outcome)
             if step is not NextStep.ANSWER:
-                self._sink.take_held()
+                self._sink.take_buffered()
                 self._may_have_run = True
                 return step, REPLACED_TEXT
         self._answer(target, end)
@@ -272,7 +274,7 @@
 
     def _drop_unproven(self, target: FoundTarget, end: ResponseEnd) -> None:
         """Drop the answer of a read that may show too little; it runs again."""
-        self._sink.take_held()
+        self._sink.take_buffered()
         self._lacked_proof = self._may_have_run = True
         session = self._context.caller.session
         if end.status is not TransactionStatus.IDLE and session.pinned is not None:
@@ -290,7 +292,7 @@
             context.runtime.task.observe_position(
                 target.database, end.position, shown_at
             )
-            if end.error is None and protocol.proves_lead(context.plan):
+            if end.error is None and protocol.proves_leadership(context.plan):
                 context.runtime.task.observe_leadership(
                     target.database, end.position, self._sent_at
                 )
--- a/beryltrack/requests/forward_form.py
+++ b/beryltrack/requests/forward_encoding.py
@@ -25,7 +25,7 @@
 STATEMENT = "S"
 
 
-class StatementForm(NamedTuple):
+class ForwardedStatement(NamedTuple):
     """A prepared statement by the caller's name for it.
 
     Parameters
@@ -69,7 +69,7 @@
     token: str
     is_tracked: bool
     wire: bytes
-    statements: tuple[StatementForm, ...]
+    statements: tuple[ForwardedStatement, ...]
 
 
 class ForwardedEffects(NamedTuple):
@@ -84,7 +84,7 @@
     """
 
     token: str
-    statements: tuple[StatementForm, ...]
+    statements: tuple[ForwardedStatement, ...]
 
 
 def encode_request(request: Request, caller: Caller) -> bytes:
@@ -109,7 +109,7 @@
     try:
         fields = cbor2.loads(data)
         request = ForwardedRequest(*fields)
-        statements = tuple(StatementForm(*item) for item in request.statements)
+        statements = tuple(ForwardedStatement(*item) for item in request.statements)
     except (cbor2.CBORError, TypeError, ValueError) as error:
         return None, [Finding("forwarded request", "", f"cannot be read: {error}")]
     checks = (
@@ -144,11 +144,11 @@
     )
 
 
-def apply_effects_form(data: bytes, caller: Caller) -> list[Finding]:
+def apply_encoded_effects(data: bytes, caller: Caller) -> list[Finding]:
     """Take over what a unit has changed; return what is wrong with the form."""
     try:
         effects = ForwardedEffects(*cbor2.loads(data))
-        changes = [StatementForm(*item) for item in effects.statements]
+        changes = [ForwardedStatement(*item) for item in effects.statements]
         token, findings = parse_token(effects.token)
     except (cbor2.CBORError, TypeError, ValueError) as error:
         return [Finding("forwarded effects", "", f"cannot be read: {error}")]
@@ -169,18 +169,18 @@
 
 def get_statements(
     table: StatementTable, names: tuple[str, ...]
-) -> tuple[StatementForm, ...]:
+) -> tuple[ForwardedStatement, ...]:
     """Return what names mean in a table."""
     found = ((name, table.get(name)) for name in names)
     return tuple(
-        StatementForm(name, None, ())
+        ForwardedStatement(name, None, ())
         if statement is None
-        else StatementForm(name, statement.text, statement.types)
+        else ForwardedStatement(name, statement.text, statement.types)
         for name, statement in found
     )
 
 
-def set_statements(table: StatementTable, changes: list[StatementForm]) -> None:
+def set_statements(table: StatementTable, changes: list[ForwardedStatement]) -> None:
     """Let names mean what they were found to mean elsewhere."""
     for name, text, types in changes:
         if text is None:
--- a/beryltrack/requests/forward_course.py
+++ b/beryltrack/requests/forward_flow.py
@@ -15,7 +15,7 @@
 from beryltrack.findings import format_finding
 from beryltrack.peers.forward_messages import ForwardOutcome, ForwardResult
 from beryltrack.requests.answers import RequestContext, make_step_error, send_failure
-from beryltrack.requests.forward_form import apply_effects_form, encode_request
+from beryltrack.requests.forward_encoding import apply_encoded_effects, encode_request
 from beryltrack.requests.outcomes import NextStep
 from beryltrack.requests.sink import AnswerSink
 from beryltrack.routing.messages import StatementKind
@@ -67,14 +67,14 @@
     def __init__(self, forwarder: RequestForwarder):
         self._forwarder = forwarder
 
-    def takes(self, context: RequestContext) -> bool:
+    def should_forward(self, context: RequestContext) -> bool:
         """Return whether an owner of the group is to run a unit."""
         is_owner = self._forwarder.is_owner(context.runtime.settings.name)
         return is_forwardable(context.plan.kind) and not is_owner
 
     async def run(self, context: RequestContext) -> None:
         """Have an owner run a unit, and answer the caller."""
-        await ForwardCourse(context, self._forwarder).run()
+        await ForwardFlow(context, self._forwarder).run()
 
 
 class ForwardSink:
@@ -124,7 +124,7 @@
             self.stream.consume(size)
 
 
-class ForwardCourse:
+class ForwardFlow:
     """Carries one unit to an owner and its answer back.
 
     Parameters
@@ -198,14 +198,14 @@
             return NextStep.RETRY if is_repeatable else NextStep.ROLLED_BACK
         # The ledger keeps a marked request that has run from running again.
         self._may_have_run = True
-        is_retried = plan.is_marked and is_repeatable
+        is_retried = plan.is_at_most_once and is_repeatable
         return NextStep.RETRY if is_retried else NextStep.UNKNOWN
 
     def _answer(self, result: ForwardResult) -> None:
         """Pass the rest of the answer on and take over what it changed."""
         caller = self._context.caller
-        caller.write(self._sink.take_held())
-        findings = apply_effects_form(result.trailer, caller)
+        caller.write(self._sink.take_buffered())
+        findings = apply_encoded_effects(result.trailer, caller)
         if findings:
             text = "; ".join(map(format_finding, findings))
             raise RuntimeError(f"an owner's answer cannot be read: {text}")
@@ -219,7 +219,7 @@
 
     def _fail(self, error: SqlError) -> None:
         """Answer with an error."""
-        self._sink.take_held()
+        self._sink.take_buffered()
         if self._is_cancelled and self._context.plan.is_read:
             error = make_rolled_back_error("canceled on the client's request")
             error = error._replace(sqlstate=QUERY_CANCELED)
--- a/beryltrack/requests/forward_handler.py
+++ b/beryltrack/requests/forward_handler.py
@@ -20,7 +20,7 @@
     StartRequest,
 )
 from beryltrack.peers.forwarder import ForwardWriter
-from beryltrack.requests.forward_form import (
+from beryltrack.requests.forward_encoding import (
     ForwardedRequest,
     decode_request,
     encode_effects,
--- a/beryltrack/requests/ledger_cleaner.py
+++ b/beryltrack/requests/ledger_cleaner.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import LoopingCall
 
-from beryltrack.requests.admission_task import UNCOUNTED, Ticket
+from beryltrack.requests.admission_task import UNADMITTED, Ticket
 from beryltrack.requests.execution import run_command
 from beryltrack.requests.ledger import UNDEFINED_TABLE, format_removal
 from beryltrack.requests.protocol import RunLost
@@ -100,7 +100,7 @@
         True if the removal was run. Rows that stay are removed another time.
     """
     arrived_at = services.seconds()
-    ticket = Ticket(UNCOUNTED, services.admission)
+    ticket = Ticket(UNADMITTED, services.admission)
     give_up_at = arrived_at + services.policy.target_timeout
     search = TargetSearch(services, runtime, ticket, give_up_at)
     found = await find_target(search, WriteRequest(arrived_at))
--- a/beryltrack/requests/losses.py
+++ b/beryltrack/requests/losses.py
@@ -44,16 +44,16 @@
 DEFAULT_POLICY = LossPolicy()
 
 
-def never_slept(since: float) -> float:
+def never_paused(since: float) -> float:
     """Return that this process was not paused."""
     return 0.0
 
 
-def get_lost(
+def get_lost_databases(
     view: GroupView,
     now: float,
     policy: LossPolicy = DEFAULT_POLICY,
-    get_paused_time: Callable[[float], float] = never_slept,
+    get_paused_time: Callable[[float], float] = never_paused,
 ) -> tuple[str, ...]:
     """Return the names of the databases whose connections are beyond hope.
 
@@ -124,7 +124,7 @@
         self._reactor = reactor
         self._policy = policy
         self._seconds = get_monotonic_clock(reactor)
-        self._awake = get_pause_aware_clock(reactor)
+        self._pause_aware_clock = get_pause_aware_clock(reactor)
         self._task = task
         self._pools = pools
         self._timer: IDelayedCall | None = None
@@ -132,8 +132,8 @@
 
     def observe_view(self, view: GroupView) -> None:
         """Close what is beyond hope, and look again while a database is silent."""
-        lost = get_lost(
-            view, self._seconds(), self._policy, self._awake.get_paused_time
+        lost = get_lost_databases(
+            view, self._seconds(), self._policy, self._pause_aware_clock.get_paused_time
         )
         for name in self._pools.keys() & lost:
             if self._pools[name].load.open:
@@ -144,8 +144,8 @@
             self._pools[name].load.open for name in self._pools.keys() & silent
         )
         if has_work and self._timer is None:
-            self._timer = self._reactor.callLater(self._policy.grace, self._look_again)
+            self._timer = self._reactor.callLater(self._policy.grace, self._check_again)
 
-    def _look_again(self) -> None:
+    def _check_again(self) -> None:
         self._timer = None
         self.observe_view(self._task.view)
--- a/beryltrack/requests/outcomes.py
+++ b/beryltrack/requests/outcomes.py
@@ -52,7 +52,7 @@
     is_commit : bool
         True if the run would have made changes last: outside of an explicit
         transaction, or a ``COMMIT``.
-    is_marked : bool
+    is_at_most_once : bool
         True if it carries an identifier and is marked as non-idempotent.
     is_answered : bool
         True if a part of the answer has gone to the caller.
@@ -61,7 +61,7 @@
     is_read: bool
     in_transaction: bool
     is_commit: bool
-    is_marked: bool
+    is_at_most_once: bool
     is_answered: bool
 
 
@@ -108,7 +108,7 @@
         return NextStep.ROLLED_BACK
     if not failure.is_sent:
         return NextStep.RETRY
-    return NextStep.RESOLVE if state.is_marked else NextStep.UNKNOWN
+    return NextStep.RESOLVE if state.is_at_most_once else NextStep.UNKNOWN
 
 
 def _decide_after_refusal(state: RequestState) -> NextStep:
@@ -142,6 +142,6 @@
     if outcome == CommitOutcome.CONFIRMED:
         return NextStep.ANSWER
     if outcome == CommitOutcome.UNKNOWN:
-        return NextStep.RESOLVE if state.is_marked else NextStep.UNKNOWN
+        return NextStep.RESOLVE if state.is_at_most_once else NextStep.UNKNOWN
     is_repeatable = not state.in_transaction and not state.is_answered
     return NextStep.RETRY if is_repeatable else NextStep.ROLLED_BACK
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -14,7 +14,7 @@
 from beryltrack.pause_aware_clock import get_pause_aware_clock
 from beryltrack.requests.runtime import GroupRuntime
 
-LOOK_PERIOD = 0.05
+CHECK_PERIOD = 0.05
 """Seconds between two looks; each is a turn of the process, see `PauseAwareClock`."""
 
 LATE_AFTER = 0.12
@@ -53,45 +53,45 @@
         is_silent: Callable[[PooledConnection], bool] = lambda connection: False,
         late_after: float = LATE_AFTER,
     ):
-        self._awake = get_pause_aware_clock(reactor)
+        self._pause_aware_clock = get_pause_aware_clock(reactor)
         self._seconds = seconds
         self._get_runtimes = get_runtimes
         self._give_up = give_up
         self._is_silent = is_silent
         self._late_after = late_after
-        self._looking = LoopingCall(self.look)
-        self._looking.clock = reactor
+        self._checking = LoopingCall(self.check)
+        self._checking.clock = reactor
 
     def start(self) -> None:
         """Begin to look."""
-        self._awake.start_detection()
-        self._looking.start(LOOK_PERIOD, now=False)
+        self._pause_aware_clock.start_detection()
+        self._checking.start(CHECK_PERIOD, now=False)
 
     def stop(self) -> None:
         """Look no more."""
-        if self._looking.running:
-            self._looking.stop()
-            self._awake.stop_detection()
+        if self._checking.running:
+            self._checking.stop()
+            self._pause_aware_clock.stop_detection()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at all requests that run.
 
         Right after a pause of this process nothing is late: what was answered
         meanwhile has yet to be read.
         """
-        if self._awake.is_resuming:
+        if self._pause_aware_clock.is_resuming:
             return
         for runtime in self._get_runtimes():
             for name, pool in runtime.pools.items():
                 for connection in pool.get_running():
-                    self._look_at(connection, runtime, name)
+                    self._check_connection(connection, runtime, name)
 
-    def _look_at(
+    def _check_connection(
         self, connection: PooledConnection, runtime: GroupRuntime, database: str
     ) -> None:
         """Give up what is far too late; what is late makes its database suspect."""
         since = connection.run_since
-        ran = self._seconds() - since - self._awake.get_paused_time(since)
+        ran = self._seconds() - since - self._pause_aware_clock.get_paused_time(since)
         is_over = ran > connection.run_until - since
         if is_over or (ran > SILENT_AFTER and self._is_silent(connection)):
             self._give_up(connection)
--- a/beryltrack/requests/pinned.py
+++ b/beryltrack/requests/pinned.py
@@ -16,7 +16,7 @@
     send_answer,
     send_failure,
 )
-from beryltrack.requests.course import LOST_TEXT, REPLACED_TEXT
+from beryltrack.requests.flow import LOST_TEXT, REPLACED_TEXT
 from beryltrack.requests.outcomes import (
     NextStep,
     RequestState,
@@ -76,7 +76,12 @@
     """Return whether the unit commits a transaction that is marked."""
     is_open = context.caller.status is TransactionStatus.IN_TRANSACTION
     is_commit = context.plan.kind is StatementKind.COMMIT
-    return is_open and is_commit and context.plan.is_marked and not pinned.is_read_only
+    return (
+        is_open
+        and is_commit
+        and context.plan.is_at_most_once
+        and not pinned.is_read_only
+    )
 
 
 def _get_state(
@@ -87,7 +92,7 @@
         is_read=pinned.is_read_only,
         in_transaction=True,
         is_commit=context.plan.kind is StatementKind.COMMIT,
-        is_marked=context.plan.is_marked,
+        is_at_most_once=context.plan.is_at_most_once,
         is_answered=sink.is_answered,
     )
 
--- a/beryltrack/requests/plan.py
+++ b/beryltrack/requests/plan.py
@@ -48,7 +48,7 @@
         The text of its statements.
     extended : ExtendedPlan or None
         Which statements a batch uses; None for a simple query.
-    marks : RequestOptions
+    options : RequestOptions
         What is asked for it beside its statements.
     """
 
@@ -56,12 +56,12 @@
     kind: StatementKind
     text: str
     extended: ExtendedPlan | None
-    marks: RequestOptions
+    options: RequestOptions
 
     @property
     def request_id(self) -> str:
         """The caller's identifier of it; empty if it has none."""
-        return self.marks.request_id
+        return self.options.request_id
 
     @property
     def policy(self) -> RequestPolicy | None:
@@ -74,9 +74,9 @@
         return self.kind not in _FOR_PRIMARY
 
     @property
-    def is_marked(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """True if it must run at most once and carries an identifier."""
-        has_identifier = bool(self.marks.request_id) and not self.marks.idempotent
+        has_identifier = bool(self.options.request_id) and not self.options.idempotent
         return has_identifier and self.kind in _CHANGING
 
     @property
@@ -131,15 +131,15 @@
     if kind is StatementKind.UNSUPPORTED:
         hint = "Connections to targets are shared between callers."
         return Failure(make_unsupported_error("this statement is not supported", hint))
-    marks, findings = get_request_options(
+    options, findings = get_request_options(
         caller.settings, text, group, rules, caller.user
     )
     if findings:
-        return Failure(make_marks_error(findings))
-    return Success(RequestPlan(request, kind, text, extended, marks))
+        return Failure(make_options_error(findings))
+    return Success(RequestPlan(request, kind, text, extended, options))
 
 
-def make_marks_error(findings: list[Finding]) -> SqlError:
+def make_options_error(findings: list[Finding]) -> SqlError:
     """Return the error of a request whose marks or token are malformed."""
     text = "; ".join(format_finding(finding) for finding in findings)
     return SqlError(INVALID_PARAMETER_VALUE, text, "The request was not run.")
--- a/beryltrack/requests/postgres.py
+++ b/beryltrack/requests/postgres.py
@@ -15,12 +15,12 @@
 from beryltrack.errors import SqlError, make_refusal
 from beryltrack.groups.messages import LogPosition
 from beryltrack.requests.answers import RequestContext
-from beryltrack.requests.execution import apply_settings, run_plan
-from beryltrack.requests.marked import (
-    MarkedCourse,
+from beryltrack.requests.at_most_once import (
+    AtMostOnceFlow,
     insert_for_commit,
     resolve_commit,
 )
+from beryltrack.requests.execution import apply_settings, run_plan
 from beryltrack.requests.plan import RequestPlan, plan_request
 from beryltrack.requests.protocol import RunResult
 from beryltrack.requests.session import PinnedTransaction
@@ -116,15 +116,15 @@
         self, plan: RequestPlan, caller: Caller, connection: TargetConnection
     ) -> None:
         """Keep a setting that was changed outside of a transaction."""
-        if _note_setting(plan, caller):
-            self.settings.note_applied(connection, caller)
+        if _record_setting(plan, caller):
+            self.settings.record_applied(connection, caller)
 
     def observe_pinned(self, plan: RequestPlan, caller: Caller) -> None:
         """Keep a setting that was changed on the transaction's connection."""
-        if _note_setting(plan, caller):
+        if _record_setting(plan, caller):
             caller.session.has_changed_settings = True
 
-    def proves_lead(self, plan: RequestPlan) -> bool:
+    def proves_leadership(self, plan: RequestPlan) -> bool:
         """Return False: a replaced primary does not know of it at once."""
         return False
 
@@ -147,9 +147,9 @@
         token = format_token(caller.session.token)
         return ParameterStatus(SESSION_SETTING, token).to_wire()
 
-    async def run_marked(self, context: RequestContext) -> None:
+    async def run_at_most_once(self, context: RequestContext) -> None:
         """Run a marked unit outside of a transaction, at most once."""
-        await MarkedCourse(context).run()
+        await AtMostOnceFlow(context).run()
 
     async def insert_for_commit(
         self, context: RequestContext, pinned: PinnedTransaction
@@ -162,7 +162,7 @@
         await resolve_commit(context)
 
 
-def _note_setting(plan: RequestPlan, caller: Caller) -> bool:
+def _record_setting(plan: RequestPlan, caller: Caller) -> bool:
     """Keep what a unit that was run has set; False if it sets nothing."""
     if plan.kind is not StatementKind.SESSION_SET:
         return False
--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -91,7 +91,7 @@
         """The kind of its statements together."""
 
     @property
-    def marks(self) -> RequestOptions:
+    def options(self) -> RequestOptions:
         """What is asked for it beside its statements."""
 
     @property
@@ -103,7 +103,7 @@
         """True if a replica may run it, outside of a transaction."""
 
     @property
-    def is_marked(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """True if it must run at most once and carries an identifier."""
 
     @property
@@ -156,7 +156,7 @@
 class UnitForwarder(Protocol):
     """Passes units on to other instances."""
 
-    def takes(self, context: "RequestContext") -> bool:
+    def should_forward(self, context: "RequestContext") -> bool:
         """Return whether another instance is to run a unit."""
 
     async def run(self, context: "RequestContext") -> None:
@@ -218,7 +218,7 @@
     def observe_pinned(self, plan: UnitPlan, caller: UnitCaller) -> None:
         """Keep what a unit has changed inside of a transaction."""
 
-    def proves_lead(self, plan: UnitPlan) -> bool:
+    def proves_leadership(self, plan: UnitPlan) -> bool:
         """Return whether a database that ran a unit without an error says it leads.
 
         What that word proves depends on the databases; see `LeadershipProof`.
@@ -236,7 +236,7 @@
     def encode_token(self, caller: UnitCaller) -> bytes:
         """Return what tells a caller its session's new token; may be empty."""
 
-    async def run_marked(self, context: "RequestContext") -> None:
+    async def run_at_most_once(self, context: "RequestContext") -> None:
         """Run a marked unit outside of a transaction, at most once."""
 
     async def insert_for_commit(
@@ -248,7 +248,7 @@
         """Find out whether a marked transaction has committed, and answer."""
 
 
-class UnmarkedProtocol:
+class ProtocolWithoutRequestIds:
     """What a protocol answers whose statements carry no identifier of their own.
 
     A session is a connection there: its state needs no token, and what a connection
@@ -267,7 +267,7 @@
         """Return nothing: a session is a connection here."""
         return b""
 
-    async def run_marked(self, context: "RequestContext") -> None:
+    async def run_at_most_once(self, context: "RequestContext") -> None:
         """Never called: no statement of this protocol is marked."""
         raise NotImplementedError
 
--- a/beryltrack/requests/retry.py
+++ b/beryltrack/requests/retry.py
@@ -10,7 +10,7 @@
 
 from returns.maybe import Maybe, Nothing, Some
 
-MOST_REPEATS_ELSEWHERE = 1
+MAX_RETRIES_ELSEWHERE = 1
 """Repeats of a request that instances refuse which are full."""
 
 
@@ -21,23 +21,23 @@
     ----------
     ratio : float
         Retries that each request adds to the budget.
-    most_saved : float
+    max_tokens : float
         Most retries that the budget holds.
-    first_saved : float
+    initial_tokens : float
         Retries that the budget starts with, so that a primary that is lost
         soon after the start does not refuse the few requests of a quiet site.
-    most_attempts : int
+    max_attempts : int
         Most attempts of one request, the first one included.
-    first_delay, most_delay : float
+    first_delay, max_delay : float
         Bounds of the back-off, seconds.
     """
 
     ratio: float = 0.1
-    most_saved: float = 20.0
-    first_saved: float = 0.0
-    most_attempts: int = 4
+    max_tokens: float = 20.0
+    initial_tokens: float = 0.0
+    max_attempts: int = 4
     first_delay: float = 0.02
-    most_delay: float = 1.0
+    max_delay: float = 1.0
 
 
 class FailedAttempt(NamedTuple):
@@ -58,7 +58,7 @@
     retry_after: float = 0.0
 
 
-def may_repeat_refused(refusals: int, is_at_replica: bool) -> bool:
+def may_retry_refused(refusals: int, is_at_replica: bool) -> bool:
     """Return whether what a full instance refused is run again, at another database.
 
     The same one would refuse it again, as its queue has moved on by a statement or two.
@@ -70,7 +70,7 @@
     is_at_replica : bool
         True if the last one did so for a replica: another database may take it.
     """
-    return is_at_replica and refusals <= MOST_REPEATS_ELSEWHERE
+    return is_at_replica and refusals <= MAX_RETRIES_ELSEWHERE
 
 
 class RetryBudget:
@@ -87,7 +87,7 @@
     def __init__(self, policy: RetryPolicy, rng: random.Random):
         self._policy = policy
         self._rng = rng
-        self._tokens = policy.first_saved
+        self._tokens = policy.initial_tokens
 
     @property
     def tokens(self) -> float:
@@ -97,7 +97,7 @@
     def observe_request(self) -> None:
         """Take in a new request of a caller."""
         saved = self._tokens + self._policy.ratio
-        self._tokens = min(self._policy.most_saved, saved)
+        self._tokens = min(self._policy.max_tokens, saved)
 
     def draw(self) -> bool:
         """Return whether one more way is tried at once; it has drawn on the budget."""
@@ -128,7 +128,7 @@
             Seconds to wait before the next attempt; Nothing if the failure is
             the answer. A retry that is chosen has drawn on the budget.
         """
-        if not attempt.is_not_run or attempt.number >= self._policy.most_attempts:
+        if not attempt.is_not_run or attempt.number >= self._policy.max_attempts:
             return Nothing
         delay = max(attempt.retry_after, self._compute_delay(attempt.number))
         if now + delay + needed > deadline or not self.draw():
@@ -138,4 +138,4 @@
     def _compute_delay(self, attempt: int) -> float:
         """Return a delay between half and all of a time that doubles."""
         doubled = self._policy.first_delay * 2 ** (attempt - 1)
-        return min(doubled, self._policy.most_delay) * self._rng.uniform(0.5, 1.0)
+        return min(doubled, self._policy.max_delay) * self._rng.uniform(0.5, 1.0)
--- a/beryltrack/requests/runtime.py
+++ b/beryltrack/requests/runtime.py
@@ -13,7 +13,7 @@
 from beryltrack.routing.refresh import AgeRefresher
 from beryltrack.settings.messages import DatabaseSettings, GroupSettings
 
-LOOK_PERIOD = 0.02
+RECHECK_PERIOD = 0.02
 """Seconds after which a waiting request looks at the view again, even if no
 change was told: the proofs that a view carries move without being told."""
 
@@ -57,7 +57,7 @@
         self._reachable: frozenset[str] = frozenset()
         self._losses = LossWatch(reactor, task, pools, losses)
         self._refresher = AgeRefresher(reactor, task, SAMPLE_TIMEOUT)
-        task.subscribe(self._tell_change)
+        task.subscribe(self._handle_change)
 
     @property
     def view(self) -> GroupView:
@@ -65,7 +65,7 @@
         return self.task.view
 
     @property
-    def held(self) -> int:
+    def waiting_count(self) -> int:
         """Requests that wait for a change of what is known of the group."""
         return len(self._waiting)
 
@@ -125,7 +125,7 @@
             for item, pool in pairs
         )
 
-    def refresh_ages(self) -> None:
+    def refresh_freshness(self) -> None:
         """Have the ages of replicas proven anew, for the reads to come."""
         self._refresher.refresh()
 
@@ -134,10 +134,10 @@
         waiting: Deferred[None] = Deferred()
         self._waiting.append(waiting)
         if len(self._waiting) == 1:
-            self._reactor.callLater(LOOK_PERIOD, self._tell_change, self.view)
+            self._reactor.callLater(RECHECK_PERIOD, self._handle_change, self.view)
         return waiting
 
-    def _tell_change(self, view: GroupView) -> None:
+    def _handle_change(self, view: GroupView) -> None:
         """Follow what databases want, and wake the requests that wait."""
         self._end_backoffs(view)
         members = (item for item in view.databases if item.name in self.pools)
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -14,11 +14,11 @@
 from beryltrack.requests.retry import RetryBudget, RetryPolicy
 from beryltrack.routing.decider import DEFAULT_POLICY, RoutingPolicy
 
-RETRIES = RetryPolicy(first_saved=10.0)
+DEFAULT_RETRIES = RetryPolicy(initial_tokens=10.0)
 """An instance may make ten retries before requests have filled its budget."""
 
 
-class AccountWays(Protocol):
+class AccountOwners(Protocol):
     """Which instances run the operations of accounts."""
 
     def observe_quota_refusal(self, account: str, way: str) -> bool:
@@ -31,7 +31,7 @@
         """Return the availability zone in which the next one runs; empty if unknown."""
 
 
-class NoWays:
+class NoAccountOwners:
     """Where there are no accounts all instances run all operations."""
 
     def observe_quota_refusal(self, account: str, way: str) -> bool:
@@ -43,7 +43,7 @@
         return ""
 
 
-NO_WAYS = NoWays()
+NO_ACCOUNT_OWNERS = NoAccountOwners()
 
 
 class RequestServices(NamedTuple):
@@ -73,7 +73,7 @@
         The limits by which targets are chosen.
     events : RequestEvents
         Logs the decisions about requests.
-    ways : AccountWays
+    account_owners : AccountWays
         Which instances run the operations of accounts.
     is_crowded : callable
         Says whether instances outnumber what the databases take.
@@ -90,7 +90,7 @@
     sequence: Iterator[int]
     routing: RoutingPolicy = DEFAULT_POLICY
     events: RequestEvents = NullRequestEvents()
-    ways: AccountWays = NO_WAYS
+    account_owners: AccountOwners = NO_ACCOUNT_OWNERS
     is_crowded: Callable[[], bool] = lambda: False
 
 
@@ -103,9 +103,9 @@
     policy: RequestPolicy | None = None,
     routing: RoutingPolicy = DEFAULT_POLICY,
     events: RequestEvents | None = None,
-    retries: RetryPolicy = RETRIES,
+    retries: RetryPolicy = DEFAULT_RETRIES,
     admission: AdmissionPolicy | None = None,
-    ways: AccountWays = NO_WAYS,
+    account_owners: AccountOwners = NO_ACCOUNT_OWNERS,
     is_crowded: Callable[[], bool] = lambda: False,
 ) -> RequestServices:
     """Return the services of one instance.
@@ -132,7 +132,7 @@
         When a request is repeated.
     admission : AdmissionPolicy, optional
         How many requests are taken on.
-    ways : AccountWays, optional
+    account_owners : AccountWays, optional
         Which instances run the operations of accounts.
     is_crowded : callable, optional
         Says whether instances outnumber what the databases take.
@@ -154,6 +154,6 @@
         count(),
         routing,
         events or NullRequestEvents(),
-        ways,
+        account_owners,
         is_crowded,
     )
--- a/beryltrack/requests/session.py
+++ b/beryltrack/requests/session.py
@@ -62,7 +62,7 @@
     opened_by : str
         Identifier of the last request that began outside of a transaction; it opened
         the one that is open.
-    come_back_at : float
+    retry_at : float
         When its caller was told to come back, by the node's clock; infinite if its last
         request was not refused.
     """
@@ -74,7 +74,7 @@
     has_written: bool = False
     written_at: float = -math.inf
     opened_by: str = ""
-    come_back_at: float = math.inf
+    retry_at: float = math.inf
 
     def get_known_position(self, group: str) -> LogPosition | None:
         """Return what the session has written in a group, None if unknown."""
--- a/beryltrack/requests/sink.py
+++ b/beryltrack/requests/sink.py
@@ -9,7 +9,7 @@
 
 from beryltrack.wire.messages import Producer, ResponseSink
 
-MAX_HELD_BYTES = 32768
+MAX_BUFFERED_BYTES = 32768
 """Most bytes that are held back before the answer begins to stream."""
 
 
@@ -20,15 +20,15 @@
     ----------
     caller : ResponseSink
         Where the answer goes in the end.
-    max_held : int
+    max_buffered : int
         Most bytes to hold back.
     """
 
-    def __init__(self, caller: ResponseSink, max_held: int = MAX_HELD_BYTES):
+    def __init__(self, caller: ResponseSink, max_buffered: int = MAX_BUFFERED_BYTES):
         self._caller = caller
-        self._max_held = max_held
-        self._held: list[bytes] = []
-        self._held_size = 0
+        self._max_buffered = max_buffered
+        self._buffered: list[bytes] = []
+        self._buffered_size = 0
         self._is_answered = False
 
     @property
@@ -36,34 +36,34 @@
         """True if a part of the answer has gone to the caller."""
         return self._is_answered
 
-    def hold(self) -> None:
+    def buffer_all(self) -> None:
         """Hold back the whole answer: whether it counts is not known yet."""
-        self._max_held = math.inf
+        self._max_buffered = math.inf
 
     def write(self, data: bytes) -> None:
         """Take frames of the answer, in order."""
         if self._is_answered:
             self._caller.write(data)
             return
-        self._held.append(bytes(data))
-        self._held_size += len(data)
-        if self._held_size > self._max_held:
+        self._buffered.append(bytes(data))
+        self._buffered_size += len(data)
+        if self._buffered_size > self._max_buffered:
             self.flush()
 
     def flush(self) -> None:
         """Pass on what was held back; from now on the answer streams."""
         self._is_answered = True
-        self._caller.write(self.take_held())
+        self._caller.write(self.take_buffered())
 
-    def get_held(self) -> bytes:
+    def get_buffered(self) -> bytes:
         """Return what is held back, and go on holding it."""
-        return b"".join(self._held)
+        return b"".join(self._buffered)
 
-    def take_held(self) -> bytes:
+    def take_buffered(self) -> bytes:
         """Return what was held back, and hold it no longer."""
-        held = b"".join(self._held)
-        self._held.clear()
-        self._held_size = 0
+        held = b"".join(self._buffered)
+        self._buffered.clear()
+        self._buffered_size = 0
         return held
 
     def attach(self, producer: Producer) -> None:
--- a/beryltrack/requests/target_settings.py
+++ b/beryltrack/requests/target_settings.py
@@ -53,7 +53,7 @@
         )
         return "; ".join([*gone, *changed])
 
-    def note_applied(self, connection: TargetConnection, caller: Caller) -> None:
+    def record_applied(self, connection: TargetConnection, caller: Caller) -> None:
         """Note that a connection now has a caller's settings."""
         self._applied[connection] = get_target_settings(caller)
 
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -21,7 +21,7 @@
 from beryltrack.groups.messages import LogPosition
 from beryltrack.load.ingress_admission import may_wait_for_target
 from beryltrack.load.messages import DEFAULT_DEMAND, Demand
-from beryltrack.requests.admission_task import PutOut, Ticket
+from beryltrack.requests.admission_task import Evicted, Ticket
 from beryltrack.requests.runtime import GroupRuntime
 from beryltrack.requests.services import RequestServices
 from beryltrack.routing.decider import choose_target, compute_needed_time
@@ -85,12 +85,12 @@
         The request, which may be put out while it waits.
     give_up_at : float
         Time, by the node's clock, at which the request is refused.
-    done_by : float or None
+    deadline : float or None
         Time, by the node's clock, by which it must be done, where that is bounded
         by its own policy; None for `give_up_at`.
     demand : Demand
         What it asks of its database, counted from its arrival.
-    hold_until : float
+    wait_until : float
         Time, by the node's clock, until which it waits for a change of the group while
         no database can take it; a proof that one can is waited for until `give_up_at`.
     """
@@ -99,13 +99,13 @@
     runtime: GroupRuntime
     ticket: Ticket
     give_up_at: float
-    done_by: float | None = None
+    deadline: float | None = None
     demand: Demand = DEFAULT_DEMAND
-    hold_until: float = math.inf
+    wait_until: float = math.inf
 
     def may_wait(self, now: float) -> bool:
         """Return whether it waits for a change of the group."""
-        return now < min(self.give_up_at, self.hold_until)
+        return now < min(self.give_up_at, self.wait_until)
 
 
 async def find_target(
@@ -128,8 +128,8 @@
     search.runtime.ensure_started()
     try:
         found = await _search(search, request)
-    except PutOut as put_out:
-        return Failure(put_out.error)
+    except Evicted as evicted:
+        return Failure(evicted.error)
     if isinstance(found, Success):
         search.ticket.start()
     return found
@@ -145,7 +145,7 @@
         if isinstance(chosen, Failure):
             return chosen
         use = chosen.unwrap()
-        proof = _ask_proof(search, request) if use.needs_proof else None
+        proof = _request_proof(search, request) if use.needs_proof else None
         try:
             found = await _acquire(search, use, request)
             return Success(found._replace(proof=proof))
@@ -188,7 +188,7 @@
         match choice:
             case UseTarget():
                 if choice.refreshes:
-                    runtime.refresh_ages()
+                    runtime.refresh_freshness()
                 return Success(choice)
             case WaitForTarget():
                 waiting = wait_for_target(runtime.task, choice)
@@ -197,10 +197,10 @@
                     return Success(ready)
                 request = request._replace(may_wait=False)
             case NeedSample() if now < give_up_at:
-                request = await _prove_lead(search, request, choice)
-            case Refuse() if search.may_wait(now) and _may_hold(search):
+                request = await _prove_leadership(search, request, choice)
+            case Refuse() if search.may_wait(now) and _may_wait(search):
                 await ticket.wait(runtime.wait_change())
-                request = _forget_refusals(request)
+                request = _clear_refusals(request)
             case Refuse():
                 return Failure(
                     make_refusal(choice.text, choice.retry_after, choice.sqlstate)
@@ -209,14 +209,16 @@
                 return Failure(make_refusal("the primary cannot be confirmed", 1.0))
 
 
-def _may_hold(search: TargetSearch) -> bool:
+def _may_wait(search: TargetSearch) -> bool:
     """Return whether a request waits for a change of what is known of its group."""
     runtime = search.runtime
     has_primary = bool(runtime.view.primary)
-    return may_wait_for_target(runtime.held, has_primary, search.services.is_crowded())
+    return may_wait_for_target(
+        runtime.waiting_count, has_primary, search.services.is_crowded()
+    )
 
 
-async def _prove_lead(
+async def _prove_leadership(
     search: TargetSearch, request: TargetRequest, need: NeedSample
 ) -> TargetRequest:
     """Wait for the proof that a choice needs; return the request with it."""
@@ -225,14 +227,14 @@
         sampling = sample_primary(services, runtime, need.timeout)
         sample = await search.ticket.wait(Deferred.fromCoroutine(sampling))
         return request if sample is None else _add_sample(request, sample)
-    confirming = confirm_lead(services, runtime, need.timeout)
+    confirming = confirm_leadership(services, runtime, need.timeout)
     is_confirmed = await search.ticket.wait(Deferred.fromCoroutine(confirming))
     if isinstance(request, ReadRequest):
         return request._replace(tried_proof=True)
     return request._replace(sampled=is_confirmed)
 
 
-async def confirm_lead(
+async def confirm_leadership(
     services: RequestServices, runtime: GroupRuntime, timeout: float
 ) -> bool:
     """Wait until the primary's term is confirmed from now on; False at the timeout."""
@@ -257,7 +259,7 @@
         return None
 
 
-def _ask_proof(
+def _request_proof(
     search: TargetSearch, request: TargetRequest
 ) -> "Deferred[LogPosition | None]":
     """Ask for the proof that the primary leads, while a request goes to it."""
@@ -276,8 +278,8 @@
     services = search.services
     pool = search.runtime.pools[use.database]
     started_at = services.seconds()
-    done_by = search.give_up_at if search.done_by is None else search.done_by
-    remaining = max(0.0, done_by - started_at)
+    deadline = search.give_up_at if search.deadline is None else search.deadline
+    remaining = max(0.0, deadline - started_at)
     demand = search.demand.after(started_at - request.arrived_at)._replace(
         is_displaced=_is_displaced(request, use)
     )
@@ -307,7 +309,7 @@
     return request._replace(sample=sample)
 
 
-def _forget_refusals(request: TargetRequest) -> TargetRequest:
+def _clear_refusals(request: TargetRequest) -> TargetRequest:
     """Return the request as it may be judged by a view that has changed."""
     if isinstance(request, WriteRequest):
         return request._replace(sampled=False, excluded=())
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -8,9 +8,9 @@
 from beryltrack.errors import SqlError, make_not_run_error
 from beryltrack.events.messages import RequestEvent, RequestStep, SharedDecision
 from beryltrack.metrics.messages import RequestSummary
-from beryltrack.requests.admission_task import UNCOUNTED, Ticket
+from beryltrack.requests.admission_task import UNADMITTED, Ticket
 from beryltrack.requests.answers import ADMISSION, RequestContext
-from beryltrack.requests.course import RequestCourse
+from beryltrack.requests.flow import RequestFlow
 from beryltrack.requests.pinned import drop_transaction, run_pinned
 from beryltrack.requests.protocol import UnitCaller, UnitForwarder, UnitPlan
 from beryltrack.requests.runtime import GroupRuntime
@@ -151,8 +151,8 @@
             return
         # A transaction that is open is finished: refusing its next statement
         # would keep its connection for longer.
-        ticket = admitted.value_or(Ticket(UNCOUNTED, services.admission))
-        caller.set_gone(lambda: ticket.put_out(GONE))
+        ticket = admitted.value_or(Ticket(UNADMITTED, services.admission))
+        caller.set_gone(lambda: ticket.evict(GONE))
         version = self._get_settings().revision
         if session.pinned is None:
             session.opened_by = plan.request_id
@@ -170,7 +170,7 @@
             if may_forward and self._is_for_others(context):
                 await self._forwarder.run(context)
             else:
-                await _run_course(context)
+                await _run_on_targets(context)
         finally:
             caller.set_gone(None)
             ticket.finish()
@@ -194,19 +194,19 @@
         return (
             self._forwarder is not None
             and context.caller.session.pinned is None
-            and self._forwarder.takes(context)
+            and self._forwarder.should_forward(context)
         )
 
 
-async def _run_course(context: RequestContext) -> None:
+async def _run_on_targets(context: RequestContext) -> None:
     """Run a unit that was taken on."""
     plan = context.plan
     if context.caller.session.pinned is not None:
         await run_pinned(context)
-    elif plan.is_marked and not plan.is_read:
-        await context.services.protocol.run_marked(context)
+    elif plan.is_at_most_once and not plan.is_read:
+        await context.services.protocol.run_at_most_once(context)
     else:
-        await RequestCourse(context).run()
+        await RequestFlow(context).run()
 
 
 def _refuse(caller: UnitCaller, error: SqlError) -> None:
--- a/beryltrack_bench/overload/proxy.py
+++ b/beryltrack_bench/overload/proxy.py
@@ -78,7 +78,7 @@
         self._gap = gap
         self._rng = rng
         self._tell = tell
-        policy = AdmissionPolicy(most_requests=most_requests)
+        policy = AdmissionPolicy(max_requests=most_requests)
         self._admission = AdmissionDecider(policy, UNWEIGHTED)
         self._retries = RetryBudget(retries, rng)
         self._acquiring: dict[int, Deferred] = {}
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -160,8 +160,8 @@
     session.send("QUERY 2 READ a")
     session.finish(IDLE)
     session.send("QUERY 3 READ a")
-    marks = [plan.marks.reads for plan, _ in session.handler.plans]
-    assert marks == ["any", "any", "primary"]
+    reads = [plan.options.reads for plan, _ in session.handler.plans]
+    assert reads == ["any", "any", "primary"]
 
 
 def test_only_sessions_that_may_see_replicas_are_tracked(session):
--- a/tests/requests/scripted.py
+++ b/tests/requests/scripted.py
@@ -108,8 +108,8 @@
     services = make_services(
         clock, "zone-a", InstanceMetrics("test"), None, PostgresProtocol()
     )
-    marks = RequestOptions(0.0, request_id, not request_id, "any")
-    plan = RequestPlan(SimpleRequest(text, b""), kind, text, None, marks)
+    options = RequestOptions(0.0, request_id, not request_id, "any")
+    plan = RequestPlan(SimpleRequest(text, b""), kind, text, None, options)
     ticket = Ticket(0, services.admission)
     runtime = FakeRuntime(outcomes)
     return RequestContext(services, runtime, caller, plan, 0.0, ticket), transport
--- a/tests/requests/test_admission.py
+++ b/tests/requests/test_admission.py
@@ -12,7 +12,7 @@
 
 
 def make_decider(most=4, **weights):
-    policy = AdmissionPolicy(most_requests=most, least_requests=1, most_delay=0.05)
+    policy = AdmissionPolicy(max_requests=most, min_requests=1, max_delay=0.05)
     return AdmissionDecider(policy, weights)
 
 
@@ -43,7 +43,7 @@
     actions = decider.admit(9, "b", 1.0, 0.0)
     assert get_reasons(actions) == [(3, AdmissionReason.TEAM_SHARE)]
     assert actions[-1] == Admit(9)
-    assert decider.held_count == 4
+    assert decider.admitted_count == 4
 
 
 def test_a_request_that_runs_is_not_put_out():
@@ -95,6 +95,6 @@
             if rng.random() < 0.5:
                 decider.finish(request, float(number))
                 del held[request]
-        assert decider.held_count == len(held) <= 6
+        assert decider.admitted_count == len(held) <= 6
         counts = {team: list(held.values()).count(team) for team in "abc"}
         assert counts == {team: decider.get_count(team) for team in "abc"}
--- a/tests/requests/test_admission_task.py
+++ b/tests/requests/test_admission_task.py
@@ -6,11 +6,11 @@
 from twisted.internet.task import Clock
 
 from beryltrack.requests.admission import AdmissionPolicy
-from beryltrack.requests.admission_task import AdmissionTask, PutOut
+from beryltrack.requests.admission_task import AdmissionTask, Evicted
 
 
 def make_admission(most=2):
-    policy = AdmissionPolicy(most_requests=most, least_requests=1)
+    policy = AdmissionPolicy(max_requests=most, min_requests=1)
     return AdmissionTask(Clock(), policy)
 
 
@@ -39,14 +39,14 @@
     admission = make_admission(most=1)
     admission.admit("a", 9.0).unwrap().finish()
     assert isinstance(admission.admit("a", 9.0), Success)
-    assert admission.held_count == 1
+    assert admission.admitted_count == 1
 
 
 def test_a_request_put_out_before_it_waits_does_not_wait():
     admission = make_admission()
     ticket = admission.admit("a", 9.0).unwrap()
-    ticket.put_out(admission.admit("a", -1.0).failure())
+    ticket.evict(admission.admit("a", -1.0).failure())
     waiting = wait(ticket)
-    with pytest.raises(PutOut):
+    with pytest.raises(Evicted):
         raise waiting.result.value
     waiting.addErrback(lambda _: None)
--- a/tests/requests/test_course.py
+++ b/tests/requests/test_course.py
@@ -7,10 +7,10 @@
 
 from beryltrack.errors import CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS, make_refusal
 from beryltrack.groups.messages import LogPosition
-from beryltrack.requests import course
+from beryltrack.requests import flow
 from beryltrack.requests.answers import send_answer, send_failure
 from beryltrack.requests.retry import RetryBudget, RetryPolicy
-from beryltrack.requests.services import RETRIES
+from beryltrack.requests.services import DEFAULT_RETRIES
 from beryltrack.requests.sink import AnswerSink
 from beryltrack.requests.targets import FoundTarget
 from beryltrack.routing.messages import StatementKind
@@ -40,11 +40,11 @@
     async def wait_to_retry(self):
         return True
 
-    monkeypatch.setattr(course, "find_target", find_target)
-    monkeypatch.setattr(course.RequestCourse, "_make_request", lambda self: None)
-    monkeypatch.setattr(course.RequestCourse, "_wait_to_retry", wait_to_retry)
+    monkeypatch.setattr(flow, "find_target", find_target)
+    monkeypatch.setattr(flow.RequestFlow, "_make_request", lambda self: None)
+    monkeypatch.setattr(flow.RequestFlow, "_wait_to_retry", wait_to_retry)
     context, transport = make_context("text", kind, **options)
-    run_to_end(context, course.RequestCourse(context).run())
+    run_to_end(context, flow.RequestFlow(context).run())
     return transport.sent
 
 
@@ -89,17 +89,17 @@
         name = f"main-{len(excluded)}"
         return Success(FoundTarget(name, is_replica, FakePool(), connection))
 
-    monkeypatch.setattr(course, "find_target", find_target)
+    monkeypatch.setattr(flow, "find_target", find_target)
     context, transport = make_context("text", StatementKind.READ)
     context = context._replace(services=make_retrying(context.services))
     context.runtime.task.observe_lagging = lambda database: None
-    run_to_end(context, course.RequestCourse(context).run())
+    run_to_end(context, flow.RequestFlow(context).run())
     return transport.sent.decode("latin-1"), excluded
 
 
 def make_retrying(services):
     """Return services whose budget allows ten repeats."""
-    return services._replace(retries=RetryBudget(RETRIES, random.Random(5)))
+    return services._replace(retries=RetryBudget(DEFAULT_RETRIES, random.Random(5)))
 
 
 def test_what_a_full_owner_refused_at_a_primary_is_not_asked_of_it_again(monkeypatch):
@@ -150,16 +150,16 @@
         connection.way = "owner"
         return Success(FoundTarget("main-1", True, FakePool(), connection, after))
 
-    monkeypatch.setattr(course, "find_target", find_target)
+    monkeypatch.setattr(flow, "find_target", find_target)
     context, _ = make_context("text", StatementKind.READ)
     context = context._replace(services=make_retrying(context.services))
     context.runtime.task.observe_lagging = lambda *lag: noted.append(lag)
-    run_to_end(context, course.RequestCourse(context).run())
+    run_to_end(context, flow.RequestFlow(context).run())
     assert not connections and noted == ([] if is_broken else [("main-1", after)])
 
 
 def test_repeats_of_all_ways_draw_on_one_budget(monkeypatch):
-    monkeypatch.setattr("tests.requests.test_course.RETRIES", RetryPolicy())
+    monkeypatch.setattr("tests.requests.test_course.DEFAULT_RETRIES", RetryPolicy())
     lagging = refuse(CANNOT_CONNECT_NOW, 0.3)
     sent, tries = run_through(monkeypatch, "owner", True, lagging)
     assert len(tries) == 1 and sent.count("Try again in 0.30 seconds.") == 1
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -4,8 +4,8 @@
 import pytest
 
 from beryltrack.peers.forward_messages import ForwardOutcome, ForwardResult
-from beryltrack.requests.forward_course import ForwardCourse
-from beryltrack.requests.forward_form import decode_request
+from beryltrack.requests.forward_encoding import decode_request
+from beryltrack.requests.forward_flow import ForwardFlow
 from beryltrack.requests.forward_handler import read_unit
 from beryltrack.routing.messages import StatementKind
 from tests.local_proxies import connect, get_token, run_proxies, set_request_id
@@ -100,7 +100,7 @@
 def forward(kind, *results, **options):
     context, transport = make_context("text", kind, **options)
     forwarder = ScriptedForwarder(*results)
-    run_to_end(context, ForwardCourse(context, forwarder).run())
+    run_to_end(context, ForwardFlow(context, forwarder).run())
     return transport.sent, forwarder.results
 
 
--- a/tests/requests/test_hold.py
+++ b/tests/requests/test_hold.py
@@ -19,9 +19,9 @@
 class Site:
     """A group without a primary, in a fleet of some size."""
 
-    def __init__(self, is_crowded, held=0):
+    def __init__(self, is_crowded, waiting_count=0):
         self.clock = Clock()
-        self.waiting = [Deferred() for _ in range(held)]
+        self.waiting = [Deferred() for _ in range(waiting_count)]
         self.runtime = SimpleNamespace(
             view=GroupView("g", 1, ""),
             ensure_started=lambda: None,
@@ -39,11 +39,11 @@
         self.waiting.append(Deferred())
         return self.waiting[-1]
 
-    def ask(self, hold_until=0.35):
-        self.runtime.held = len(self.waiting)
+    def ask(self, wait_until=0.35):
+        self.runtime.waiting_count = len(self.waiting)
         ticket = SimpleNamespace(wait=lambda waiting: waiting, start=lambda: None)
         search = TargetSearch(
-            self.services, self.runtime, ticket, 0.35, hold_until=hold_until
+            self.services, self.runtime, ticket, 0.35, wait_until=wait_until
         )
         finding = find_target(search, WriteRequest(0.0, sampled=True))
         ends = []
@@ -52,33 +52,33 @@
 
 
 def test_a_request_waits_for_a_primary_in_a_small_fleet():
-    assert Site(False, held=100).ask() == []
+    assert Site(False, waiting_count=100).ask() == []
 
 
 def test_the_first_requests_wait_for_a_primary_in_a_large_fleet():
-    assert Site(True, held=7).ask() == []
+    assert Site(True, waiting_count=7).ask() == []
 
 
 def test_later_ones_are_told_at_once_when_to_come_back():
-    (end,) = Site(True, held=8).ask()
+    (end,) = Site(True, waiting_count=8).ask()
     assert isinstance(end, Failure) and end.failure().retry_after > 0
 
 
-@pytest.mark.parametrize(("is_crowded", "hold_until"), [(False, 0.35), (True, 0.125)])
+@pytest.mark.parametrize(("is_crowded", "wait_until"), [(False, 0.35), (True, 0.125)])
 def test_a_request_is_held_by_its_target_latency_in_a_large_fleet(
-    is_crowded, hold_until
+    is_crowded, wait_until
 ):
     context, _ = make_context("text", StatementKind.WRITE)
     policy = RequestPolicy(0.8, 0.35, target_latency=0.5)
     services = context.services._replace(is_crowded=lambda: is_crowded, policy=policy)
-    assert context._replace(services=services).search.hold_until == hold_until
+    assert context._replace(services=services).search.wait_until == wait_until
 
 
 def test_who_has_been_held_for_long_enough_is_told_when_to_come_back():
     site = Site(True)
     site.clock.advance(0.2)
-    (end,) = site.ask(hold_until=0.125)
-    assert isinstance(end, Failure) and Site(True).ask(hold_until=0.125) == []
+    (end,) = site.ask(wait_until=0.125)
+    assert isinstance(end, Failure) and Site(True).ask(wait_until=0.125) == []
 
 
 def test_another_replica_is_tried_also_after_the_time_that_a_request_is_held(
@@ -105,5 +105,5 @@
         site.runtime.pools[name] = SimpleNamespace(
             acquire=lambda deadline, demand, name=name: acquire(name)
         )
-    (end,) = site.ask(hold_until=0.125)
+    (end,) = site.ask(wait_until=0.125)
     assert tried == ["a", "b"] and end.unwrap().connection == "b"
--- a/tests/requests/test_load_counts.py
+++ b/tests/requests/test_load_counts.py
@@ -12,8 +12,8 @@
 from beryltrack.requests.admission import AdmissionReason
 from beryltrack.requests.answers import (
     ADMISSION,
+    classify_refusal,
     count_request,
-    name_refusal,
     send_failure,
 )
 from beryltrack.requests.protocol import RequestPolicy
@@ -67,10 +67,10 @@
 
 
 def test_reasons_are_words_of_a_fixed_list():
-    words = {name_refusal(reason.value) for reason in RefusalReason}
+    words = {classify_refusal(reason.value) for reason in RefusalReason}
     assert words == {reason.name.lower() for reason in RefusalReason}
-    assert {name_refusal(each.value) for each in AdmissionReason} == {ADMISSION}
-    assert name_refusal("no route serves q64uy5ms") == "other"
+    assert {classify_refusal(each.value) for each in AdmissionReason} == {ADMISSION}
+    assert classify_refusal("no route serves q64uy5ms") == "other"
 
 
 def make_full_task(metrics, events):
--- a/tests/requests/test_losses.py
+++ b/tests/requests/test_losses.py
@@ -11,7 +11,7 @@
 from beryltrack.requests.losses import (
     DEFAULT_POLICY,
     LossWatch,
-    get_lost,
+    get_lost_databases,
 )
 
 A = DatabaseView("a", role=PRIMARY, reachable=True, seen_at=9.0)
@@ -27,29 +27,32 @@
 
 
 def test_a_database_that_answers_is_never_lost():
-    assert get_lost(make_view(A, B), 1000.0) == ()
+    assert get_lost_databases(make_view(A, B), 1000.0) == ()
 
 
 def test_a_silent_database_is_lost_after_the_grace():
     view = make_view(A, silence(B))
-    assert get_lost(view, 9.0 + DEFAULT_POLICY.grace - 0.1) == ()
-    assert get_lost(view, 9.0 + DEFAULT_POLICY.grace) == ("b",)
+    assert get_lost_databases(view, 9.0 + DEFAULT_POLICY.grace - 0.1) == ()
+    assert get_lost_databases(view, 9.0 + DEFAULT_POLICY.grace) == ("b",)
 
 
 def test_a_silent_primary_is_lost_as_soon_as_it_is_replaced():
-    assert get_lost(make_view(silence(A), B), 9.1) == ()
-    assert get_lost(make_view(silence(A), B, primary="b"), 9.1) == ("a",)
-    assert get_lost(make_view(A, B, primary="b"), 9.1) == ()
+    assert get_lost_databases(make_view(silence(A), B), 9.1) == ()
+    assert get_lost_databases(make_view(silence(A), B, primary="b"), 9.1) == ("a",)
+    assert get_lost_databases(make_view(A, B, primary="b"), 9.1) == ()
 
 
 def test_a_replaced_primary_is_lost_before_its_control_request_times_out():
     view = make_view(A, B, primary="b")
-    assert get_lost(view, 9.0 + 2 * DEFAULT_POLICY.replaced_grace) == ("a",)
-    assert get_lost(make_view(A, B), 9.0 + 2 * DEFAULT_POLICY.replaced_grace) == ()
+    assert get_lost_databases(view, 9.0 + 2 * DEFAULT_POLICY.replaced_grace) == ("a",)
+    assert (
+        get_lost_databases(make_view(A, B), 9.0 + 2 * DEFAULT_POLICY.replaced_grace)
+        == ()
+    )
 
 
 def test_a_database_that_was_never_asked_is_not_lost():
-    assert get_lost(make_view(A, DatabaseView("c")), 1000.0) == ()
+    assert get_lost_databases(make_view(A, DatabaseView("c")), 1000.0) == ()
 
 
 class FakePool:
--- a/tests/requests/test_opened_by.py
+++ b/tests/requests/test_opened_by.py
@@ -21,7 +21,7 @@
     async def run(context):
         seen.append((context.plan.request_id, context.opened_by))
 
-    monkeypatch.setattr(request_task, "_run_course", run)
+    monkeypatch.setattr(request_task, "_run_on_targets", run)
     protocol = SimpleNamespace(
         plan=lambda unit, *_: Success(SimpleNamespace(request_id=unit, policy=None)),
         answer_locally=lambda *_: False,
@@ -33,7 +33,7 @@
         retries=SimpleNamespace(observe_request=lambda: None),
         admission=SimpleNamespace(
             admit=lambda team, deadline: Success(
-                SimpleNamespace(finish=lambda: None, put_out=lambda error: None)
+                SimpleNamespace(finish=lambda: None, evict=lambda error: None)
             )
         ),
     )
--- a/tests/requests/test_outcomes.py
+++ b/tests/requests/test_outcomes.py
@@ -26,8 +26,8 @@
 def test_a_lost_write_is_unknown_unless_the_ledger_can_tell():
     lost = RunFailure(True, "")
     assert decide_after_failure(WRITE, lost) == NextStep.UNKNOWN
-    marked = WRITE._replace(is_marked=True)
-    assert decide_after_failure(marked, lost) == NextStep.RESOLVE
+    at_most_once = WRITE._replace(is_at_most_once=True)
+    assert decide_after_failure(at_most_once, lost) == NextStep.RESOLVE
 
 
 def test_a_write_that_was_not_sent_is_repeated():
--- a/tests/requests/test_passed_on.py
+++ b/tests/requests/test_passed_on.py
@@ -5,7 +5,7 @@
 from returns.result import Success
 
 from beryltrack.errors import CONFIGURATION_LIMIT_EXCEEDED
-from beryltrack.requests import course
+from beryltrack.requests import flow
 from beryltrack.requests.targets import FoundTarget
 from beryltrack.routing.messages import StatementKind
 from tests.requests.scripted import (
@@ -42,9 +42,9 @@
         async def wait_to_retry(each):
             raise AssertionError("it goes on at once")
 
-        monkeypatch.setattr(course, "find_target", find_target)
-        monkeypatch.setattr(course.RequestCourse, "_make_request", lambda self: None)
-        monkeypatch.setattr(course.RequestCourse, "_wait_to_retry", wait_to_retry)
+        monkeypatch.setattr(flow, "find_target", find_target)
+        monkeypatch.setattr(flow.RequestFlow, "_make_request", lambda self: None)
+        monkeypatch.setattr(flow.RequestFlow, "_wait_to_retry", wait_to_retry)
 
     def observe_quota_refusal(self, account, way):
         self.asked.append(way)
@@ -53,10 +53,12 @@
 
     def run(self, kind=StatementKind.WRITE):
         context, transport = make_context("text", kind)
-        ways = SimpleNamespace(observe_quota_refusal=self.observe_quota_refusal)
-        services = context.services._replace(ways=ways)
+        account_owners = SimpleNamespace(
+            observe_quota_refusal=self.observe_quota_refusal
+        )
+        services = context.services._replace(account_owners=account_owners)
         context = context._replace(services=services)
-        run_to_end(context, course.RequestCourse(context).run())
+        run_to_end(context, flow.RequestFlow(context).run())
         return transport.sent
 
 
@@ -78,7 +80,7 @@
     many = [refuse(f"owner-{number}") for number in range(10)]
     site = Site(monkeypatch, *many, left=99)
     site.run()
-    assert len(site.asked) == course.MOST_ATTEMPTS - 1
+    assert len(site.asked) == flow.MAX_ATTEMPTS - 1
 
 
 def test_what_a_database_refuses_itself_is_not_passed_on(monkeypatch):
--- a/tests/requests/test_retry.py
+++ b/tests/requests/test_retry.py
@@ -31,7 +31,7 @@
 
 
 def test_saved_retries_are_bounded():
-    budget = make_budget(requests=10_000, most_saved=5.0)
+    budget = make_budget(requests=10_000, max_tokens=5.0)
     chosen = [budget.choose_retry(NOT_RUN, 9.0, 0.0, 0.0) for _ in range(20)]
     assert sum(each is not Nothing for each in chosen) == 5
 
@@ -45,13 +45,13 @@
 
 
 def test_no_retry_that_would_miss_the_deadline_or_exceeds_the_attempts():
-    budget = make_budget(most_attempts=2)
+    budget = make_budget(max_attempts=2)
     assert budget.choose_retry(NOT_RUN, 0.2, 0.3, 0.0) is Nothing
     assert budget.choose_retry(FailedAttempt(2, True), 9.0, 0.0, 0.0) is Nothing
     assert budget.tokens > 9
 
 
 def test_other_ways_draw_on_the_budget_of_the_repeats():
-    budget = make_budget(first_saved=2.0, requests=0)
+    budget = make_budget(initial_tokens=2.0, requests=0)
     assert [budget.draw() for _ in range(3)] == [True, True, False]
     assert budget.choose_retry(NOT_RUN, 9.0, 0.0, 0.0) is Nothing
--- a/tests/requests/test_unproven.py
+++ b/tests/requests/test_unproven.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from beryltrack.groups.messages import LogPosition
-from beryltrack.requests import course
+from beryltrack.requests import flow
 from beryltrack.requests.targets import FoundTarget
 from beryltrack.routing.messages import StatementKind
 from tests.requests.scripted import (
@@ -38,11 +38,11 @@
         async def wait_to_retry(each):
             return True
 
-        monkeypatch.setattr(course, "find_target", find_target)
-        monkeypatch.setattr(course.RequestCourse, "_make_request", lambda self: None)
-        monkeypatch.setattr(course.RequestCourse, "_wait_to_retry", wait_to_retry)
+        monkeypatch.setattr(flow, "find_target", find_target)
+        monkeypatch.setattr(flow.RequestFlow, "_make_request", lambda self: None)
+        monkeypatch.setattr(flow.RequestFlow, "_wait_to_retry", wait_to_retry)
         self.context, self.transport = make_context("text", kind)
-        self.done = Deferred.fromCoroutine(course.RequestCourse(self.context).run())
+        self.done = Deferred.fromCoroutine(flow.RequestFlow(self.context).run())
 
     @property
     def sent(self):
@@ -81,7 +81,7 @@
 
 def test_a_long_answer_does_not_stream_before_it_is_proven(monkeypatch):
     site = Site(monkeypatch)
-    sink = course.AnswerSink(site.context.caller, 4)
-    sink.hold()
+    sink = flow.AnswerSink(site.context.caller, 4)
+    sink.buffer_all()
     sink.write(b"longer than four")
     assert not sink.is_answered
