--- a/beryltrack/requests/__init__.py
+++ b/beryltrack/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: admission, the course of one request, retries and at-most-once."""
+"""Requests: admission, execution, retries and at-most-once requests."""
--- a/beryltrack/requests/admission.py
+++ b/beryltrack/requests/admission.py
@@ -1,10 +1,11 @@
-"""Which requests a proxy takes on when it cannot take all.
-
-A proxy bounds the requests that it holds. The bound follows the delay that the
-process itself adds, so that a proxy short of processor time refuses early
-rather than being late for all. Inside the bound each team has a share by its
-weight; what a team leaves unused the others may use until it asks. A refusal
-is given at once and is final: nothing of the request was run.
+"""Admission control of one instance: bounds its admitted requests, by team.
+
+The bound on admitted requests, running and waiting, adapts to the delay of the
+process's own timers (additive increase, multiplicative decrease), so that an
+instance short of processor time refuses some requests early instead of delaying
+all. Inside the bound each team has a share by its weight; other teams may use an
+unused share until its team needs it. A refusal is given at once and is final:
+nothing of the request was run. Sans-I/O: the time is passed in.
 """
 
 from collections import defaultdict
@@ -16,24 +17,26 @@
 
 DEFAULT_WEIGHT = 1.0
 MIN_RETRY_AFTER = 0.05
+"""Shortest time to retry that a refusal names, seconds."""
 SHRINK_FACTOR = 0.9
+"""Factor by which the bound shrinks at each change."""
 
 
 class AdmissionPolicy(NamedTuple):
-    """The figures that steer admission.
+    """Parameters of admission control.
 
     Parameters
     ----------
     max_requests : int
-        Most requests held at once, running and waiting.
+        Upper limit of the bound on admitted requests, running and waiting.
     min_requests : int
-        The bound never falls below this.
+        Lower limit of the bound.
     max_delay : float
-        Seconds of delay inside the process above which the bound shrinks.
+        Delay of the process's timers above which the bound shrinks, seconds.
     shrink_after : float
-        Seconds for which all delays must have been too long before that.
+        Time for which each delay must exceed `max_delay` before that, seconds.
     adjust_period : float
-        Least seconds between two changes of the bound.
+        Shortest time between two changes of the bound, seconds.
     """
 
     max_requests: int = 1024
@@ -44,7 +47,7 @@
 
 
 class AdmissionReason(Enum):
-    """Why a request was refused; in each case it was not run."""
+    """Reason of a refusal; the request was not run."""
 
     EXPIRED = "the request's deadline has passed"
     OVERLOADED = "the proxy holds as many requests as it can"
@@ -52,24 +55,24 @@
 
 
 class Admit(NamedTuple):
-    """Take a request on."""
+    """Admit a request."""
 
     request: int
 
 
 class RefuseRequest(NamedTuple):
-    """Refuse a request, or put out one that was waiting.
+    """Refuse a new request, or evict an admitted one that waits.
 
     Parameters
     ----------
     request : int
         Number of the request.
     reason : AdmissionReason
-        Why.
+        Reason of the refusal.
     retry_after : float
-        Seconds after which a new attempt has a fair chance.
+        Time to wait before a retry, seconds.
     sqlstate : str
-        The SQLSTATE to answer with.
+        SQLSTATE of the answer.
     """
 
     request: int
@@ -81,22 +84,22 @@
 AdmissionAction = Admit | RefuseRequest
 
 
-class _Admitted(NamedTuple):
-    """A request that was taken on."""
+class _AdmittedRequest(NamedTuple):
+    """An admitted request."""
 
     team: str
     admitted_at: float
 
 
 class AdmissionDecider:
-    """Decides which requests are taken on, and which waiting ones make room.
+    """Decides which requests to admit, and which waiting ones to evict for them.
 
     Parameters
     ----------
     policy : AdmissionPolicy
-        The figures that steer it.
+        Parameters of the decisions.
     weights : mapping of str to float
-        Weight of each team; others have `DEFAULT_WEIGHT`.
+        Weight by team; teams without an entry have `DEFAULT_WEIGHT`.
     """
 
     def __init__(
@@ -105,7 +108,7 @@
         self._policy = policy
         self._weights = dict(weights or {})
         self._bound = float(policy.max_requests)
-        self._admitted: dict[int, _Admitted] = {}
+        self._admitted: dict[int, _AdmittedRequest] = {}
         # The waiting requests of each team, oldest first.
         self._waiting: defaultdict[str, dict[int, None]] = defaultdict(dict)
         self._counts: defaultdict[str, int] = defaultdict(int)
@@ -115,27 +118,27 @@
 
     @property
     def bound(self) -> int:
-        """Most requests to hold now."""
+        """Present bound on admitted requests."""
         return int(self._bound)
 
     @property
     def admitted_count(self) -> int:
-        """Requests held, running and waiting."""
+        """Number of admitted requests, running and waiting."""
         return len(self._admitted)
 
     def get_count(self, team: str) -> int:
-        """Return how many requests of a team are held."""
+        """Return the number of a team's admitted requests."""
         return self._counts.get(team, 0)
 
     def admit(
         self, request: int, team: str, deadline: float, now: float
     ) -> list[AdmissionAction]:
-        """Decide about a new request.
+        """Admit or refuse a new request.
 
         Parameters
         ----------
         request : int
-            Its number, unique in this proxy.
+            Its number, unique at this instance.
         team : str
             The team that it belongs to.
         deadline : float
@@ -146,43 +149,43 @@
         Returns
         -------
         list of AdmissionAction
-            One action for this request; before it, a refusal of a waiting
-            request of another team if that has to make room.
+            One action for this request, preceded by the refusal of another
+            team's waiting request if that one is evicted.
         """
         if deadline <= now:
             return [RefuseRequest(request, AdmissionReason.EXPIRED, 0.0)]
         if len(self._admitted) < self.bound:
             return [self._admit(request, team, now)]
-        rival = self._choose_victim(team)
-        if rival is None:
+        victim = self._choose_victim(team)
+        if victim is None:
             return [self._refuse(request, AdmissionReason.OVERLOADED)]
-        # The newest has waited least; to put it out wastes the least.
-        newest = next(reversed(self._waiting[rival]))
+        # The newest request has waited least, so its eviction wastes the least.
+        newest = next(reversed(self._waiting[victim]))
         self._remove(newest)
-        put_out = self._refuse(newest, AdmissionReason.TEAM_SHARE)
-        return [put_out, self._admit(request, team, now)]
+        eviction = self._refuse(newest, AdmissionReason.TEAM_SHARE)
+        return [eviction, self._admit(request, team, now)]
 
     def start(self, request: int) -> None:
-        """Take in that a request runs: from now on it is not put out."""
-        held = self._admitted.get(request)
-        if held is not None:
-            self._waiting[held.team].pop(request, None)
+        """Record that a request runs; a running request is not evicted."""
+        admitted = self._admitted.get(request)
+        if admitted is not None:
+            self._waiting[admitted.team].pop(request, None)
 
     def finish(self, request: int, now: float) -> None:
-        """Take in that a request is over, in whatever way."""
-        held = self._admitted.get(request)
-        if held is None:
+        """Record that a request has ended, with any outcome."""
+        admitted = self._admitted.get(request)
+        if admitted is None:
             return
-        self._average_time += (now - held.admitted_at - self._average_time) / 8
+        self._average_time += (now - admitted.admitted_at - self._average_time) / 8
         self._remove(request)
 
     def observe_delay(self, delay: float, now: float) -> None:
-        """Take in how late the process ran a timer, seconds.
+        """Adapt the bound to the delay of a timer of this process, seconds.
 
-        One long pause, as a collection of garbage makes it, says nothing of
-        the load, so the bound shrinks only while every delay has been too long
-        for a while, by a tenth of what is held; as in congestion control it
-        grows again by steps.
+        A single long pause, such as a garbage collection, does not indicate load.
+        The bound therefore shrinks only after every delay has been too long for
+        `shrink_after`, by a tenth of the admitted requests; as in congestion
+        control it grows again in fixed steps.
         """
         if delay <= self._policy.max_delay:
             self._late_since = None
@@ -199,8 +202,8 @@
             self._bound = max(least, base * SHRINK_FACTOR)
 
     def _choose_victim(self, team: str) -> str | None:
-        """Return the team that has to make room for `team`, or None."""
-        active = {name for name, held in self._counts.items() if held} | {team}
+        """Return the team that loses a waiting request to `team`, or None."""
+        active = {name for name, count in self._counts.items() if count} | {team}
         per_weight = self._bound / sum(map(self._get_weight, active))
         if self._counts[team] >= self._compute_share(team, per_weight):
             return None
@@ -212,22 +215,22 @@
         return max(excess, key=excess.__getitem__, default=None)
 
     def _compute_share(self, team: str, per_weight: float) -> int:
-        """Return the requests that a team may hold when all want more."""
+        """Return the requests that a team may have while all teams want more."""
         return max(1, int(per_weight * self._get_weight(team)))
 
     def _get_weight(self, team: str) -> float:
         return self._weights.get(team, DEFAULT_WEIGHT)
 
     def _admit(self, request: int, team: str, now: float) -> Admit:
-        self._admitted[request] = _Admitted(team, now)
+        self._admitted[request] = _AdmittedRequest(team, now)
         self._waiting[team][request] = None
         self._counts[team] += 1
         return Admit(request)
 
     def _remove(self, request: int) -> None:
-        held = self._admitted.pop(request)
-        self._waiting[held.team].pop(request, None)
-        self._counts[held.team] -= 1
+        admitted = self._admitted.pop(request)
+        self._waiting[admitted.team].pop(request, None)
+        self._counts[admitted.team] -= 1
 
     def _refuse(self, request: int, reason: AdmissionReason) -> RefuseRequest:
         return RefuseRequest(request, reason, max(MIN_RETRY_AFTER, self._average_time))
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -1,8 +1,8 @@
-"""Holds the requests that an instance has taken on, and ends those put out.
+"""Carries out admission control, and evicts waiting requests.
 
-A request waits at several places: for a view, for a sample, for a connection.
-Its ticket knows what it waits for, so that one that has to make room for
-another team, or whose caller is gone, stops waiting at once.
+A request waits for a change of its group's view, for a sampled position or for a
+connection. Its ticket holds the Deferred that it waits for, so that a request that
+is evicted, or whose caller has disconnected, stops waiting at once.
 """
 
 import logging
@@ -25,21 +25,21 @@
 log = logging.getLogger(__name__)
 
 UNADMITTED = 0
-"""Number of a request that goes on although it was not taken on."""
+"""Number of a request that runs although it was not admitted."""
 
 DELAY_PERIOD = 0.1
-"""Seconds between two measurements of the delay inside the process."""
+"""Period of the measurement of timer delays, seconds."""
 
 _Value = TypeVar("_Value")
 
 
 class Evicted(Exception):
-    """Raised in a request that waits when it must not wait any more.
+    """Raised in a waiting request that has to stop waiting.
 
     Parameters
     ----------
     error : SqlError
-        A true "not run".
+        The refusal: the request was not run.
     """
 
     def __init__(self, error: SqlError):
@@ -48,14 +48,14 @@
 
 
 class Ticket:
-    """One request that was taken on.
+    """One admitted request.
 
     Parameters
     ----------
     number : int
         Its number.
     admission : AdmissionTask
-        Who gave it.
+        The task that issued the ticket.
     """
 
     def __init__(self, number: int, admission: "AdmissionTask"):
@@ -87,29 +87,29 @@
             self._waiting = None
 
     def evict(self, error: SqlError) -> None:
-        """Stop the request's waiting; one that runs goes on."""
+        """End the request's wait with an error; a running request goes on."""
         self._error = error
         if self._waiting is not None:
             self._waiting.cancel()
 
     def start(self) -> None:
-        """Note that the request has a connection: from now on it stays."""
+        """Record that the request has a connection; it is not evicted any more."""
         self._admission.start_request(self.number)
 
     def finish(self) -> None:
-        """Note that the request is over."""
+        """Record that the request has ended."""
         self._admission.finish_request(self.number)
 
 
 class AdmissionTask:
-    """Decides which requests an instance takes on.
+    """Admits the requests of an instance.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     policy : AdmissionPolicy, optional
-        The figures that steer it.
+        Parameters of the decisions.
     """
 
     def __init__(self, reactor, policy: AdmissionPolicy | None = None):
@@ -123,21 +123,21 @@
 
     @property
     def admitted_count(self) -> int:
-        """Requests held, running and waiting."""
+        """Number of admitted requests, running and waiting."""
         return self._decider.admitted_count
 
     def start(self) -> None:
-        """Begin to measure the delay inside the process."""
+        """Start measuring the delay of timers."""
         self._expected_at = self._seconds() + DELAY_PERIOD
         self._measuring.start(DELAY_PERIOD, now=False)
 
     def stop(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         if self._measuring.running:
             self._measuring.stop()
 
     def admit(self, team: str, deadline: float) -> Result[Ticket, SqlError]:
-        """Take a request on, or refuse it at once.
+        """Admit a request, or refuse it at once.
 
         Parameters
         ----------
@@ -149,7 +149,7 @@
         Returns
         -------
         Result of Ticket or SqlError
-            A refusal is a true "not run".
+            A refusal means that the request was not run.
         """
         number = next(self._numbers)
         actions = self._decider.admit(number, team, deadline, self._seconds())
@@ -164,21 +164,21 @@
         return Success(ticket)
 
     def start_request(self, number: int) -> None:
-        """Note that a request runs."""
+        """Record that a request runs."""
         self._decider.start(number)
 
     def finish_request(self, number: int) -> None:
-        """Note that a request is over."""
+        """Record that a request has ended."""
         self._tickets.pop(number, None)
         self._decider.finish(number, self._seconds())
 
     def _measure_delay(self) -> None:
-        """Tell the decider how late this call came."""
+        """Pass the lateness of this call to the decider."""
         now = self._seconds()
         self._decider.observe_delay(max(0.0, now - self._expected_at), now)
         self._expected_at = now + DELAY_PERIOD
 
 
 def _make_error(refusal: RefuseRequest) -> SqlError:
-    """Return the error of a request that was not taken on."""
+    """Return the error for a refusal."""
     return make_refusal(refusal.reason.value, refusal.retry_after, refusal.sqlstate)
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -1,4 +1,7 @@
-"""Ends a request: waits for its commit if it made one, and answers the caller."""
+"""The last steps of a request: confirm its commit, answer, count and log it.
+
+Also holds `RequestContext`, the data that all steps of one request share.
+"""
 
 import math
 from typing import NamedTuple
@@ -36,10 +39,10 @@
 from beryltrack.wire.messages import TransactionStatus
 
 ADMISSION = "admission"
-"""Reason of a refusal for want of room at this instance, in one word."""
+"""Refusal reason of requests that the admission control of an instance refuses."""
 
 OTHER_REASON = "other"
-"""Reason of a refusal that no pool and no owner gave, as no primary is known."""
+"""Refusal reason given by no pool and no owner, for example if no primary is known."""
 
 _REFUSALS = {each.value: each.name.lower() for each in RefusalReason} | {
     each.value: ADMISSION for each in AdmissionReason
@@ -57,7 +60,7 @@
 
 
 class RequestContext(NamedTuple):
-    """One request on its way.
+    """One request that is being served.
 
     Parameters
     ----------
@@ -66,15 +69,15 @@
     runtime : GroupRuntime
         The group that it is for.
     caller : UnitCaller
-        Who sent it.
+        Its sender.
     plan : UnitPlan
-        What it asks for.
+        Its plan.
     arrived_at : float
-        When it arrived, by the node's clock, seconds.
+        Time of its arrival by the node's clock, seconds.
     ticket : Ticket
-        By which it was taken on.
+        Its admission ticket.
     settings_version : int
-        Version of the settings by which it was planned.
+        Version of the settings that its plan rests on.
     opened_by : str
         Identifier of the request that opened its transaction; its own outside of one.
     """
@@ -95,7 +98,7 @@
 
     @property
     def search(self) -> TargetSearch:
-        """Where and how long to look for a target."""
+        """Scope and time limits of the search for its target."""
         deadline = self.deadline if self.plan.policy else None
         return TargetSearch(
             self.services,
@@ -109,7 +112,7 @@
 
     @property
     def demand(self) -> Demand:
-        """What it asks of its database, counted from its arrival."""
+        """Its demand on a database, with times counted from its arrival."""
         return Demand(
             self.policy.priority,
             self.policy.target_latency,
@@ -120,17 +123,17 @@
 
     @property
     def deadline(self) -> float:
-        """When its commit must be confirmed, by the node's clock."""
+        """Time by which its commit must be confirmed, by the node's clock."""
         return self.arrived_at + self.policy.request_timeout
 
     @property
     def give_up_at(self) -> float:
-        """When it is refused if no database has taken it, by the node's clock."""
+        """Time at which it is refused if it has no target yet, by the node's clock."""
         return self.arrived_at + self.policy.target_timeout
 
     @property
     def wait_until(self) -> float:
-        """When it is refused if no database can take it, by the node's clock."""
+        """Time until which it waits for a usable database, by the node's clock."""
         policy, is_crowded = self.policy, self.services.is_crowded()
         wait = compute_target_wait(
             policy.target_timeout, policy.target_latency, is_crowded
@@ -141,14 +144,14 @@
 async def confirm_commit(
     context: RequestContext, position: LogPosition, database: str
 ) -> CommitOutcome:
-    """Wait until the fate of a commit is known; note it in the session's token.
+    """Wait for the outcome of a commit; record a confirmed one in the session's token.
 
     Parameters
     ----------
     context : RequestContext
         The request.
     position : LogPosition
-        The position that its target reported after the commit.
+        Position that the target reported after the commit.
     database : str
         The target.
 
@@ -176,7 +179,7 @@
     status: TransactionStatus,
     has_new_token: bool = False,
 ) -> None:
-    """Send the rest of an answer and say that the caller may go on."""
+    """Send the buffered answer and its tail, then the ready message."""
     caller = context.caller
     caller.session.retry_at = math.inf
     parts = [sink.take_buffered()]
@@ -208,20 +211,20 @@
     reason: str = "",
     target: str = "",
     attempt: int = 0,
-    way: str = "",
+    via: str = "",
 ) -> None:
-    """Log a decision about a request, with what it rested on."""
+    """Log a decision about a request, with the state that it was based on."""
     services, view = context.services, context.runtime.view
     request_id = context.plan.request_id
-    # Callers know a transaction by the request that opened it.
+    # Callers refer to a transaction by the request that opened it.
     opened_by = context.opened_by if context.opened_by != request_id else ""
-    # Only where a request has a policy of its own does its route have a priority.
+    # Only a request with its own policy comes by a route, which has a priority.
     policy = context.plan.policy
     priority = policy.priority if policy else None
-    verdict = classify_refusal(reason) if step is RequestStep.NOT_RUN else ""
+    refusal_reason = classify_refusal(reason) if step is RequestStep.NOT_RUN else ""
     if not services.events.reserve_line(step):
         shared = SharedDecision(
-            step, reason, view.term, view.primary, priority, verdict
+            step, reason, view.term, view.primary, priority, refusal_reason
         )
         for each in filter(None, (request_id, opened_by)):
             services.events.record_shared(each, shared)
@@ -246,33 +249,33 @@
         (now - confirmed_at) * 1000 if confirmed_at > NEVER else None,
         load.in_use if load else 0,
         load.limit if load else 0,
-        way,
+        via,
         opened_by,
         priority,
-        _compute_aim_left(policy, elapsed),
+        _compute_latency_left(policy, elapsed),
         _get_expected_wait(context, target or view.primary),
-        verdict,
+        refusal_reason,
     )
     services.events.record(event)
 
 
-def _compute_aim_left(policy: RequestPolicy | None, elapsed: float) -> float | None:
-    """Return what is left of a target latency, milliseconds; None without one."""
+def _compute_latency_left(policy: RequestPolicy | None, elapsed: float) -> float | None:
+    """Return the rest of a target latency, milliseconds; None without one."""
     if policy is None or math.isinf(policy.target_latency):
         return None
     return (policy.target_latency - elapsed) * 1000
 
 
 def _get_expected_wait(context: RequestContext, database: str) -> float | None:
-    """Return the wait that was expected at a database, milliseconds; None if unknown.
+    """Return the expected wait at a database, milliseconds; None if unknown.
 
-    What its owner told goes before the wait for this instance's own connections.
+    The owner's report takes precedence over the wait for this instance's connections.
     """
     pool = context.runtime.pools.get(database)
     if pool is None:
         return None
-    told = pool.get_expected(context.demand).wait
-    wait = told or pool.load.expected_wait
+    reported = pool.get_expected(context.demand).wait
+    wait = reported or pool.load.expected_wait
     return wait * 1000 if math.isfinite(wait) else None
 
 
@@ -282,11 +285,11 @@
     outcome: RequestOutcome | None = RequestOutcome.DONE,
     reason: str = "",
 ) -> None:
-    """Count a request that has ended; `reason` is the text of its refusal."""
+    """Count an ended request; `reason` is the message of its refusal."""
     services, policy = context.services, context.policy
     kind = RequestKind.READ if context.plan.is_read else RequestKind.WRITE
     services.metrics.count_request(kind, outcome or RequestOutcome.DONE, target)
-    # An error that no target gave, and that is no refusal, answers nothing either.
+    # An error that is neither a target's answer nor a refusal is not served either.
     is_served = outcome is RequestOutcome.DONE
     elapsed = services.seconds() - context.arrived_at
     is_refused = outcome is RequestOutcome.NOT_RUN
@@ -301,13 +304,13 @@
 
 
 def classify_refusal(message: str) -> str:
-    """Return the reason of a refusal in one word of few, as metrics need it."""
+    """Return the refusal reason that a message holds, one of a fixed set of words."""
     found = (word for text, word in _REFUSALS.items() if text in message)
     return next(found, OTHER_REASON)
 
 
 def make_step_error(step: NextStep, reason: str) -> SqlError:
-    """Return the error that tells a caller what became of its request."""
+    """Return the error for a request that ends with a step other than an answer."""
     if step is NextStep.ROLLED_BACK:
         return make_rolled_back_error(reason)
     return make_outcome_unknown_error(reason)
--- a/beryltrack/requests/at_most_once.py
+++ b/beryltrack/requests/at_most_once.py
@@ -1,9 +1,9 @@
-"""The course of a marked request, which runs at most once.
+"""The flow of an at-most-once request, which carries an identifier.
 
-The ledger's row arbitrates. It is inserted in the request's own transaction, so
-whoever inserts it second, through any proxy and after any failover, waits for
-the first and then meets its row. An insertion that succeeds and is rolled back
-proves that no earlier run of the request has committed or ever will.
+The unique key of the ledger deduplicates runs. The row is inserted in the request's
+own transaction, so that a second insertion, through any proxy and after any failover,
+waits for the first and then fails if that one has committed. An insertion that succeeds
+and is rolled back proves that no earlier run has committed or ever will.
 """
 
 from datetime import UTC, datetime
@@ -49,17 +49,17 @@
 from beryltrack.wire.messages import ResponseEnd, TransactionStatus
 from beryltrack.wire.sinks import CollectingSink
 
-PAUSE = 0.02
-"""Seconds between two attempts to find out what became of a request."""
+RETRY_PERIOD = 0.02
+"""Seconds between two attempts to run a request or to determine its outcome."""
 
 ROLLBACK = "ROLLBACK"
-UNKNOWN_TEXT = "the outcome could not be found out in time"
+UNKNOWN_TEXT = "the outcome could not be determined in time"
 NOT_RUN_NOW = "The request was not run now; an earlier sending may have been."
-REPEAT_TEXT = "the request identifier was used for another request"
+REPEAT_TEXT = "the request identifier was used for a different request"
 
 
 class AtMostOnceFlow:
-    """Carries one marked unit outside of a transaction through to its answer.
+    """Runs one at-most-once unit outside of a transaction until it is answered.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
         self._may_have_run = False
 
     async def run(self) -> None:
-        """Run the unit, or find its earlier run, until it has an answer."""
+        """Run the unit, or find its recorded answer, until the caller has an answer."""
         context = self._context
         while True:
             found = await find_primary(context)
@@ -86,12 +86,12 @@
             if context.services.seconds() >= context.deadline:
                 self._give_up(make_refusal(UNKNOWN_TEXT, 1.0))
                 return
-            await deferLater(context.services.reactor, PAUSE, lambda: None)
+            await deferLater(context.services.reactor, RETRY_PERIOD, lambda: None)
 
     def _give_up(self, refusal: SqlError) -> None:
-        """Answer with what is true: not run only if it never reached a target."""
-        # The refusal is true of this sending; earlier ones of the same identifier
-        # may have come through other proxies.
+        """Answer with an error, or with "outcome unknown" if the unit may have run."""
+        # The refusal holds for this request only; earlier ones with the same
+        # identifier may have come through other proxies.
         refusal = refusal._replace(detail=NOT_RUN_NOW)
         error = (
             make_outcome_unknown_error(UNKNOWN_TEXT) if self._may_have_run else refusal
@@ -121,7 +121,7 @@
         return await run_command(connection, text)
 
     async def _handle_refused(self, target: FoundTarget, error: SqlError) -> bool:
-        """Go on after the row could not be inserted."""
+        """Handle a failed insertion; return True if the caller has its answer."""
         connection = target.connection
         if error.sqlstate == ledger.UNDEFINED_TABLE:
             created = await run_command(connection, ledger.CREATE_TABLE)
@@ -140,7 +140,7 @@
         return True
 
     async def _run_opened(self, target: FoundTarget) -> bool:
-        """Run the unit inside the transaction that holds its row, and commit."""
+        """Run the unit in the transaction that inserted its row, and commit."""
         context, connection = self._context, target.connection
         context.runtime.is_ledger_ready = True
         sink = AnswerSink(context.caller, max_buffered=ledger.MAX_RECORDED_ANSWER)
@@ -175,10 +175,10 @@
         return True
 
     def _drop(self, target: FoundTarget, sink: AnswerSink) -> bool:
-        """Throw the connection away; the target rolls its transaction back.
+        """Close the connection, so that the target rolls its transaction back.
 
-        A caller that has seen a part of the answer cannot be given another run,
-        so it is told that the outcome is unknown; it may repeat the request.
+        For a caller that has received a part of the answer the unit cannot run again;
+        it gets "outcome unknown" and may repeat the request.
         """
         target.pool.release(target.connection, False)
         if not sink.is_answered:
@@ -190,7 +190,7 @@
     async def _confirm(
         self, target: FoundTarget, sink: AnswerSink, tail: bytes, closed: ResponseEnd
     ) -> bool:
-        """Wait for the commit and answer."""
+        """Confirm the commit and answer."""
         context = self._context
         outcome = await confirm_commit(context, closed.position, target.database)
         if outcome is CommitOutcome.CONFIRMED:
@@ -202,7 +202,7 @@
         return self._drop_answer(sink)
 
     def _drop_answer(self, sink: AnswerSink) -> bool:
-        """Forget an answer that did not last; return True if that is final."""
+        """Discard the answer of a lost commit; return True if that ends the request."""
         if sink.is_answered:
             self._give_up(make_rolled_back_error("the primary was replaced"))
             return True
@@ -210,7 +210,7 @@
         return False
 
     async def _answer_repeat(self, target: FoundTarget) -> bool:
-        """Answer with the outcome that an earlier run recorded."""
+        """Answer with the recorded answer of an earlier run."""
         context = self._context
         row = await read_row(target.connection, self._request_id)
         is_read = isinstance(row, ledger.LedgerRow)
@@ -230,7 +230,7 @@
 
 
 async def find_primary(context: RequestContext):
-    """Wait for a primary whose term was confirmed, and get a connection to it."""
+    """Wait for a primary with a confirmed term, and acquire a connection to it."""
     request = WriteRequest(context.services.seconds())
     return await find_target(context.search, request)
 
@@ -238,7 +238,7 @@
 async def read_row(
     connection: TargetConnection, request_id: str
 ) -> ledger.LedgerRow | None:
-    """Return a request's row of the ledger; None if it cannot be read."""
+    """Return a request's row of the ledger; None if it is missing or unreadable."""
     sink = CollectingSink()
     end = await run_command(connection, ledger.format_lookup(request_id), sink)
     if isinstance(end, RunLost) or end.error is not None:
@@ -251,10 +251,10 @@
 
 
 async def confirm_durable(context: RequestContext, database: str) -> bool:
-    """Return whether what was just read at a primary will last.
+    """Return whether the data just read at a primary is durable.
 
-    A position sampled now lies after all that was read before. If the sample
-    is of the same primary and a majority receives it, so is what was read.
+    A position sampled now follows everything read before. If it is of the same primary
+    and a majority receives it, the majority has received the data that was read.
     """
     services, runtime = context.services, context.runtime
     timeout = max(0.0, context.deadline - services.seconds())
@@ -266,7 +266,7 @@
 
 
 async def insert_for_commit(context: RequestContext, pinned: PinnedTransaction) -> bool:
-    """Insert the row of a marked transaction just before its commit.
+    """Insert the row of an at-most-once transaction just before its commit.
 
     Parameters
     ----------
@@ -278,8 +278,8 @@
     Returns
     -------
     bool
-        True if the transaction was rolled back instead, since an earlier run
-        of it has committed, or since its connection was lost.
+        True if the transaction was rolled back instead, because an earlier run
+        of it has committed or its connection was lost.
     """
     created_at = datetime.now(UTC).isoformat(timespec="seconds")
     request_id = context.plan.options.request_id
@@ -295,16 +295,16 @@
 
 
 COMMIT_FINGERPRINT = "commit"
-"""Fingerprint of a marked transaction: only its ``COMMIT`` is known."""
+"""Fingerprint of an at-most-once transaction: only its ``COMMIT`` is known."""
 
 
 async def resolve_commit(context: RequestContext) -> None:
-    """Find out whether a marked transaction has committed, and answer.
+    """Determine whether an at-most-once transaction has committed, and answer.
 
     Parameters
     ----------
     context : RequestContext
-        The ``COMMIT``, whose transaction is over.
+        The ``COMMIT``, whose transaction has ended.
     """
     while True:
         found = await find_primary(context)
@@ -316,14 +316,14 @@
             return
         if context.services.seconds() >= context.deadline:
             break
-        await deferLater(context.services.reactor, PAUSE, lambda: None)
+        await deferLater(context.services.reactor, RETRY_PERIOD, lambda: None)
     send_failure(
         context, make_outcome_unknown_error(UNKNOWN_TEXT), TransactionStatus.IDLE
     )
 
 
 def _answer_resolved(context: RequestContext, has_committed: bool) -> None:
-    """Answer a ``COMMIT`` whose outcome was found out."""
+    """Answer a ``COMMIT`` whose outcome is known."""
     if has_committed:
         tail = CommandComplete("COMMIT").to_wire()
         sink = AnswerSink(context.caller)
@@ -335,7 +335,7 @@
 
 
 async def _probe_ledger(context: RequestContext, target: FoundTarget) -> bool | None:
-    """Return whether a request has committed; None if that is still open."""
+    """Return whether a request has committed; None if that is not known yet."""
     connection, request_id = target.connection, context.plan.options.request_id
     opened = await run_command(
         connection, ledger.format_open(request_id, COMMIT_FINGERPRINT, "")
--- a/beryltrack/requests/execution.py
+++ b/beryltrack/requests/execution.py
@@ -1,4 +1,4 @@
-"""Runs a planned unit, or a command of the proxy's own, on a connection."""
+"""Runs a planned unit, or a command that the proxy issues, on a connection."""
 
 from pygwire import BackendMessageDecoder, ConnectionPhase
 from pygwire.messages import DataRow, Query
@@ -23,13 +23,13 @@
     Parameters
     ----------
     connection : TargetConnection
-        A connection that runs nothing else.
+        A connection without another running statement.
     plan : RequestPlan
         The unit.
     sink : AnswerSink
-        Takes the answer's frames.
+        Receives the answer's frames.
     caller : Caller
-        Who sent the unit; may cancel it.
+        Sender of the unit; may cancel it.
 
     Returns
     -------
@@ -53,16 +53,16 @@
 async def run_command(
     connection: TargetConnection, text: str, sink: ResponseSink | None = None
 ) -> RunResult:
-    """Run statements of the proxy's own on a connection.
+    """Run statements that the proxy issues on a connection.
 
     Parameters
     ----------
     connection : TargetConnection
-        A connection that runs nothing else.
+        A connection without another running statement.
     text : str
         The statements.
     sink : ResponseSink, optional
-        Takes the answer's frames.
+        Receives the answer's frames.
 
     Returns
     -------
@@ -78,7 +78,7 @@
 async def apply_settings(
     connection: TargetConnection, caller: Caller, settings: TargetSettings
 ) -> RunResult | None:
-    """Give a connection a caller's settings; return how that failed, else None."""
+    """Apply a caller's settings to a connection; return the failed run, or None."""
     change = settings.get_change(connection, caller)
     if not change:
         return None
--- a/beryltrack/requests/flow.py
+++ b/beryltrack/requests/flow.py
@@ -1,4 +1,8 @@
-"""The course of a request outside of a transaction, from arrival to answer."""
+"""The flow of a request outside of a transaction, from arrival to answer.
+
+It finds a target, runs the unit, decides by `outcomes` whether a failed run is
+repeated, and confirms a commit before the caller gets its answer.
+"""
 
 from returns.maybe import Some
 from returns.result import Failure
@@ -40,16 +44,17 @@
 from beryltrack.wire.messages import ResponseEnd, TransactionStatus
 
 LOST_TEXT = "the connection to the target was lost"
-UNPROVEN_TEXT = "the primary's lead was not proven"
+UNPROVEN_TEXT = "the primary's leadership was not proven"
 REPLACED_TEXT = "the primary was replaced"
 
 MAX_ATTEMPTS = 4
-"""Attempts after which a refusal as over a limit is the answer: one in each zone that
-has rights to an account, mostly, and one that met another failure."""
+"""Attempts after which a refusal as over an account's limit is the answer. That allows
+for one in each availability zone with a quota share of the account, in most cases, and
+for one that failed otherwise."""
 
 
 class RequestFlow:
-    """Carries one unit outside of a transaction through to its answer.
+    """Runs one unit outside of a transaction until it is answered.
 
     Parameters
     ----------
@@ -65,11 +70,11 @@
         self._sent_at = 0.0
         self._excluded: tuple[str, ...] = ()
         self._may_have_run = False
-        self._lacked_proof = False
-        self._is_passed_on = False
+        self._lacks_proof = False
+        self._is_rerouted = False
         self._refusal: SqlError | None = None
-        self._refusals = 0
-        self._is_at_replica = False
+        self._refusal_count = 0
+        self._was_refused_at_replica = False
 
     async def run(self) -> None:
         """Run the unit until it has an answer."""
@@ -93,9 +98,9 @@
                 self._attempts,
                 found.unwrap().connection.way,
             )
-            if self._is_passed_on:
+            if self._is_rerouted:
                 continue
-            if self._is_refused_for_good() or not await self._wait_to_retry():
+            if self._is_refusal_final() or not await self._wait_to_retry():
                 refusal = self._refusal or make_refusal(reason, 1.0)
                 self._fail(self._make_refusal(refusal))
                 return
@@ -105,7 +110,7 @@
         return await find_target(self._context.search, self._make_request())
 
     def _make_request(self) -> ReadRequest | WriteRequest:
-        """Return what routing needs to know of the unit."""
+        """Return the routing request for the unit."""
         context = self._context
         if self._must_write:
             is_begin = context.plan.kind is StatementKind.BEGIN
@@ -122,7 +127,7 @@
             written_at=context.caller.session.written_at,
             sequence=next(context.services.sequence),
             account=context.caller.account,
-            may_run_unproven=context.services.is_crowded() and not self._lacked_proof,
+            may_run_unproven=context.services.is_crowded() and not self._lacks_proof,
             via_zone=context.services.account_owners.get_zone(context.caller.account),
         )
 
@@ -130,13 +135,13 @@
         """Run the unit once; return the next step and why it is needed."""
         self._refusal = None
         result = await self._run_on(target)
-        self._is_passed_on = self._goes_on(target, result)
+        self._is_rerouted = self._may_run_elsewhere(target, result)
         if isinstance(result, RunLost):
             target.pool.release(target.connection, False, result.is_sent)
             self._may_have_run |= result.is_sent
             self._exclude(target)
             return self._decide_failure(RunFailure(result.is_sent, "")), LOST_TEXT
-        if self._is_passed_on:
+        if self._is_rerouted:
             self._sink.take_buffered()
             target.pool.release(target.connection, True, False)
             return NextStep.RETRY, result.error.message
@@ -151,22 +156,22 @@
                 return step, result.error.message
         return await self._finish(target, result)
 
-    def _goes_on(self, target: FoundTarget, result: RunResult) -> bool:
-        """Return whether another instance may run what one refused as over a limit.
+    def _may_run_elsewhere(self, target: FoundTarget, result: RunResult) -> bool:
+        """Return whether another instance may run a unit refused as over a limit.
 
-        It has not run, and the other one has rights of its own: it goes there at once
-        and draws on no budget, as no instance is asked twice.
+        The unit was not run, and the other instance has its own quota share. It is
+        rerouted at once and without the retry budget, as no instance is asked twice.
         """
         if isinstance(result, RunLost) or result.error is None:
             return False
-        way, context = target.connection.way, self._context
-        is_refused = result.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED and way
+        via, context = target.connection.way, self._context
+        is_refused = result.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED and via
         if not is_refused or self._sink.is_answered:
             return False
         if self._attempts >= MAX_ATTEMPTS:
             return False
         return context.services.account_owners.observe_quota_refusal(
-            context.caller.account, way
+            context.caller.account, via
         )
 
     async def _run_on(self, target: FoundTarget) -> RunResult:
@@ -181,50 +186,50 @@
         )
 
     def _record_refusal(self, target: FoundTarget, error: SqlError) -> None:
-        """Keep when another instance says to come back, and whether it is full."""
+        """Record the retry time that another instance named, and whether it is full."""
         if not (target.connection.way and error.retry_after):
             return
         self._refusal = error
         if error.sqlstate == TOO_MANY_CONNECTIONS:
-            self._refusals += 1
-            self._is_at_replica = target.is_replica
+            self._refusal_count += 1
+            self._was_refused_at_replica = target.is_replica
 
-    def _is_refused_for_good(self) -> bool:
-        """Return whether the last run was refused by a full instance for good."""
+    def _is_refusal_final(self) -> bool:
+        """Return whether the last run's refusal by a full instance is the answer."""
         refusal = self._refusal
         if refusal is None or refusal.sqlstate != TOO_MANY_CONNECTIONS:
             return False
-        return not may_retry_refused(self._refusals, self._is_at_replica)
+        return not may_retry_refused(self._refusal_count, self._was_refused_at_replica)
 
     def _observe_refusal(self, target: FoundTarget, error: SqlError) -> None:
-        """Take in what a refusal tells of its database."""
+        """Update the group's view with what a refusal shows of its database."""
         task = self._context.runtime.task
         if error.sqlstate == CANNOT_CONNECT_NOW:
-            # An instance that reaches no database ends the session, and says nothing
-            # of what the database shows.
+            # An instance that cannot reach the database closes the session; its refusal
+            # says nothing about the position that the database shows.
             if target.after is not None and not target.connection.broken:
                 task.observe_lagging(target.database, target.after)
         elif error.sqlstate == READ_ONLY_REFUSAL:
-            # It was replaced, which nobody has told this node yet.
+            # It was replaced, and this instance has not learnt of that yet.
             task.suspect(target.database, self._sent_at)
 
     def _exclude(self, target: FoundTarget) -> None:
-        """Let another replica than the one that failed serve the next attempt."""
+        """Exclude a replica that failed from the next attempt."""
         if target.is_replica:
             self._excluded = (*self._excluded, target.database)
 
     def _decide_failure(self, failure: RunFailure) -> NextStep:
-        """Return the step after a failed run; drop what it has answered."""
+        """Return the step after a failed run; discard its answer unless it is final."""
         step = decide_after_failure(self._get_state(), failure)
         if step is not NextStep.ANSWER:
             self._sink.take_buffered()
         if failure.sqlstate == READ_ONLY_REFUSAL:
-            # What the text showed as a read may write after all.
+            # A statement that was classified as a read may write after all.
             self._must_write = True
         return step
 
     def _get_state(self) -> RequestState:
-        """Return what is known of the unit."""
+        """Return the state of the unit."""
         return RequestState(
             is_read=not self._must_write,
             in_transaction=False,
@@ -236,7 +241,7 @@
     async def _finish(
         self, target: FoundTarget, end: ResponseEnd
     ) -> tuple[NextStep, str]:
-        """Give the connection back, wait for the commit, and answer."""
+        """Release or pin the connection, confirm the commit, and answer."""
         context = self._context
         self._observe(target, end)
         if end.status is TransactionStatus.IDLE:
@@ -258,11 +263,11 @@
         return NextStep.ANSWER, ""
 
     async def _is_proven(self, target: FoundTarget, end: ResponseEnd) -> bool:
-        """Return whether an answer shows all that its read must show.
+        """Return whether an answer is proven to be current enough for its read.
 
-        The primary led when the proof was asked for, after the read had arrived. What
-        was acknowledged before that is in its log then, and stays in the log of its
-        term, whenever the read ran.
+        The proof was requested after the read had arrived and shows that the primary
+        led then. Everything acknowledged before is in its log and stays in the log of
+        its term, whenever the read ran.
         """
         if target.proof is None or end.error is not None:
             return True
@@ -273,16 +278,16 @@
         return proven.term == end.position.term
 
     def _drop_unproven(self, target: FoundTarget, end: ResponseEnd) -> None:
-        """Drop the answer of a read that may show too little; it runs again."""
+        """Discard the answer of a read that may be stale; the read runs again."""
         self._sink.take_buffered()
-        self._lacked_proof = self._may_have_run = True
+        self._lacks_proof = self._may_have_run = True
         session = self._context.caller.session
         if end.status is not TransactionStatus.IDLE and session.pinned is not None:
             session.pinned = None
             target.pool.release(target.connection, False)
 
     def _observe(self, target: FoundTarget, end: ResponseEnd) -> None:
-        """Take in what the answer tells of the target and the session."""
+        """Record what the answer shows of the target and the session."""
         context = self._context
         protocol = context.services.protocol
         if end.proof is not None:
@@ -300,11 +305,11 @@
             protocol.observe_answer(context.plan, context.caller, target.connection)
 
     def _release(self, target: FoundTarget) -> None:
-        """Give the connection back."""
+        """Return the connection to its pool."""
         target.pool.release(target.connection, True)
 
     def _pin(self, target: FoundTarget) -> None:
-        """Keep the connection for the transaction that the unit opened."""
+        """Pin the connection to the transaction that the unit opened."""
         context = self._context
         is_read_only = context.plan.kind is StatementKind.BEGIN_READ_ONLY
         context.caller.session.pinned = PinnedTransaction(
@@ -316,7 +321,7 @@
         )
 
     def _answer(self, target: FoundTarget, end: ResponseEnd) -> None:
-        """Answer the caller with what the target said."""
+        """Send the target's answer to the caller; count and log it."""
         has_new_token = self._must_write and end.position is not None
         tail = end.tail + end.error_frame
         send_answer(self._context, self._sink, tail, end.status, has_new_token)
@@ -334,7 +339,7 @@
         )
 
     async def _wait_to_retry(self) -> bool:
-        """Wait as the retry budget says; return False if it forbids a retry."""
+        """Wait for the retry delay; return False if the budget permits no retry."""
         services = self._context.services
         delay = services.retries.choose_retry(
             FailedAttempt(self._attempts, True),
@@ -348,10 +353,10 @@
         return True
 
     def _make_refusal(self, refusal: SqlError) -> SqlError:
-        """Return what is true of a unit that is given up between two runs.
+        """Return the error for a unit that is given up between two runs.
 
-        Only a run without effect is followed by another, so a unit that has run
-        before was rolled back, and "not run" would be untrue.
+        Only a run without effect is followed by another. A unit that has run before
+        is reported as rolled back, since "not run" would be false.
         """
         return (
             make_rolled_back_error(refusal.message) if self._may_have_run else refusal
--- a/beryltrack/requests/forward_encoding.py
+++ b/beryltrack/requests/forward_encoding.py
@@ -1,8 +1,9 @@
-"""The form in which a request and what it changed travel between proxies.
+"""Wire format (CBOR) of forwarded requests and their effects.
 
-Only single units outside of transactions are forwarded. With them goes all that
-an owner needs to run them as if the caller were its own: the session's token
-and settings, and the prepared statements that the unit uses.
+Only single units outside of transactions are forwarded. A request carries all that
+an owner needs to run it like one of its own callers: the session's token and settings,
+and the prepared statements that the unit uses. Decoded data of a wrong form is
+reported as findings.
 """
 
 from typing import NamedTuple
@@ -23,19 +24,20 @@
 from beryltrack.sessions.tokens import format_token, parse_token
 
 STATEMENT = "S"
+"""Kind of Describe and Close messages that refer to a prepared statement."""
 
 
 class ForwardedStatement(NamedTuple):
-    """A prepared statement by the caller's name for it.
+    """A prepared statement of a caller.
 
     Parameters
     ----------
     name : str
         The caller's name.
     text : str or None
-        The statement; None if the name means nothing any more.
+        The statement; None if the name is not defined any more.
     types : tuple of int
-        Type numbers of its parameters, as far as they are given.
+        Type OIDs of its parameters, as far as they are given.
     """
 
     name: str
@@ -44,22 +46,22 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """A unit on its way to an owner of its group.
+    """A unit that is forwarded to an owner of its group.
 
     Parameters
     ----------
     user, database, address : str
-        Who the caller is.
+        Identity of the caller.
     settings : dict of str to str
         The session's settings.
     token : str
-        The session's token; empty if nothing is known.
+        The session's token; empty if it is unknown.
     is_tracked : bool
-        True if the caller handed the token in.
+        True if the caller supplied the token.
     wire : bytes
         The unit's frames as the caller sent them.
     statements : tuple of StatementForm
-        The statements of earlier units that it uses.
+        Statements that earlier units prepared and this one uses.
     """
 
     user: str
@@ -73,12 +75,12 @@
 
 
 class ForwardedEffects(NamedTuple):
-    """What an answered unit has changed for its session.
+    """Changes that an answered unit made to its session.
 
     Parameters
     ----------
     token : str
-        The session's token now.
+        The session's token after the unit.
     statements : tuple of StatementForm
         The names that the unit prepared or closed.
     """
@@ -88,7 +90,7 @@
 
 
 def encode_request(request: Request, caller: Caller) -> bytes:
-    """Return the form of a unit and its caller."""
+    """Return the encoding of a unit and its caller."""
     names = _get_used_names(request)
     return cbor2.dumps(
         ForwardedRequest(
@@ -105,7 +107,7 @@
 
 
 def decode_request(data: bytes) -> tuple[ForwardedRequest | None, list[Finding]]:
-    """Return the request that a form stands for, or what is wrong with it."""
+    """Return the decoded request and no findings, or None and the findings."""
     try:
         fields = cbor2.loads(data)
         request = ForwardedRequest(*fields)
@@ -136,7 +138,7 @@
 
 
 def encode_effects(request: Request, caller: Caller) -> bytes:
-    """Return the form of what a unit has changed."""
+    """Return the encoding of the changes that a unit made to its session."""
     names = _get_changed_names(request)
     token = format_token(caller.session.token)
     return cbor2.dumps(
@@ -145,7 +147,7 @@
 
 
 def apply_encoded_effects(data: bytes, caller: Caller) -> list[Finding]:
-    """Take over what a unit has changed; return what is wrong with the form."""
+    """Apply the encoded changes to a caller's session; return the findings."""
     try:
         effects = ForwardedEffects(*cbor2.loads(data))
         changes = [ForwardedStatement(*item) for item in effects.statements]
@@ -170,7 +172,7 @@
 def get_statements(
     table: StatementTable, names: tuple[str, ...]
 ) -> tuple[ForwardedStatement, ...]:
-    """Return what names mean in a table."""
+    """Return the definitions of names in a table."""
     found = ((name, table.get(name)) for name in names)
     return tuple(
         ForwardedStatement(name, None, ())
@@ -181,7 +183,7 @@
 
 
 def set_statements(table: StatementTable, changes: list[ForwardedStatement]) -> None:
-    """Let names mean what they were found to mean elsewhere."""
+    """Set or drop the definitions of names in a table."""
     for name, text, types in changes:
         if text is None:
             table.drop(name)
@@ -190,7 +192,7 @@
 
 
 def _get_used_names(request: Request) -> tuple[str, ...]:
-    """Return the names of statements that a unit may use from earlier ones."""
+    """Return the names of earlier statements that a unit may use."""
     if not isinstance(request, ExtendedRequest):
         return ()
     names = (
--- a/beryltrack/requests/forward_flow.py
+++ b/beryltrack/requests/forward_flow.py
@@ -1,4 +1,4 @@
-"""The course of a request that another proxy runs, an owner of its group."""
+"""The flow of a request that this instance forwards to an owner of its group."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -21,33 +21,33 @@
 from beryltrack.routing.messages import StatementKind
 from beryltrack.wire.messages import TransactionStatus
 
-PAUSE = 0.05
+RETRY_PERIOD = 0.05
 """Seconds between two attempts to forward a request."""
 
-# What needs a connection for longer than one unit is run with borrowed ones.
+# Units that keep a connection beyond their end run on borrowed connections instead.
 _FORWARDABLE = frozenset(
     (StatementKind.READ, StatementKind.WRITE, StatementKind.EMPTY, StatementKind.SHOW)
 )
 
 
 class Stream(Protocol):
-    """A request that was passed on."""
+    """The stream of a forwarded request."""
 
     def consume(self, size: int) -> None:
-        """Say that so many bytes of the answer have gone to the caller."""
+        """Grant the sender `size` more bytes: so many have gone to the caller."""
 
     def cancel(self) -> None:
         """Cancel the request; its outcome still comes."""
 
 
 class RequestForwarder(Protocol):
-    """Passes requests on to the owners of their groups."""
+    """Forwards requests to the owners of their groups."""
 
     def is_owner(self, group: str) -> bool:
-        """Return whether this instance runs a group's requests itself."""
+        """Return whether this instance owns a group."""
 
     def forward(self, group: str, request: bytes, deadline: float, sink) -> Stream:
-        """Pass a request on; the sink takes its answer and its outcome."""
+        """Forward a request; the sink receives its answer and its outcome."""
 
 
 def is_forwardable(kind: StatementKind) -> bool:
@@ -56,83 +56,83 @@
 
 
 class ForwardToOwners:
-    """Passes units on to the owners of their groups; see `UnitForwarder`.
+    """Forwards units to the owners of their groups; see `UnitForwarder`.
 
     Parameters
     ----------
     forwarder : RequestForwarder
-        Carries the requests.
+        Transports the requests.
     """
 
     def __init__(self, forwarder: RequestForwarder):
         self._forwarder = forwarder
 
     def should_forward(self, context: RequestContext) -> bool:
-        """Return whether an owner of the group is to run a unit."""
+        """Return whether an owner of the group runs a unit."""
         is_owner = self._forwarder.is_owner(context.runtime.settings.name)
         return is_forwardable(context.plan.kind) and not is_owner
 
     async def run(self, context: RequestContext) -> None:
-        """Have an owner run a unit, and answer the caller."""
+        """Forward a unit to an owner, and answer the caller."""
         await ForwardFlow(context, self._forwarder).run()
 
 
 class ForwardSink:
-    """Takes the answer to one forwarded request.
+    """Receives the answer to one forwarded request.
 
-    The owner is told to send more only as the caller reads, so that a slow
-    caller holds back its own answer and nothing else.
+    Flow control: the owner is granted more bytes only as the caller reads, so that a
+    slow caller delays its own answer and nothing else.
 
     Parameters
     ----------
     answer : AnswerSink
-        Where the answer goes.
+        Receives the answer.
     """
 
     def __init__(self, answer: AnswerSink):
         self.done: Deferred[ForwardResult] = Deferred()
         self.stream: Stream | None = None
         self._answer = answer
-        self._untaken = 0
+        self._ungranted = 0
         self._is_paused = False
         answer.attach(self)
 
     def write(self, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Receive a part of the answer."""
         self._answer.write(data)
-        self._untaken += len(data)
-        self._take()
+        self._ungranted += len(data)
+        self._grant()
 
     def finish(self, result: ForwardResult) -> None:
-        """Take what came of the request."""
+        """Receive the outcome of the request."""
         self._answer.detach()
         self.done.callback(result)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Ask for no more: the caller has not read what it was sent."""
+        """Grant no more bytes: the caller has unread data."""
         self._is_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Ask for more."""
+        """Grant more bytes again."""
         self._is_paused = False
-        self._take()
+        self._grant()
 
-    def _take(self) -> None:
-        """Ask for as much as has gone to the caller."""
-        if self._untaken and not self._is_paused and self.stream is not None:
-            size, self._untaken = self._untaken, 0
+    def _grant(self) -> None:
+        """Grant as many bytes as have gone to the caller."""
+        if self._ungranted and not self._is_paused and self.stream is not None:
+            size, self._ungranted = self._ungranted, 0
             self.stream.consume(size)
 
 
 class ForwardFlow:
-    """Carries one unit to an owner and its answer back.
+    """Forwards one unit until it is answered.
 
     Parameters
     ----------
     context : RequestContext
         The request.
     forwarder : RequestForwarder
-        Passes it on.
+        Transports it.
     """
 
     def __init__(self, context: RequestContext, forwarder: RequestForwarder):
@@ -147,7 +147,7 @@
         context = self._context
         while True:
             result = await self._forward()
-            step = self._judge(result)
+            step = self._decide(result)
             if step is NextStep.ANSWER:
                 self._answer(result)
                 return
@@ -157,7 +157,7 @@
             if context.services.seconds() >= context.give_up_at:
                 self._fail(self._make_last_error(result.reason))
                 return
-            await deferLater(context.services.reactor, PAUSE, lambda: None)
+            await deferLater(context.services.reactor, RETRY_PERIOD, lambda: None)
 
     async def _forward(self) -> ForwardResult:
         """Forward the unit once."""
@@ -176,7 +176,7 @@
             context.caller.set_cancel(None)
 
     def _make_cancel(self, stream: Stream) -> Callable[[], None]:
-        """Return what cancels the unit when the caller asks for that."""
+        """Return the callback that cancels the unit on the caller's request."""
 
         def cancel() -> None:
             self._is_cancelled = True
@@ -184,8 +184,8 @@
 
         return cancel
 
-    def _judge(self, result: ForwardResult) -> NextStep:
-        """Return the next step; only what is safe is forwarded again."""
+    def _decide(self, result: ForwardResult) -> NextStep:
+        """Return the next step; a unit is forwarded again only if that is safe."""
         plan = self._context.plan
         if result.outcome is ForwardOutcome.ANSWERED:
             return NextStep.ANSWER
@@ -196,23 +196,25 @@
             return NextStep.RETRY if is_repeatable else NextStep.ROLLED_BACK
         if plan.is_read:
             return NextStep.RETRY if is_repeatable else NextStep.ROLLED_BACK
-        # The ledger keeps a marked request that has run from running again.
+        # The ledger prevents a second run of an at-most-once request.
         self._may_have_run = True
         is_retried = plan.is_at_most_once and is_repeatable
         return NextStep.RETRY if is_retried else NextStep.UNKNOWN
 
     def _answer(self, result: ForwardResult) -> None:
-        """Pass the rest of the answer on and take over what it changed."""
+        """Send the rest of the answer, and apply its effects to the session."""
         caller = self._context.caller
         caller.write(self._sink.take_buffered())
         findings = apply_encoded_effects(result.trailer, caller)
         if findings:
             text = "; ".join(map(format_finding, findings))
-            raise RuntimeError(f"an owner's answer cannot be read: {text}")
+            raise RuntimeError(
+                f"the effects in an owner's answer cannot be decoded: {text}"
+            )
         caller.send_ready(TransactionStatus.IDLE)
 
     def _make_last_error(self, reason: str) -> SqlError:
-        """Return the error of a unit for which time is up."""
+        """Return the error for a unit whose time limit has passed."""
         if self._may_have_run:
             return make_step_error(NextStep.UNKNOWN, reason)
         return make_refusal(reason, 1.0)
--- a/beryltrack/requests/forward_handler.py
+++ b/beryltrack/requests/forward_handler.py
@@ -1,7 +1,7 @@
-"""Runs the requests that other proxies forward to this owner.
+"""Runs the requests that other instances forward to this owner.
 
-A forwarded unit runs as that of a caller of its own, whose connection is the
-stream. Its errors are answers like others: they say truthfully what happened.
+A forwarded unit runs like one of a local caller; the forwarding stream takes the
+place of the caller's connection. An error is an answer like any other.
 """
 
 import logging
@@ -36,12 +36,12 @@
 
 
 class StreamTransport:
-    """The stream of a forwarded request as a caller's transport.
+    """Adapts the stream of a forwarded request to a caller's transport.
 
     Parameters
     ----------
     writer : ForwardWriter
-        Takes the answer.
+        Receives the answer.
     """
 
     def __init__(self, writer: ForwardWriter):
@@ -50,7 +50,7 @@
         self._is_waiting = False
 
     def write(self, data: bytes) -> None:
-        """Send a part of the answer; hold the target back while none is taken."""
+        """Send a part of the answer; pause the target while the stream is full."""
         self._writer.write(data)
         ready = self._writer.wait_ready()
         if not ready.called and not self._is_waiting:
@@ -59,7 +59,7 @@
             ready.addCallback(lambda _: self._resume())
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Give up an answer that the other proxy does not take."""
+        """Abort an answer that the other instance does not read."""
         self.caller.disconnect()
         self.caller.cancel()
 
@@ -69,10 +69,10 @@
 
 
 class ForwardedCaller(Caller):
-    """A caller whose connection ends at another proxy."""
+    """A caller that is connected to another instance."""
 
     def send_ready(self, status: TransactionStatus) -> None:
-        """Note how the unit ended; the other proxy tells the caller."""
+        """Record the transaction status; the other instance sends it to the caller."""
         self.status = status
 
 
@@ -82,7 +82,7 @@
     Parameters
     ----------
     reactor : IReactorTime
-        Measures how long answers stay untaken.
+        Measures how long answers stay unread.
     run_unit : callable
         Runs a unit of a caller on this instance.
     """
@@ -102,8 +102,8 @@
         transport = StreamTransport(writer)
         caller = self._make_caller(forwarded, transport)
         transport.caller = caller
-        # Cancelling stops the statement, never the course that has to give the
-        # connection back.
+        # Cancelling stops the statement, not the flow, which has to return the
+        # connection to its pool.
         outcome: Deferred[ForwardResult] = Deferred(lambda _: caller.cancel())
         running = Deferred.fromCoroutine(self._run_unit(unit, caller))
         running.addCallbacks(
@@ -115,18 +115,18 @@
     def _make_caller(
         self, forwarded: ForwardedRequest, transport: StreamTransport
     ) -> ForwardedCaller:
-        """Return the caller of a forwarded request as it is at its own proxy."""
+        """Return a caller with the session that it has at the other instance."""
         identity = CallerIdentity(forwarded.user, forwarded.database, forwarded.address)
         caller = ForwardedCaller(self._reactor, transport, identity, forwarded.settings)
         token, _ = parse_token(forwarded.token)
         caller.session = CallerSession(token, forwarded.is_tracked)
-        known = [form for form in forwarded.statements if form.text is not None]
+        known = [item for item in forwarded.statements if item.text is not None]
         set_statements(caller.statements, known)
         return caller
 
 
 def read_unit(wire: bytes) -> Request | None:
-    """Return the unit that frames make up; None if they are not exactly one."""
+    """Return the unit that frames encode; None if they are not exactly one."""
     reader = RequestReader(UNIT_LIMIT)
     try:
         reader.feed(wire)
@@ -144,20 +144,23 @@
 
 
 def _refuse(reason: str) -> Deferred:
-    """Return the outcome of a request that cannot be read."""
+    """Return the outcome of a request that cannot be decoded."""
     result: Deferred[ForwardResult] = Deferred()
     result.callback(ForwardResult(ForwardOutcome.NOT_RUN, reason))
     return result
 
 
 def _finish(outcome: Deferred, result: ForwardResult) -> None:
-    """Tell the outcome unless it was cancelled."""
+    """Fire the outcome unless it was cancelled."""
     if not outcome.called:
         outcome.callback(result)
 
 
 def _fail(outcome: Deferred, failure) -> None:
-    """Tell that a request failed, unless it was cancelled."""
-    log.error("requests: forwarded request failed: %s", failure.getTraceback())
+    """Log a failed request, and fire its outcome unless it was cancelled."""
+    log.error(
+        "requests: forwarded request failed, outcome reported as unknown: %s",
+        failure.getTraceback(),
+    )
     reason = "the owner could not finish it"
     _finish(outcome, ForwardResult(ForwardOutcome.UNKNOWN, reason))
--- a/beryltrack/requests/ledger.py
+++ b/beryltrack/requests/ledger.py
@@ -1,9 +1,10 @@
-"""The ledger: a table of the target that makes a marked request run at most once.
+"""SQL and records of the ledger, the table that deduplicates at-most-once requests.
 
-The row of a request is written in the same transaction as its effect, so the
-two last or vanish together, also through a change of primary. A repeat meets
-the row and is answered with the recorded outcome. The row's key arbitrates
-between runs at the same time, through any proxy.
+The ledger is a table at the target, with the request identifier as primary key (the
+pattern of idempotency keys). A request's row is written in the transaction of its
+effect, so that both persist or both are lost, also when the primary changes. A repeat
+violates the key and is answered with the recorded answer. The key also serializes
+concurrent runs through different proxies.
 """
 
 import base64
@@ -16,9 +17,9 @@
 UNIQUE_VIOLATION = "23505"
 UNDEFINED_TABLE = "42P01"
 MAX_REQUEST_ID = 128
-"""Most characters of a request identifier."""
+"""Maximum length of a request identifier, characters."""
 MAX_RECORDED_ANSWER = 65536
-"""Most bytes of an answer that the ledger keeps; a repeat of a request with a
+"""Maximum size of an answer in the ledger, bytes; a repeat of a request with a
 larger answer gets its command tag without the rows."""
 
 CREATE_TABLE = (
@@ -28,15 +29,15 @@
 
 
 class LedgerRow(NamedTuple):
-    """What the ledger keeps of one request.
+    """A request's row of the ledger.
 
     Parameters
     ----------
     fingerprint : str
-        Hash of the statement and its parameters, so that an identifier that is
-        used for two different requests is noticed.
+        Hash of the statement and its parameters, which detects an identifier that
+        is used for two different requests.
     answer : RecordedAnswer
-        What the first run answered.
+        Answer of the first run.
     """
 
     fingerprint: str
@@ -44,7 +45,7 @@
 
 
 class RecordedAnswer(NamedTuple):
-    """An answer as the ledger keeps it.
+    """An answer as the ledger stores it.
 
     Parameters
     ----------
@@ -53,7 +54,7 @@
     frames : bytes
         The answer's frames without the last ``ReadyForQuery``.
     is_complete : bool
-        False if the rows were too many to keep.
+        False if the answer was too large, so that its rows are missing.
     """
 
     is_extended: bool
@@ -82,7 +83,7 @@
 
 
 def quote_literal(text: str) -> str:
-    """Return a text as a literal of SQL.
+    """Return a text as an SQL literal.
 
     Parameters
     ----------
@@ -100,7 +101,7 @@
 
 
 def format_open(request_id: str, fingerprint: str, created_at: str) -> str:
-    """Return the statements that open a marked request's transaction.
+    """Return the statements that open an at-most-once request's transaction.
 
     Parameters
     ----------
@@ -138,7 +139,7 @@
     request_id : str
         The request's identifier.
     answer : RecordedAnswer
-        What the request answered.
+        Answer of the request.
 
     Returns
     -------
@@ -167,12 +168,12 @@
     before : str
         Rows created before this ISO 8601 time are removed.
     limit : int
-        Most rows to remove, so that no transaction grows long.
+        Maximum number of rows to remove, which keeps the transaction short.
 
     Returns
     -------
     str
-        The statement. Its command tag tells how many rows it removed.
+        The statement. Its command tag holds the number of removed rows.
     """
     return (
         f"DELETE FROM {TABLE} WHERE request_id IN (SELECT request_id FROM {TABLE}"
@@ -181,18 +182,18 @@
 
 
 def encode_answer(answer: RecordedAnswer) -> str:
-    """Return an answer as text that the ledger's column can hold."""
+    """Return an answer as text (base64 of CBOR) for the ledger's column."""
     return base64.b64encode(cbor2.dumps(tuple(answer))).decode("ascii")
 
 
 def decode_answer(text: str) -> RecordedAnswer:
-    """Return the answer that `encode_answer` made a text of.
+    """Return the answer that `encode_answer` encoded.
 
     Parameters
     ----------
     text : str
-        The column's value. Empty if the request was a ``COMMIT`` of a
-        transaction, whose answer needs no record.
+        The column's value; empty for the ``COMMIT`` of a transaction, whose answer
+        is always the same.
 
     Returns
     -------
@@ -205,7 +206,7 @@
 
 
 def make_recorded_answer(is_extended: bool, frames: bytes, tail: bytes):
-    """Return the record of an answer, without its rows if they are too many.
+    """Return the record of an answer, without its rows if it is too large.
 
     Parameters
     ----------
@@ -219,7 +220,7 @@
     Returns
     -------
     RecordedAnswer
-        The record to keep.
+        The record.
     """
     if len(frames) + len(tail) > MAX_RECORDED_ANSWER:
         return RecordedAnswer(is_extended, tail, False)
--- a/beryltrack/requests/ledger_cleaner.py
+++ b/beryltrack/requests/ledger_cleaner.py
@@ -1,7 +1,7 @@
-"""Removes rows of the ledger that are older than the group's retention.
+"""Removes rows of the ledger that are older than the group's retention time.
 
-One instance does that for each group, chosen by rank, a little at a time.
-Two that both believe to be chosen only remove the same rows.
+For each group one instance, chosen by rank, removes them in small batches. If two
+instances both consider themselves chosen, they remove the same rows, without harm.
 """
 
 import logging
@@ -25,10 +25,10 @@
 log = logging.getLogger(__name__)
 
 PERIOD = 60.0
-"""Seconds between two removals of one group."""
+"""Seconds between two removals in one group, before jitter."""
 
-BATCH = 1000
-"""Most rows of one removal."""
+MAX_BATCH = 1000
+"""Maximum number of rows that one removal deletes."""
 
 
 class LedgerCleaner:
@@ -37,11 +37,11 @@
     Parameters
     ----------
     services : RequestServices
-        What requests share.
+        Services of this instance.
     get_runtimes : callable
         Returns the runtimes of all groups.
     is_chosen : callable
-        Returns whether this instance cleans the group of a name.
+        Returns whether this instance cleans the ledger of the named group.
     rng : random.Random
         Source of jitter.
     """
@@ -61,11 +61,11 @@
         self._cleaning.clock = services.reactor
 
     def start(self) -> None:
-        """Begin to clean."""
+        """Start cleaning periodically."""
         self._cleaning.start(self._period, now=False)
 
     def stop(self) -> None:
-        """Clean no more."""
+        """Stop cleaning."""
         if self._cleaning.running:
             self._cleaning.stop()
 
@@ -75,7 +75,8 @@
 
     async def _clean_chosen(self) -> None:
         for runtime in self._get_runtimes():
-            # Only a group whose marked requests came by here has a known ledger.
+            # Only at-most-once requests through this instance show it that the
+            # group has a ledger.
             if runtime.is_ledger_ready and self._is_chosen(runtime.settings.name):
                 await clean_ledger(self._services, runtime, datetime.now(UTC))
 
@@ -88,16 +89,16 @@
     Parameters
     ----------
     services : RequestServices
-        What requests share.
+        Services of this instance.
     runtime : GroupRuntime
         The group.
     now : datetime
-        The present time.
+        The current time.
 
     Returns
     -------
     bool
-        True if the removal was run. Rows that stay are removed another time.
+        True if the removal ran. A later one removes the rows that are left.
     """
     arrived_at = services.seconds()
     ticket = Ticket(UNADMITTED, services.admission)
@@ -109,13 +110,14 @@
     target = found.unwrap()
     age = timedelta(seconds=runtime.settings.ledger_retention)
     before = (now - age).isoformat(timespec="seconds")
-    end = await run_command(target.connection, format_removal(before, BATCH))
+    end = await run_command(target.connection, format_removal(before, MAX_BATCH))
     target.pool.release(target.connection, not isinstance(end, RunLost))
     if isinstance(end, RunLost):
         return False
     if end.error is not None and end.error.sqlstate != UNDEFINED_TABLE:
         log.warning(
-            "requests: Ledger of %s not cleaned: %s.",
+            "requests: removal of old rows from the ledger of group %s failed: %s;"
+            " they stay until the next removal.",
             runtime.settings.name,
             end.error.message,
         )
--- a/beryltrack/requests/losses.py
+++ b/beryltrack/requests/losses.py
@@ -1,11 +1,10 @@
-"""Ends the requests that run on a database that has fallen silent.
-
-A lost instance breaks no connection: what was sent to it is never answered, and
-no byte comes that would say so. How long a statement may take is not bounded,
-so a request would wait for ever. The control requests of the group's task do
-have a time limit, and they tell the two cases apart: a database that answers
-them is at work, one that does not is lost. Its connections are then closed, so
-that each request on them goes on by the rules for a lost answer.
+"""Closes the connections to databases that do not answer any more.
+
+When a database's host is lost, its connections stay open and silent. As statements
+have no time limit, requests on them would wait for ever. The control requests of the
+group's task do have one, and serve as failure detector: a database that answers them
+is slow at most, one that does not is lost. Closing its connections ends each request
+on them by the rules for a lost answer.
 """
 
 import logging
@@ -25,14 +24,14 @@
 
 
 class LossPolicy(NamedTuple):
-    """Silences after which requests to a database are given up, seconds.
+    """Times without an answer after which a database counts as lost, seconds.
 
     Parameters
     ----------
     grace : float
-        Of any database.
+        For any database.
     replaced_grace : float
-        Of a primary whose successor is known. It is shorter than the time limit
+        For a primary whose successor is known. It is shorter than the time limit
         of the control requests, as writes on a replaced primary cannot be
         confirmed any more.
     """
@@ -45,7 +44,7 @@
 
 
 def never_paused(since: float) -> float:
-    """Return that this process was not paused."""
+    """Return 0.0: the process was not paused."""
     return 0.0
 
 
@@ -55,7 +54,7 @@
     policy: LossPolicy = DEFAULT_POLICY,
     get_paused_time: Callable[[float], float] = never_paused,
 ) -> tuple[str, ...]:
-    """Return the names of the databases whose connections are beyond hope.
+    """Return the names of the databases that are lost.
 
     Parameters
     ----------
@@ -64,9 +63,9 @@
     now : float
         The node's time, seconds.
     policy : LossPolicy
-        Silences after which requests are given up.
+        Times without an answer after which a database counts as lost.
     get_paused_time : callable
-        Returns for how long this process was paused after a time, seconds.
+        Returns how long this process has been paused since a time, seconds.
 
     Returns
     -------
@@ -88,11 +87,11 @@
     get_paused_time: Callable[[float], float],
 ) -> bool:
     if item.seen_at == NEVER:
-        # It was not asked yet, so that its silence says nothing.
+        # It has not been queried yet, so a missing answer shows nothing.
         return False
     silence = now - item.seen_at
     if item.role == PRIMARY and view.primary not in ("", item.name):
-        # Its successor is at work, whether this process slept or not.
+        # Its successor is at work, whether this process was paused or not.
         return not item.reachable or silence >= policy.replaced_grace
     return (
         not item.reachable and silence - get_paused_time(item.seen_at) >= policy.grace
@@ -107,11 +106,11 @@
     reactor : IReactorTime
         Source of timers, and of the time if it is a `task.Clock`.
     task : GroupTask
-        Watches the group.
+        Monitors the group.
     pools : mapping of str to PoolTask
         The pool of each database, by name.
     policy : LossPolicy
-        Silences after which requests are given up.
+        Times without an answer after which a database counts as lost.
     """
 
     def __init__(
@@ -131,13 +130,15 @@
         task.subscribe(self.observe_view)
 
     def observe_view(self, view: GroupView) -> None:
-        """Close what is beyond hope, and look again while a database is silent."""
+        """Close connections to lost databases; check again while one is unreachable."""
         lost = get_lost_databases(
             view, self._seconds(), self._policy, self._pause_aware_clock.get_paused_time
         )
         for name in self._pools.keys() & lost:
             if self._pools[name].load.open:
-                log.info("requests: Database %s is lost, its requests end.", name)
+                log.info(
+                    "requests: database %s is lost, closing its connections.", name
+                )
                 self._pools[name].break_connections()
         silent = [item.name for item in view.databases if not item.reachable]
         has_work = any(
--- a/beryltrack/requests/outcomes.py
+++ b/beryltrack/requests/outcomes.py
@@ -1,9 +1,8 @@
-"""What to do when a request failed, without ever telling the caller an untruth.
+"""Decides the step after a failed run or a commit, so that each answer is true.
 
-A failed request falls into one of three classes: it provably did not run, it
-provably was rolled back, or nobody can tell. Only the first may be retried for
-any request; the last is resolved through the ledger if the request carries an
-identifier, and reported as unknown otherwise.
+A failed run belongs to one of three classes: provably not run, provably rolled back,
+or unknown. Any request may be retried after the first. The last is resolved through
+the ledger for an at-most-once request, and otherwise reported as unknown. Sans-I/O.
 """
 
 from enum import Enum
@@ -13,49 +12,49 @@
 from beryltrack.transactions.decider import CommitOutcome
 
 READ_ONLY_REFUSAL = "25006"
-"""SQLSTATE with which a database refuses a write that it may not take."""
+"""SQLSTATE with which a database that is no primary refuses a write."""
 
 
 REPEATABLE_REFUSALS = frozenset((CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS))
-"""SQLSTATEs of a database that did not run the request: it shows too little, or
-has no room. Another database, or the same one later, may run it."""
+"""SQLSTATEs of a database that did not run the request, as it lags behind or is full.
+Another database, or the same one later, may run it."""
 
 
 NOT_RUN_REFUSALS = REPEATABLE_REFUSALS | {READ_ONLY_REFUSAL}
-"""SQLSTATEs by which a database says that it did not run a request."""
+"""SQLSTATEs of a database that did not run the request."""
 
 
 class NextStep(Enum):
-    """What happens next to a request."""
+    """The step after a run or a commit of a request."""
 
     ANSWER = "answer"
-    """Pass the target's own answer on."""
+    """Send the target's answer to the caller."""
     RETRY = "retry"
-    """It did not run: run it again, on a target chosen anew."""
+    """Run it again, on a newly chosen target: its run had no effect."""
     RESOLVE = "resolve"
-    """Ask the ledger whether it ran."""
+    """Determine from the ledger whether it ran."""
     ROLLED_BACK = "rolled back"
-    """It had no effect and never will; tell the caller so."""
+    """Report to the caller that it had no effect and will have none."""
     UNKNOWN = "unknown"
-    """It may have run; tell the caller so."""
+    """Report to the caller that it may have run."""
 
 
 class RequestState(NamedTuple):
-    """What is known of a request when one run of it ends.
+    """The state of a request when one run of it ends.
 
     Parameters
     ----------
     is_read : bool
         True if it cannot change data.
     in_transaction : bool
-        True if the caller's explicit transaction was open before it.
+        True if an explicit transaction of the caller was open before it.
     is_commit : bool
-        True if the run would have made changes last: outside of an explicit
-        transaction, or a ``COMMIT``.
+        True if the run would have committed: outside of an explicit transaction,
+        or a ``COMMIT``.
     is_at_most_once : bool
-        True if it carries an identifier and is marked as non-idempotent.
+        True if it carries an identifier and is declared non-idempotent.
     is_answered : bool
-        True if a part of the answer has gone to the caller.
+        True if the caller has been sent a part of the answer.
     """
 
     is_read: bool
@@ -66,7 +65,7 @@
 
 
 class RunFailure(NamedTuple):
-    """How one run on a target failed.
+    """A failed run on a target.
 
     Parameters
     ----------
@@ -88,12 +87,12 @@
     state : RequestState
         The request.
     failure : RunFailure
-        How its run failed.
+        The failed run.
 
     Returns
     -------
     NextStep
-        The only step that is both safe and true.
+        The only step that is safe and reported truthfully.
     """
     if failure.sqlstate == READ_ONLY_REFUSAL:
         return _decide_after_refusal(state)
@@ -112,7 +111,7 @@
 
 
 def _decide_after_refusal(state: RequestState) -> NextStep:
-    """Return the step after a target refused to write."""
+    """Return the step after a target refused a write."""
     if state.in_transaction:
         return NextStep.ANSWER if state.is_read else NextStep.ROLLED_BACK
     return NextStep.ROLLED_BACK if state.is_answered else NextStep.RETRY
@@ -125,7 +124,7 @@
 
 
 def decide_after_commit(state: RequestState, outcome: CommitOutcome) -> NextStep:
-    """Return the step that follows once the fate of a commit is known.
+    """Return the step that follows the outcome of a commit.
 
     Parameters
     ----------
@@ -137,7 +136,7 @@
     Returns
     -------
     NextStep
-        The only step that is both safe and true.
+        The only step that is safe and reported truthfully.
     """
     if outcome == CommitOutcome.CONFIRMED:
         return NextStep.ANSWER
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -1,9 +1,9 @@
-"""Looks for requests that a database leaves unanswered for too long.
+"""Detects overdue statements: those that a database leaves unanswered for too long.
 
-One look at all connections now and then costs less than a timer for each request.
-A request that is late is a sign that its database may be lost, and one that is far
-too late is given up: its connection is closed, so that its course goes on by the
-rules for a lost answer.
+A periodic check of all connections costs less than a timer for each request. A late
+statement makes its database suspect, so that the group's task probes it. The connection
+of a statement past its time limit is closed, and its request goes on by the rules for
+a lost answer.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,18 +15,18 @@
 from beryltrack.requests.runtime import GroupRuntime
 
 CHECK_PERIOD = 0.05
-"""Seconds between two looks; each is a turn of the process, see `PauseAwareClock`."""
+"""Seconds between two checks; each is a tick of `PauseAwareClock`."""
 
 LATE_AFTER = 0.12
-"""Seconds after which a request is late: longer than nearly all statements run."""
+"""Seconds after which a statement is late: longer than nearly all statements run."""
 
 SILENT_AFTER = 0.4
-"""Seconds without an answer after which an owner is looked at: it usually gives one
-within 0.2 s, behind a full queue of its database."""
+"""Seconds without an answer after which an owner is checked for silence: it usually
+answers within 0.2 s, even with a full queue at its database."""
 
 
 class OverdueWatch:
-    """Watches the requests of all groups.
+    """Checks the running statements of all groups for overdue ones.
 
     Parameters
     ----------
@@ -35,13 +35,13 @@
     seconds : callable
         The node's time.
     get_runtimes : callable
-        Returns the groups.
+        Returns the runtimes of the groups.
     give_up : callable
-        Takes each connection whose request is far too late.
+        Receives each connection whose statement is past its time limit.
     is_silent : callable
-        Says of a connection whether what it goes through has fallen silent.
+        Returns whether the owner that a connection goes through has fallen silent.
     late_after : float
-        Seconds after which a request makes its database be asked whether it lives.
+        Seconds after which a statement makes its database suspect.
     """
 
     def __init__(
@@ -63,21 +63,21 @@
         self._checking.clock = reactor
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start checking."""
         self._pause_aware_clock.start_detection()
         self._checking.start(CHECK_PERIOD, now=False)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         if self._checking.running:
             self._checking.stop()
             self._pause_aware_clock.stop_detection()
 
     def check(self) -> None:
-        """Look at all requests that run.
+        """Check all running statements.
 
-        Right after a pause of this process nothing is late: what was answered
-        meanwhile has yet to be read.
+        Right after a pause of this process none counts as late, as answers that
+        arrived meanwhile are still unread.
         """
         if self._pause_aware_clock.is_resuming:
             return
@@ -89,11 +89,11 @@
     def _check_connection(
         self, connection: PooledConnection, runtime: GroupRuntime, database: str
     ) -> None:
-        """Give up what is far too late; what is late makes its database suspect."""
+        """Give up a statement past its limit; suspect the database of a late one."""
         since = connection.run_since
         ran = self._seconds() - since - self._pause_aware_clock.get_paused_time(since)
-        is_over = ran > connection.run_until - since
-        if is_over or (ran > SILENT_AFTER and self._is_silent(connection)):
+        is_past_limit = ran > connection.run_until - since
+        if is_past_limit or (ran > SILENT_AFTER and self._is_silent(connection)):
             self._give_up(connection)
         elif ran > self._late_after:
             runtime.task.suspect(database, since)
--- a/beryltrack/requests/pinned.py
+++ b/beryltrack/requests/pinned.py
@@ -1,8 +1,8 @@
-"""The course of a request inside of a transaction.
+"""The flow of a request inside a transaction, on its pinned connection.
 
-All units of a transaction run on the one connection that it was opened on, so
-statements of two transactions never mix. If the connection is lost, the target
-rolls the transaction back, unless its ``COMMIT`` was on the way.
+All units of a transaction run on the connection that it was opened on, so that no
+other transaction uses it meanwhile. If the connection is lost, the target rolls the
+transaction back, unless its ``COMMIT`` had been sent.
 """
 
 from beryltrack.events.messages import RequestStep
@@ -37,7 +37,7 @@
     Parameters
     ----------
     context : RequestContext
-        The request; its caller has a transaction open.
+        The request, whose caller has an open transaction.
     """
     pinned = context.caller.session.pinned
     protocol = context.services.protocol
@@ -65,15 +65,15 @@
 
 
 def drop_transaction(pinned: PinnedTransaction) -> None:
-    """Roll back the transaction of a caller that is gone.
+    """Roll back the transaction of a caller that has disconnected.
 
-    Closing its connection does that, whatever state it is in.
+    Its connection is closed, which ends a transaction in any state.
     """
     pinned.pool.release(pinned.connection, False)
 
 
 def _needs_ledger(context: RequestContext, pinned: PinnedTransaction) -> bool:
-    """Return whether the unit commits a transaction that is marked."""
+    """Return whether the unit commits an at-most-once transaction."""
     is_open = context.caller.status is TransactionStatus.IN_TRANSACTION
     is_commit = context.plan.kind is StatementKind.COMMIT
     return (
@@ -87,7 +87,7 @@
 def _get_state(
     context: RequestContext, pinned: PinnedTransaction, sink: AnswerSink
 ) -> RequestState:
-    """Return what is known of the unit."""
+    """Return the state of the unit."""
     return RequestState(
         is_read=pinned.is_read_only,
         in_transaction=True,
@@ -100,7 +100,7 @@
 def _unpin(
     context: RequestContext, pinned: PinnedTransaction, is_reusable: bool
 ) -> None:
-    """Give the transaction's connection back."""
+    """Return the transaction's connection to its pool."""
     context.caller.session.pinned = None
     pinned.pool.release(pinned.connection, is_reusable)
 
@@ -111,7 +111,7 @@
     sink: AnswerSink,
     lost: RunLost,
 ) -> None:
-    """Say what became of a transaction whose connection was lost."""
+    """Resolve or report the outcome of a transaction that lost its connection."""
     _unpin(context, pinned, False)
     state = _get_state(context, pinned, sink)
     step = decide_after_failure(state, RunFailure(lost.is_sent, ""))
@@ -127,7 +127,7 @@
     sink: AnswerSink,
     end: ResponseEnd,
 ) -> None:
-    """Wait for the commit of a transaction that has ended, and answer."""
+    """Confirm the commit of a transaction that has ended, and answer."""
     _unpin(context, pinned, _keeps_settings(context))
     if end.error is not None and _fail_replaced(context, pinned, sink, end):
         return
@@ -166,7 +166,7 @@
     sink: AnswerSink,
     end: ResponseEnd,
 ) -> bool:
-    """Answer a unit that a replaced primary refused; return False for others."""
+    """Answer a unit that a replaced primary refused; return False for other errors."""
     state = _get_state(context, pinned, sink)
     step = decide_after_failure(state, RunFailure(True, end.error.sqlstate))
     if step is NextStep.ANSWER:
@@ -176,10 +176,10 @@
 
 
 def _keeps_settings(context: RequestContext) -> bool:
-    """Return whether the connection's settings are still the known ones.
+    """Return whether the connection's settings are known to be unchanged.
 
-    A rollback also takes back settings, so that a connection on which one was
-    changed inside of a transaction is thrown away.
+    A rollback also reverts settings, so a connection on which a setting was changed
+    inside a transaction is closed.
     """
     has_changed = context.caller.session.has_changed_settings
     context.caller.session.has_changed_settings = False
@@ -193,11 +193,11 @@
     end: ResponseEnd,
     has_new_token: bool,
 ) -> None:
-    """Answer the caller with what the target said."""
+    """Send the target's answer to the caller; count and log it."""
     send_answer(context, sink, end.tail + end.error_frame, end.status, has_new_token)
     is_replica = pinned.database != pinned.runtime.view.primary
     count_request(context, TargetKind.REPLICA if is_replica else TargetKind.PRIMARY)
     step = RequestStep.SERVED if end.error is None else RequestStep.TARGET_ERROR
     reason = end.error.message if end.error is not None else ""
-    way = pinned.connection.way
-    record_step(context, step, reason, pinned.database, way=way)
+    via = pinned.connection.way
+    record_step(context, step, reason, pinned.database, via=via)
--- a/beryltrack/requests/plan.py
+++ b/beryltrack/requests/plan.py
@@ -1,7 +1,7 @@
-"""What a unit of a caller asks for, found out once before it is run.
+"""The plan of a caller's unit, made once before the unit is run.
 
-The plan holds the kind of its statements, the marks that apply to it and, for
-the extended protocol, which prepared statements it uses.
+It holds the kind of the unit's statements, its request options and, for the extended
+query protocol, the prepared statements that it uses.
 """
 
 from typing import NamedTuple
@@ -36,20 +36,20 @@
 
 
 class RequestPlan(NamedTuple):
-    """One unit, understood.
+    """One analysed unit.
 
     Parameters
     ----------
     request : SimpleRequest or ExtendedRequest
         The unit as the caller sent it.
     kind : StatementKind
-        The kind of its statements together.
+        Combined kind of its statements.
     text : str
-        The text of its statements.
+        Text of its statements.
     extended : ExtendedPlan or None
-        Which statements a batch uses; None for a simple query.
+        Prepared statements that a batch uses; None for a simple query.
     options : RequestOptions
-        What is asked for it beside its statements.
+        Its request options, such as the accepted age of data.
     """
 
     request: Request
@@ -60,12 +60,12 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's identifier of it; empty if it has none."""
+        """Identifier that the caller gave it; empty without one."""
         return self.options.request_id
 
     @property
     def policy(self) -> RequestPolicy | None:
-        """The times that bound it: those of the instance."""
+        """None: the time limits of the instance apply."""
         return None
 
     @property
@@ -75,7 +75,7 @@
 
     @property
     def is_at_most_once(self) -> bool:
-        """True if it must run at most once and carries an identifier."""
+        """True if it carries an identifier, changes data and must run at most once."""
         has_identifier = bool(self.options.request_id) and not self.options.idempotent
         return has_identifier and self.kind in _CHANGING
 
@@ -84,7 +84,7 @@
         """A hash of the statements and their parameters."""
         if isinstance(self.request, SimpleRequest):
             return compute_fingerprint(self.request.text.encode())
-        # Names of statements and portals differ between connections.
+        # Names of statements and portals are left out: connections differ in them.
         values = (
             frame.wire[frame.values_at :]
             for frame in self.request.messages
@@ -99,23 +99,23 @@
     group: GroupSettings,
     rules: tuple[RuleSettings, ...],
 ) -> Result[RequestPlan, SqlError]:
-    """Return the plan of a unit, or why it cannot be run.
+    """Return the plan of a unit, or the error that refuses it.
 
     Parameters
     ----------
     request : SimpleRequest or ExtendedRequest
         The unit.
     caller : Caller
-        Who sent it; its portals are noted.
+        Its sender, whose portals are recorded.
     group : GroupSettings
-        The group that it is connected to.
+        Group that the caller is connected to.
     rules : tuple of RuleSettings
         The rules in force.
 
     Returns
     -------
     Result of RequestPlan or SqlError
-        A malformed mark refuses the unit, as it may ask to run at most once.
+        A malformed option refuses the unit, which may have to run at most once.
     """
     extended = None
     if isinstance(request, ExtendedRequest):
@@ -140,21 +140,21 @@
 
 
 def make_options_error(findings: list[Finding]) -> SqlError:
-    """Return the error of a request whose marks or token are malformed."""
+    """Return the error for a request with malformed options."""
     text = "; ".join(format_finding(finding) for finding in findings)
     return SqlError(INVALID_PARAMETER_VALUE, text, "The request was not run.")
 
 
 def _get_texts(request: Request, extended: ExtendedPlan | None) -> tuple[str, ...]:
-    """Return the statements that a unit runs, or else those that it parses."""
+    """Return the statements that a unit runs, or those that it parses if none."""
     if isinstance(request, SimpleRequest):
         return (request.text,)
     return extended.executed or extended.parsed
 
 
 def _get_kind(texts: tuple[str, ...], extended: ExtendedPlan | None) -> StatementKind:
-    """Return the kind of all statements together."""
+    """Return the combined kind of the statements."""
     if extended is not None and not extended.executed:
-        # Parsing and describing change nothing, whatever the statement does.
+        # Parse and Describe change no data, whatever the statement does.
         return StatementKind.READ
     return combine_kinds([classify(text) for text in texts])
--- a/beryltrack/requests/postgres.py
+++ b/beryltrack/requests/postgres.py
@@ -1,4 +1,4 @@
-"""Units of the PostgreSQL protocol, as the course of a request runs them."""
+"""The PostgreSQL protocol for request flows: planning and running its units."""
 
 from pygwire.messages import CommandComplete, ParameterStatus
 from returns.result import Result, Success
@@ -41,7 +41,7 @@
 from beryltrack.wire.messages import ResponseEnd
 
 ROLLBACK_TAIL = CommandComplete("ROLLBACK").to_wire()
-"""What ends the answer to ``ROLLBACK``, and to ``COMMIT`` after a failure."""
+"""End of the answer to ``ROLLBACK``, and to ``COMMIT`` of a failed transaction."""
 
 
 class PostgresProtocol:
@@ -61,19 +61,19 @@
         group: GroupSettings,
         rules: tuple[RuleSettings, ...],
     ) -> Result[RequestPlan, SqlError]:
-        """Return the plan of a unit, or why it cannot be run."""
+        """Return the plan of a unit, or the error that refuses it."""
         return plan_request(unit, caller, group, rules)
 
     def get_request_id(self, unit: Request) -> str:
-        """Return nothing: the identifier stands in marks that only a plan reads."""
+        """Return an empty text: only planning reads the identifier from the options."""
         return ""
 
     def describe_missing(self, caller: Caller) -> SqlError:
-        """Return the refusal of a caller whose group is not in the settings."""
+        """Return the refusal for a caller whose group is not in the settings."""
         return make_refusal("the database group is not in the settings", 5.0)
 
     def answer_locally(self, plan: RequestPlan, caller: Caller) -> bool:
-        """Answer a unit that concerns the proxy alone; False for all others."""
+        """Answer a unit that concerns only the proxy; return False for all others."""
         described = describe_local(plan)
         if described is not None:
             _send_result(plan, caller, described)
@@ -96,7 +96,7 @@
         caller: Caller,
         after: LogPosition | None = None,
     ) -> RunResult:
-        """Give a connection the caller's settings, and run a unit on it."""
+        """Apply the caller's settings to a connection, and run a unit on it."""
         refused = await apply_settings(connection, caller, self.settings)
         if refused is not None:
             return refused
@@ -115,17 +115,17 @@
     def observe_answer(
         self, plan: RequestPlan, caller: Caller, connection: TargetConnection
     ) -> None:
-        """Keep a setting that was changed outside of a transaction."""
+        """Record a setting that was changed outside of a transaction."""
         if _record_setting(plan, caller):
             self.settings.record_applied(connection, caller)
 
     def observe_pinned(self, plan: RequestPlan, caller: Caller) -> None:
-        """Keep a setting that was changed on the transaction's connection."""
+        """Record a setting that was changed on the transaction's connection."""
         if _record_setting(plan, caller):
             caller.session.has_changed_settings = True
 
     def proves_leadership(self, plan: RequestPlan) -> bool:
-        """Return False: a replaced primary does not know of it at once."""
+        """Return False: a replaced primary does not learn at once that it is one."""
         return False
 
     def has_committed(
@@ -135,35 +135,35 @@
         caller: Caller,
         end: ResponseEnd,
     ) -> bool:
-        """Return whether the end of a transaction has made changes last.
+        """Return whether the end of a transaction may have committed changes.
 
-        A position that comes with a rollback is of the commits of others.
+        A position reported with a rollback belongs to other transactions' commits.
         """
         is_ended_well = end.error is None and end.tail != ROLLBACK_TAIL
         return is_ended_well and not pinned.is_read_only
 
     def encode_token(self, caller: Caller) -> bytes:
-        """Return the report of a session's new token."""
+        """Return the message that reports a session's new token."""
         token = format_token(caller.session.token)
         return ParameterStatus(SESSION_SETTING, token).to_wire()
 
     async def run_at_most_once(self, context: RequestContext) -> None:
-        """Run a marked unit outside of a transaction, at most once."""
+        """Run an at-most-once unit outside of a transaction."""
         await AtMostOnceFlow(context).run()
 
     async def insert_for_commit(
         self, context: RequestContext, pinned: PinnedTransaction
     ) -> bool:
-        """Record a marked transaction before its commit; True for a repeat."""
+        """Insert a transaction's row before its commit; True if it was rolled back."""
         return await insert_for_commit(context, pinned)
 
     async def resolve_commit(self, context: RequestContext) -> None:
-        """Find out whether a marked transaction has committed, and answer."""
+        """Determine whether an at-most-once transaction has committed, and answer."""
         await resolve_commit(context)
 
 
 def _record_setting(plan: RequestPlan, caller: Caller) -> bool:
-    """Keep what a unit that was run has set; False if it sets nothing."""
+    """Record the setting that a unit changed; return False if it changes none."""
     if plan.kind is not StatementKind.SESSION_SET:
         return False
     change, _ = parse_change(plan.text)
@@ -174,7 +174,7 @@
 
 
 def _send_result(plan: RequestPlan, caller: Caller, result: LocalResult) -> None:
-    """Send a result of the proxy's own, and keep what the batch prepared."""
+    """Send a local result, and record the statements that the batch prepared."""
     if plan.extended is None:
         caller.write(encode_simple_answer(result))
     else:
--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -1,8 +1,9 @@
-"""What the course of a request asks of the wire protocol at its two ends.
+"""Interfaces between request flows and the wire protocol of callers and targets.
 
-Routing, retries, confirmation and transactions are the same whichever protocol
-callers and targets speak. Each protocol implements `WireProtocol` once; nothing
-else in this slice knows a message of it.
+Routing, retries, confirmation and transactions do not depend on the wire protocol.
+Each protocol implements `WireProtocol`; no other module of this package depends on its
+messages. A unit is what is answered with one ready message: a simple query, a batch
+of the extended query protocol, or a statement of the line protocol.
 """
 
 import math
@@ -27,7 +28,7 @@
 
 
 class RequestPolicy(NamedTuple):
-    """The times that bound a request.
+    """The time limits and the priority of a request.
 
     Parameters
     ----------
@@ -35,13 +36,13 @@
         Seconds from a request's arrival within which it must reach a target and
         its commit must be confirmed.
     target_timeout : float
-        Seconds that a request waits for a database that can take it, for
-        example while a new primary takes over, before it is refused.
+        Seconds that a request waits for a usable database, for example while a new
+        primary takes over, before it is refused.
     run_timeout : float or None
-        Seconds that a target may take to answer; None if that is not bounded. The
-        connection is closed then, so that the run ends as lost.
+        Seconds that a target may take to answer; None without a limit. After that the
+        connection is closed, so that the run counts as lost.
     read_timeout : float or None
-        The same for a read that can be run again on another target.
+        `run_timeout` of a read that can be run again on another target.
     priority : int
         Zero is the most urgent.
     target_latency : float
@@ -57,14 +58,14 @@
 
 
 class RunLost(NamedTuple):
-    """A run whose answer was lost.
+    """A run without a complete answer.
 
     Parameters
     ----------
     is_sent : bool
         True if the target may have run the unit.
     reason : str
-        Why the connection ended.
+        Cause of the loss.
     """
 
     is_sent: bool
@@ -75,7 +76,7 @@
 
 
 def describe_loss(failure: Failure) -> RunLost:
-    """Return how a run was lost, as an errback of the run."""
+    """Return the lost run for a failure; used as errback of a run."""
     failure.trap(TargetLost, TimeoutError)
     lost = failure.value
     if isinstance(lost, TargetLost):
@@ -84,19 +85,19 @@
 
 
 class UnitPlan(Protocol):
-    """One unit of a caller, understood."""
+    """One analysed unit of a caller."""
 
     @property
     def kind(self) -> StatementKind:
-        """The kind of its statements together."""
+        """Combined kind of its statements."""
 
     @property
     def options(self) -> RequestOptions:
-        """What is asked for it beside its statements."""
+        """Its request options, such as the accepted age of data."""
 
     @property
     def request_id(self) -> str:
-        """The caller's identifier of it; empty if it has none."""
+        """Identifier that the caller gave it; empty without one."""
 
     @property
     def is_read(self) -> bool:
@@ -104,17 +105,17 @@
 
     @property
     def is_at_most_once(self) -> bool:
-        """True if it must run at most once and carries an identifier."""
+        """True if it carries an identifier, changes data and must run at most once."""
 
     @property
     def policy(self) -> RequestPolicy | None:
-        """The times that bound it; None for those of the instance."""
+        """Its time limits; None for those of the instance."""
 
 
 class UnitCaller(ResponseSink, Protocol):
-    """A caller, as the course of its requests sees it.
+    """A caller, as the flows of its requests use it.
 
-    `account` is the client account that it belongs to; empty where there are none.
+    `account` is its client account; empty where there are no accounts.
     """
 
     session: "CallerSession"
@@ -124,47 +125,47 @@
 
     @property
     def database(self) -> str:
-        """The database that it asked for."""
+        """The database name that it connected with."""
 
     @property
     def in_transaction(self) -> bool:
-        """True while it has a transaction open."""
+        """True while it has an open transaction."""
 
     def send_error(self, error: SqlError) -> None:
         """Send an error."""
 
     def send_ready(self, status: TransactionStatus) -> None:
-        """Say that the unit is answered, and how its transaction stands."""
+        """Report the end of the unit's answer, and the transaction status."""
 
     def set_gone(self, callback) -> None:
         """Call `callback` when the caller disconnects; at once if it has."""
 
 
 class UnitHandler(Protocol):
-    """What runs the units of callers, as `RequestTask` does."""
+    """Runs the units of callers; `RequestTask` implements it."""
 
     def check_session(self, caller: UnitCaller) -> SqlError | None:
         """Open a caller's session."""
 
     def handle(self, unit: object, caller: UnitCaller) -> "Deferred[None]":
-        """Run one unit; ends after `caller.send_ready`."""
+        """Run one unit; fires after `caller.send_ready`."""
 
     def forget(self, caller: UnitCaller) -> None:
-        """Give up all that is kept for a caller that is gone."""
+        """Release all state of a caller that has disconnected."""
 
 
 class UnitForwarder(Protocol):
-    """Passes units on to other instances."""
+    """Forwards units to other instances."""
 
     def should_forward(self, context: "RequestContext") -> bool:
-        """Return whether another instance is to run a unit."""
+        """Return whether another instance runs a unit."""
 
     async def run(self, context: "RequestContext") -> None:
-        """Have another instance run a unit, and answer the caller."""
+        """Forward a unit to another instance, and answer the caller."""
 
 
 class WireProtocol(Protocol):
-    """How one wire protocol understands and runs units."""
+    """Plans and runs the units of one wire protocol."""
 
     def check_session(self, caller: UnitCaller) -> SqlError | None:
         """Open a caller's session; return an error if its settings are wrong."""
@@ -176,16 +177,16 @@
         group: GroupSettings,
         rules: tuple[RuleSettings, ...],
     ) -> Result[UnitPlan, SqlError]:
-        """Return the plan of a unit, or why it cannot be run."""
+        """Return the plan of a unit, or the error that refuses it."""
 
     def get_request_id(self, unit: object) -> str:
-        """Return the caller's identifier of a unit that is not planned, if known."""
+        """Return the identifier of a unit without a plan; empty if unknown."""
 
     def describe_missing(self, caller: UnitCaller) -> SqlError:
-        """Return why a caller's database cannot be served."""
+        """Return the refusal for a caller whose database is not in the settings."""
 
     def answer_locally(self, plan: UnitPlan, caller: UnitCaller) -> bool:
-        """Answer a unit that concerns the proxy alone; False for all others."""
+        """Answer a unit that concerns only the proxy; return False for all others."""
 
     async def run(
         self,
@@ -195,10 +196,10 @@
         caller: UnitCaller,
         after: LogPosition | None,
     ) -> RunResult:
-        """Bring a connection to the caller's session, and run a unit on it.
+        """Apply the caller's session to a connection, and run a unit on it.
 
-        `after` is a position that a replica was seen to show. Where targets can
-        check it, one that no longer shows it refuses the unit.
+        `after` is a position that the replica has reported. A target that can check
+        it, and does not show it any more, refuses the unit.
         """
 
     async def run_pinned(
@@ -213,15 +214,15 @@
     def observe_answer(
         self, plan: UnitPlan, caller: UnitCaller, connection: PooledConnection
     ) -> None:
-        """Keep what a unit that was run outside of a transaction has changed."""
+        """Record session changes of a unit that ran outside of a transaction."""
 
     def observe_pinned(self, plan: UnitPlan, caller: UnitCaller) -> None:
-        """Keep what a unit has changed inside of a transaction."""
+        """Record session changes of a unit that ran inside a transaction."""
 
     def proves_leadership(self, plan: UnitPlan) -> bool:
-        """Return whether a database that ran a unit without an error says it leads.
+        """Return whether a database that ran a unit without error claims to lead.
 
-        What that word proves depends on the databases; see `LeadershipProof`.
+        What that claim proves depends on the databases; see `LeadershipProof`.
         """
 
     def has_committed(
@@ -231,52 +232,52 @@
         caller: UnitCaller,
         end: ResponseEnd,
     ) -> bool:
-        """Return whether the end of a transaction has made changes last."""
+        """Return whether the end of a transaction may have committed changes."""
 
     def encode_token(self, caller: UnitCaller) -> bytes:
-        """Return what tells a caller its session's new token; may be empty."""
+        """Return the message that reports a session's new token; may be empty."""
 
     async def run_at_most_once(self, context: "RequestContext") -> None:
-        """Run a marked unit outside of a transaction, at most once."""
+        """Run an at-most-once unit outside of a transaction."""
 
     async def insert_for_commit(
         self, context: "RequestContext", pinned: "PinnedTransaction"
     ) -> bool:
-        """Record a marked transaction before its commit; True for a repeat."""
+        """Insert a transaction's row before its commit; True if it was rolled back."""
 
     async def resolve_commit(self, context: "RequestContext") -> None:
-        """Find out whether a marked transaction has committed, and answer."""
+        """Determine whether an at-most-once transaction has committed, and answer."""
 
 
 class ProtocolWithoutRequestIds:
-    """What a protocol answers whose statements carry no identifier of their own.
+    """Base of a protocol whose statements carry no identifier for at-most-once.
 
-    A session is a connection there: its state needs no token, and what a connection
-    has set is noted when it is sent.
+    Its sessions end with their connection and need no token; their state is recorded
+    when it is sent to a target.
     """
 
     def observe_answer(
         self, plan: UnitPlan, caller: UnitCaller, connection: PooledConnection
     ) -> None:
-        """Keep nothing: the session's state is kept when it is answered."""
+        """Do nothing: session changes are recorded with the answer."""
 
     def observe_pinned(self, plan: UnitPlan, caller: UnitCaller) -> None:
-        """Keep nothing: the session's state is kept when it is answered."""
+        """Do nothing: session changes are recorded with the answer."""
 
     def encode_token(self, caller: UnitCaller) -> bytes:
-        """Return nothing: a session is a connection here."""
+        """Return no message: sessions have no token here."""
         return b""
 
     async def run_at_most_once(self, context: "RequestContext") -> None:
-        """Never called: no statement of this protocol is marked."""
+        """Never called: this protocol has no at-most-once requests."""
         raise NotImplementedError
 
     async def insert_for_commit(
         self, context: "RequestContext", pinned: "PinnedTransaction"
     ) -> bool:
-        """Never called: no statement of this protocol is marked."""
+        """Never called: this protocol has no at-most-once requests."""
         raise NotImplementedError
 
     async def resolve_commit(self, context: "RequestContext") -> None:
-        """Never called: no statement of this protocol is marked."""
+        """Never called: this protocol has no at-most-once requests."""
         raise NotImplementedError
--- a/beryltrack/requests/retry.py
+++ b/beryltrack/requests/retry.py
@@ -1,8 +1,8 @@
-"""When a proxy repeats a request by itself.
+"""Retry policy: retry budget and exponential back-off with jitter.
 
-Only what provably did not run is repeated. Retries draw on a budget that is a
-fraction of the requests, so that they cannot multiply an overload; each waits
-a jittered time that doubles, and none is tried that would miss the deadline.
+Only a request that provably did not run is retried. Retries draw on a token bucket
+that each request fills by a fraction of a token, so that they cannot amplify an
+overload. No retry is made that would miss the deadline.
 """
 
 import random
@@ -11,25 +11,25 @@
 from returns.maybe import Maybe, Nothing, Some
 
 MAX_RETRIES_ELSEWHERE = 1
-"""Repeats of a request that instances refuse which are full."""
+"""Maximum retries of a request that full instances refuse."""
 
 
 class RetryPolicy(NamedTuple):
-    """The figures that steer retries.
+    """Parameters of retries.
 
     Parameters
     ----------
     ratio : float
-        Retries that each request adds to the budget.
+        Tokens that each request adds to the budget; a retry takes one.
     max_tokens : float
-        Most retries that the budget holds.
+        Size of the bucket.
     initial_tokens : float
-        Retries that the budget starts with, so that a primary that is lost
-        soon after the start does not refuse the few requests of a quiet site.
+        Tokens at the start. Without them a primary lost soon after the start would
+        make an instance with few requests refuse them.
     max_attempts : int
-        Most attempts of one request, the first one included.
+        Maximum attempts of one request, including the first.
     first_delay, max_delay : float
-        Bounds of the back-off, seconds.
+        Bounds of the back-off before its jitter, seconds.
     """
 
     ratio: float = 0.1
@@ -50,7 +50,7 @@
     is_not_run : bool
         True if it provably did not run.
     retry_after : float
-        Seconds that the refusal asks to wait; 0.0 if it says nothing.
+        Seconds that the refusal asks to wait; 0.0 if it names no time.
     """
 
     number: int
@@ -59,16 +59,17 @@
 
 
 def may_retry_refused(refusals: int, is_at_replica: bool) -> bool:
-    """Return whether what a full instance refused is run again, at another database.
+    """Return whether a request that a full instance refused is retried elsewhere.
 
-    The same one would refuse it again, as its queue has moved on by a statement or two.
+    The same database would refuse it again, as its queue has advanced by a statement
+    or two only.
 
     Parameters
     ----------
     refusals : int
-        How often full instances have refused the request.
+        Number of refusals of the request by full instances.
     is_at_replica : bool
-        True if the last one did so for a replica: another database may take it.
+        True if the last refusal was for a replica: another database may take it.
     """
     return is_at_replica and refusals <= MAX_RETRIES_ELSEWHERE
 
@@ -79,9 +80,9 @@
     Parameters
     ----------
     policy : RetryPolicy
-        The figures that steer it.
+        Parameters of retries.
     rng : random.Random
-        For the jitter.
+        Source of the jitter.
     """
 
     def __init__(self, policy: RetryPolicy, rng: random.Random):
@@ -91,16 +92,16 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Present number of tokens."""
         return self._tokens
 
     def observe_request(self) -> None:
-        """Take in a new request of a caller."""
+        """Add the share of a new request to the budget."""
         saved = self._tokens + self._policy.ratio
         self._tokens = min(self._policy.max_tokens, saved)
 
     def draw(self) -> bool:
-        """Return whether one more way is tried at once; it has drawn on the budget."""
+        """Take a token for one more attempt; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -109,12 +110,12 @@
     def choose_retry(
         self, attempt: FailedAttempt, deadline: float, needed: float, now: float
     ) -> Maybe[float]:
-        """Decide whether a failed attempt is repeated.
+        """Decide whether to retry after a failed attempt.
 
         Parameters
         ----------
         attempt : FailedAttempt
-            What failed.
+            The failed attempt.
         deadline : float
             Time by which the request must be done, seconds.
         needed : float
@@ -125,8 +126,8 @@
         Returns
         -------
         Maybe of float
-            Seconds to wait before the next attempt; Nothing if the failure is
-            the answer. A retry that is chosen has drawn on the budget.
+            Seconds to wait before the next attempt, whose token has been taken;
+            Nothing if the failure is the answer.
         """
         if not attempt.is_not_run or attempt.number >= self._policy.max_attempts:
             return Nothing
@@ -136,6 +137,6 @@
         return Some(delay)
 
     def _compute_delay(self, attempt: int) -> float:
-        """Return a delay between half and all of a time that doubles."""
+        """Return a random delay between half and all of the doubled back-off."""
         doubled = self._policy.first_delay * 2 ** (attempt - 1)
         return min(doubled, self._policy.max_delay) * self._rng.uniform(0.5, 1.0)
--- a/beryltrack/requests/runtime.py
+++ b/beryltrack/requests/runtime.py
@@ -1,4 +1,4 @@
-"""One group as the requests see it: its view, its pools and its next change."""
+"""The running tasks of one group: its monitoring, its pools and their updates."""
 
 from collections.abc import Callable
 
@@ -14,15 +14,15 @@
 from beryltrack.settings.messages import DatabaseSettings, GroupSettings
 
 RECHECK_PERIOD = 0.02
-"""Seconds after which a waiting request looks at the view again, even if no
-change was told: the proofs that a view carries move without being told."""
+"""Seconds after which a waiting request checks the view again without a reported
+change: the proofs in a view are updated without a report."""
 
 SAMPLE_TIMEOUT = 1.0
-"""Seconds after which a sample for reads to come is given up."""
+"""Time limit of a sample that is taken for later reads, seconds."""
 
 
 class GroupRuntime:
-    """The tasks of one group.
+    """The running tasks of one group.
 
     Parameters
     ----------
@@ -31,11 +31,11 @@
     settings : GroupSettings
         The group.
     task : GroupTask
-        Watches its databases.
+        Monitors its databases.
     pools : dict of str to PoolTask
         The pool of each database, by name.
     losses : LossPolicy
-        Silences after which requests to a database are given up.
+        Times without an answer after which a database counts as lost.
     """
 
     def __init__(
@@ -61,20 +61,19 @@
 
     @property
     def view(self) -> GroupView:
-        """The group as this instance knows it now."""
+        """Present view of the group."""
         return self.task.view
 
     @property
     def waiting_count(self) -> int:
-        """Requests that wait for a change of what is known of the group."""
+        """Number of requests that wait for a change of the view."""
         return len(self._waiting)
 
     def ensure_started(self) -> None:
-        """Watch the databases and open connections from now on.
+        """Start monitoring the databases and opening connections.
 
-        An owner of the group does that at once, any other instance only when a
-        request of its own needs it: in a large fleet no instance watches all
-        groups.
+        An owner of the group calls this at once, another instance only when one of
+        its requests needs the group: in a large fleet no instance monitors all groups.
         """
         if self.is_started:
             return
@@ -88,13 +87,13 @@
         settings: GroupSettings,
         make_pool: Callable[[GroupSettings, DatabaseSettings], PoolTask],
     ) -> None:
-        """Take the group's members from new settings, while it runs.
+        """Apply new settings to the group's members while it runs.
 
         Parameters
         ----------
         settings : GroupSettings
-            The group. A member that stays keeps its pool; the pool of one that
-            goes gives out no more connections and closes those that come back.
+            The group. A member that stays keeps its pool; the pool of a removed
+            member gives out no more connections and closes those that are returned.
         make_pool : callable
             Returns the pool of a new member.
         """
@@ -112,7 +111,7 @@
         self.task.set_databases(settings)
 
     def get_loads(self, demand: Demand = DEFAULT_DEMAND) -> tuple[TargetLoad, ...]:
-        """Return the work at each database, this instance's and what owners told."""
+        """Return each database's load: by this instance, and as owners report it."""
         pairs = ((item, self.pools[item.name]) for item in self.settings.databases)
         return tuple(
             TargetLoad(
@@ -126,11 +125,11 @@
         )
 
     def refresh_freshness(self) -> None:
-        """Have the ages of replicas proven anew, for the reads to come."""
+        """Refresh the proven freshness of replicas for later reads."""
         self._refresher.refresh()
 
     def wait_change(self) -> "Deferred[None]":
-        """Return a Deferred that fires at the next change, or soon without one."""
+        """Return a Deferred for the next change, or the next periodic check."""
         waiting: Deferred[None] = Deferred()
         self._waiting.append(waiting)
         if len(self._waiting) == 1:
@@ -138,7 +137,7 @@
         return waiting
 
     def _handle_change(self, view: GroupView) -> None:
-        """Follow what databases want, and wake the requests that wait."""
+        """Drain or resume pools as databases request, and wake waiting requests."""
         self._end_backoffs(view)
         members = (item for item in view.databases if item.name in self.pools)
         for database in members:
@@ -149,7 +148,7 @@
             deferred.callback(None)
 
     def _end_backoffs(self, view: GroupView) -> None:
-        """Have the pools of databases that came back open connections at once."""
+        """End the back-off of the pools of databases that are reachable again."""
         before = self._reachable
         self._reachable = frozenset(
             database.name for database in view.databases if database.reachable
@@ -159,7 +158,7 @@
                 self.pools[name].observe_reachable()
 
     def _set_draining(self, name: str, is_draining: bool) -> None:
-        """Give a database no new work, or give it work again."""
+        """Drain or resume the pool of a database."""
         if is_draining and name not in self._drained:
             self._drained.add(name)
             self.pools[name].drain()
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -1,4 +1,4 @@
-"""What all requests of one instance share."""
+"""The services that all requests of one instance share."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -15,31 +15,31 @@
 from beryltrack.routing.decider import DEFAULT_POLICY, RoutingPolicy
 
 DEFAULT_RETRIES = RetryPolicy(initial_tokens=10.0)
-"""An instance may make ten retries before requests have filled its budget."""
+"""Retries of an instance: ten are available before requests have filled the budget."""
 
 
 class AccountOwners(Protocol):
-    """Which instances run the operations of accounts."""
+    """Chooses the owners that run the operations of accounts."""
 
-    def observe_quota_refusal(self, account: str, way: str) -> bool:
-        """Take in that one refused an operation as over the account's limit.
+    def observe_quota_refusal(self, account: str, via: str) -> bool:
+        """Record that an owner refused an operation as over the account's limit.
 
-        Returns True if another one may run it.
+        Returns True if another owner may run it.
         """
 
     def get_zone(self, account: str) -> str:
-        """Return the availability zone in which the next one runs; empty if unknown."""
+        """Return the availability zone of the next operation; empty if unknown."""
 
 
 class NoAccountOwners:
-    """Where there are no accounts all instances run all operations."""
+    """For deployments without accounts: each instance runs all operations."""
 
-    def observe_quota_refusal(self, account: str, way: str) -> bool:
-        """Return False: no other instance may run what one refused."""
+    def observe_quota_refusal(self, account: str, via: str) -> bool:
+        """Return False: no other instance may run a refused operation."""
         return False
 
     def get_zone(self, account: str) -> str:
-        """Return no zone."""
+        """Return an empty text: the zone is unknown."""
         return ""
 
 
@@ -47,7 +47,7 @@
 
 
 class RequestServices(NamedTuple):
-    """What the courses of requests use.
+    """Services that request flows use.
 
     Parameters
     ----------
@@ -60,23 +60,23 @@
     metrics : RequestMetrics
         Counts and durations.
     admission : AdmissionTask
-        Decides which requests are taken on.
+        Admits requests.
     retries : RetryBudget
         Bounds repeated runs.
     protocol : WireProtocol
-        What callers and targets speak.
+        Wire protocol of callers and targets.
     policy : RequestPolicy
-        The times that bound a request.
+        Time limits of a request.
     sequence : iterator of int
-        Numbers requests, so that equal targets take turns.
+        Numbers requests, for round robin among equal targets.
     routing : RoutingPolicy
-        The limits by which targets are chosen.
+        Parameters of the choice of targets.
     events : RequestEvents
         Logs the decisions about requests.
     account_owners : AccountWays
-        Which instances run the operations of accounts.
+        Chooses the owners that run the operations of accounts.
     is_crowded : callable
-        Says whether instances outnumber what the databases take.
+        Returns whether the databases have too few connections for all instances.
     """
 
     reactor: object
@@ -121,21 +121,21 @@
     rng : random.Random
         Source of jitter.
     protocol : WireProtocol
-        What callers and targets speak.
+        Wire protocol of callers and targets.
     policy : RequestPolicy, optional
-        The times that bound a request.
+        Time limits of a request.
     routing : RoutingPolicy, optional
-        The limits by which targets are chosen.
+        Parameters of the choice of targets.
     events : RequestEvents, optional
         Logs the decisions about requests.
     retries : RetryPolicy, optional
-        When a request is repeated.
+        Parameters of retries.
     admission : AdmissionPolicy, optional
-        How many requests are taken on.
+        Parameters of admission control.
     account_owners : AccountWays, optional
-        Which instances run the operations of accounts.
+        Chooses the owners that run the operations of accounts.
     is_crowded : callable, optional
-        Says whether instances outnumber what the databases take.
+        Returns whether the databases have too few connections for all instances.
 
     Returns
     -------
--- a/beryltrack/requests/session.py
+++ b/beryltrack/requests/session.py
@@ -1,7 +1,7 @@
-"""The state of a caller's session that the course of a request needs.
+"""The state of a caller's session that request flows need.
 
-It knows no wire protocol: what a session keeps beside this, such as settings
-and prepared statements, is the concern of the caller's side.
+It does not depend on the wire protocol. Other state of a session, such as settings
+and prepared statements, belongs to the caller's side.
 """
 
 import math
@@ -25,11 +25,11 @@
     database : str
         The database's name.
     pool : PoolTask
-        Where the connection came from.
+        Pool of the connection.
     connection : PooledConnection
         The connection.
     is_read_only : bool
-        True if the target holds the transaction to reading.
+        True if the target permits only reads in the transaction.
     """
 
     runtime: GroupRuntime
@@ -41,30 +41,30 @@
 
 @dataclass
 class CallerSession:
-    """The changing state of one caller's session.
+    """The mutable state of one caller's session.
 
     Parameters
     ----------
     token : SessionToken
-        What the session is known to have written.
+        Position of the session's confirmed writes, by group.
     is_tracked : bool
-        True if the caller handed in a token or declared a new session. Without
-        that its requests may belong to many sessions, so that nothing can be
-        concluded from what was written here before.
+        True if the caller supplied a token or declared a new session. Otherwise its
+        requests may belong to many sessions, so that earlier writes through this
+        connection imply nothing for them.
     pinned : PinnedTransaction or None
         The open transaction.
     has_changed_settings : bool
-        True if a setting was changed inside of the open transaction.
+        True if a setting was changed inside the open transaction.
     has_written : bool
         True if the open transaction may have changed data.
     written_at : float
-        When the session's last commit was confirmed, by the node's clock.
+        Time of the session's last confirmed commit, by the node's clock.
     opened_by : str
-        Identifier of the last request that began outside of a transaction; it opened
-        the one that is open.
+        Identifier of the last request that began outside of a transaction, thus of the
+        one that opened the present transaction.
     retry_at : float
-        When its caller was told to come back, by the node's clock; infinite if its last
-        request was not refused.
+        Time from which the caller may retry its refused request, by the node's clock;
+        infinite if its last request was not refused.
     """
 
     token: SessionToken = UNKNOWN_TOKEN
@@ -77,10 +77,10 @@
     retry_at: float = math.inf
 
     def get_known_position(self, group: str) -> LogPosition | None:
-        """Return what the session has written in a group, None if unknown."""
+        """Return the position of the session's writes in a group, None if unknown."""
         return get_position(self.token, group) if self.is_tracked else None
 
     def set_token(self, token: SessionToken) -> None:
-        """Take a token that the caller handed in."""
+        """Adopt a token that the caller supplied."""
         self.token = token
         self.is_tracked = token != UNKNOWN_TOKEN
--- a/beryltrack/requests/session_state.py
+++ b/beryltrack/requests/session_state.py
@@ -1,7 +1,7 @@
-"""What the proxy keeps of a caller's session while it is connected here.
+"""The session state at the proxy, and the statements that the proxy answers itself.
 
-Nothing of it outlives the connection: the token travels with the caller, and
-settings that concern targets are given to each target connection before use.
+The state ends with the caller's connection: the caller carries the token to its next
+one, and settings for targets are applied to each target connection before use.
 """
 
 from returns.result import Failure, Result, Success
@@ -41,7 +41,7 @@
 
 
 def open_session(caller: Caller) -> SqlError | None:
-    """Give a new caller its session; return an error if its settings are wrong."""
+    """Open a new caller's session; return an error if its settings are malformed."""
     caller.session = CallerSession()
     findings = [
         Finding(name, "", finding.text)
@@ -64,7 +64,7 @@
 
 
 def describe_local(plan: RequestPlan) -> LocalResult | None:
-    """Return what a batch prepares, if that concerns the proxy alone.
+    """Return the description of a statement that a batch prepares for the proxy.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
     -------
     LocalResult or None
         A result without rows that describes the statement; None if the batch
-        runs something or is about a statement for targets.
+        runs a statement or prepares one for targets.
     """
     batch = plan.extended
     if batch is None or batch.executed or len(batch.used) != 1:
@@ -88,7 +88,7 @@
 
 
 def _is_local_statement(kind: StatementKind, text: str) -> bool:
-    """Return whether a statement concerns the proxy alone."""
+    """Return whether a statement concerns only the proxy."""
     if kind in (StatementKind.DEALLOCATE, StatementKind.DISCARD):
         return True
     if kind is StatementKind.SHOW:
@@ -101,14 +101,14 @@
 
 
 def run_local(plan: RequestPlan, caller: Caller) -> Result[LocalResult, SqlError]:
-    """Carry out a statement that concerns the proxy alone.
+    """Run a statement that concerns only the proxy.
 
     Parameters
     ----------
     plan : RequestPlan
         A request for which `is_local` holds.
     caller : Caller
-        Whose session it concerns.
+        The caller whose session it changes or shows.
 
     Returns
     -------
@@ -153,13 +153,13 @@
 
 
 def reset_settings(caller: Caller) -> None:
-    """Go back to the settings with which the caller connected."""
+    """Restore the settings with which the caller connected."""
     caller.settings.clear()
     caller.settings.update(caller.start_settings)
 
 
 def _run_show(plan: RequestPlan, caller: Caller) -> Result[LocalResult, SqlError]:
-    """Answer a SHOW of one of beryltrack's own settings."""
+    """Answer a ``SHOW`` of a setting of beryltrack."""
     name, _ = parse_show(plan.text)
     value = caller.settings.get(name, "")
     if name == SESSION_SETTING:
--- a/beryltrack/requests/sink.py
+++ b/beryltrack/requests/sink.py
@@ -1,8 +1,8 @@
-"""The answer on its way from a target to a caller.
+"""Buffers the start of an answer between a target and a caller.
 
-The first bytes of an answer are held back, so that a run that fails early can
-be repeated without the caller seeing parts of two answers, and so that a short
-answer leaves in one piece. A longer answer streams through.
+With its first bytes buffered, a run that fails early can be repeated without sending
+parts of two answers, and a short answer is sent in one write. A longer answer is
+streamed.
 """
 
 import math
@@ -10,18 +10,18 @@
 from beryltrack.wire.messages import Producer, ResponseSink
 
 MAX_BUFFERED_BYTES = 32768
-"""Most bytes that are held back before the answer begins to stream."""
+"""Size of the buffer, bytes, beyond which an answer is streamed."""
 
 
 class AnswerSink:
-    """Takes the frames of one answer and passes them to the caller.
+    """Receives the frames of one answer and passes them to the caller.
 
     Parameters
     ----------
     caller : ResponseSink
-        Where the answer goes in the end.
+        Receiver of the answer.
     max_buffered : int
-        Most bytes to hold back.
+        Size of the buffer, bytes.
     """
 
     def __init__(self, caller: ResponseSink, max_buffered: int = MAX_BUFFERED_BYTES):
@@ -33,15 +33,15 @@
 
     @property
     def is_answered(self) -> bool:
-        """True if a part of the answer has gone to the caller."""
+        """True if the caller has been sent a part of the answer."""
         return self._is_answered
 
     def buffer_all(self) -> None:
-        """Hold back the whole answer: whether it counts is not known yet."""
+        """Buffer the whole answer, as it may have to be discarded."""
         self._max_buffered = math.inf
 
     def write(self, data: bytes) -> None:
-        """Take frames of the answer, in order."""
+        """Receive frames of the answer, in order."""
         if self._is_answered:
             self._caller.write(data)
             return
@@ -51,25 +51,25 @@
             self.flush()
 
     def flush(self) -> None:
-        """Pass on what was held back; from now on the answer streams."""
+        """Send the buffered frames; later ones are streamed."""
         self._is_answered = True
         self._caller.write(self.take_buffered())
 
     def get_buffered(self) -> bytes:
-        """Return what is held back, and go on holding it."""
+        """Return the buffered frames without removing them."""
         return b"".join(self._buffered)
 
     def take_buffered(self) -> bytes:
-        """Return what was held back, and hold it no longer."""
-        held = b"".join(self._buffered)
+        """Return and remove the buffered frames."""
+        buffered = b"".join(self._buffered)
         self._buffered.clear()
         self._buffered_size = 0
-        return held
+        return buffered
 
     def attach(self, producer: Producer) -> None:
-        """Let the caller's reading pace hold the target back."""
+        """Let the caller's backpressure pause the target."""
         self._caller.attach(producer)
 
     def detach(self) -> None:
-        """Forget the target: its answer has ended."""
+        """Remove the target, whose answer has ended."""
         self._caller.detach()
--- a/beryltrack/requests/target_settings.py
+++ b/beryltrack/requests/target_settings.py
@@ -1,8 +1,7 @@
 """Session settings such as ``search_path`` on pooled target connections.
 
-A caller's settings live at the proxy. Before a connection serves a caller, it is
-given the settings in which it differs, so that no setting of one caller is
-ever seen by another.
+The proxy stores each caller's settings. Before a connection serves a caller, the
+settings in which it differs are applied, so that no caller sees another's settings.
 """
 
 from weakref import WeakKeyDictionary
@@ -12,14 +11,14 @@
 from beryltrack.requests.ledger import quote_literal
 from beryltrack.sessions.request_options import SETTING_PREFIX
 
-# Reported to the caller at its start-up, and the same on all connections.
+# The same on all connections, and reported to the caller at start-up.
 _FIXED = frozenset(
     ("application_name", "client_encoding", "database", "replication", "user")
 )
 
 
 class TargetSettings:
-    """Remembers which settings each connection has beside its defaults."""
+    """Tracks the non-default settings of each connection."""
 
     def __init__(self):
         self._applied: WeakKeyDictionary[TargetConnection, dict[str, str]] = (
@@ -27,19 +26,19 @@
         )
 
     def get_change(self, connection: TargetConnection, caller: Caller) -> str:
-        """Return the statements that give a connection a caller's settings.
+        """Return the statements that apply a caller's settings to a connection.
 
         Parameters
         ----------
         connection : TargetConnection
             The connection.
         caller : Caller
-            The caller that it is to serve.
+            The caller that it serves next.
 
         Returns
         -------
         str
-            Empty in the usual case that nothing differs.
+            The statements; empty if no setting differs, as is usual.
         """
         applied = self._applied.get(connection, {})
         wanted = get_target_settings(caller)
@@ -54,12 +53,12 @@
         return "; ".join([*gone, *changed])
 
     def record_applied(self, connection: TargetConnection, caller: Caller) -> None:
-        """Note that a connection now has a caller's settings."""
+        """Record that a connection has a caller's settings."""
         self._applied[connection] = get_target_settings(caller)
 
 
 def get_target_settings(caller: Caller) -> dict[str, str]:
-    """Return those of a caller's settings that concern its targets."""
+    """Return the caller's settings that apply to targets."""
     return {
         name: value
         for name, value in caller.settings.items()
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -1,8 +1,7 @@
-"""Finds the database for a request and a connection to it.
+"""Finds a target for a request and acquires a connection to it.
 
-While no database can take a request, for example while a new primary takes
-over, the request waits here: nothing of it has been sent, so giving up is
-always a true "not run".
+While no database can take a request, for example during a failover, the request waits
+here. Nothing of it has been sent yet, so a refusal always means "not run".
 """
 
 import math
@@ -36,8 +35,8 @@
 from beryltrack.routing.waits import wait_for_target
 from beryltrack.sessions.request_options import READS_PRIMARY
 
-# Reasons that pass when the group's view changes, so that waiting helps.
-_PASSING = frozenset(
+# Refusal reasons that a change of the group's view may end, so that waiting helps.
+_TRANSIENT = frozenset(
     (RefusalReason.UNREACHABLE, RefusalReason.LEAVING, RefusalReason.NO_SHARE)
 )
 
@@ -52,16 +51,16 @@
     database : str
         The database's name.
     is_replica : bool
-        True if it counts as a replica in the share of reads.
+        True if it counts as a replica in the replica share of reads.
     pool : PoolTask
-        Where the connection came from.
+        Pool of the connection.
     connection : PooledConnection
         The connection.
     after : LogPosition or None
-        What the database must show, where it checks that itself.
+        Position that the database must show, where it checks that itself.
     proof : Deferred or None
-        Fires with a position of the primary that proves its lead since the request
-        arrived, with None if there is none in time; None if no proof is needed.
+        Fires with a position of the primary that proves its leadership since the
+        request arrived, or with None at the time limit; None if no proof is needed.
     """
 
     database: str
@@ -73,26 +72,26 @@
 
 
 class TargetSearch(NamedTuple):
-    """Where and how long to look for a target.
+    """Scope and time limits of a search for a target.
 
     Parameters
     ----------
     services : RequestServices
-        What requests share.
+        Services of this instance.
     runtime : GroupRuntime
         The group.
     ticket : Ticket
-        The request, which may be put out while it waits.
+        Ticket of the request, which may be evicted while it waits.
     give_up_at : float
         Time, by the node's clock, at which the request is refused.
     deadline : float or None
-        Time, by the node's clock, by which it must be done, where that is bounded
-        by its own policy; None for `give_up_at`.
+        Time, by the node's clock, by which a request with its own policy must be
+        done; None for `give_up_at`.
     demand : Demand
-        What it asks of its database, counted from its arrival.
+        Its demand on a database, with times counted from its arrival.
     wait_until : float
         Time, by the node's clock, until which it waits for a change of the group while
-        no database can take it; a proof that one can is waited for until `give_up_at`.
+        no database can take it. For a proof that one can, it waits until `give_up_at`.
     """
 
     services: RequestServices
@@ -104,26 +103,26 @@
     wait_until: float = math.inf
 
     def may_wait(self, now: float) -> bool:
-        """Return whether it waits for a change of the group."""
+        """Return whether a request may still wait for a change of the group."""
         return now < min(self.give_up_at, self.wait_until)
 
 
 async def find_target(
     search: TargetSearch, request: TargetRequest
 ) -> Result[FoundTarget, SqlError]:
-    """Wait for a database that can take a request and get a connection to it.
+    """Wait for a database that can take a request, and acquire a connection to it.
 
     Parameters
     ----------
     search : TargetSearch
-        Where and how long to look.
+        Scope and time limits of the search.
     request : ReadRequest or WriteRequest
-        What is asked.
+        The routing request.
 
     Returns
     -------
     Result of FoundTarget or SqlError
-        A refusal is a true "not run".
+        A refusal means that the request was not run.
     """
     search.runtime.ensure_started()
     try:
@@ -138,7 +137,7 @@
 async def _search(
     search: TargetSearch, request: TargetRequest
 ) -> Result[FoundTarget, SqlError]:
-    """Choose databases until one gives a connection."""
+    """Choose databases until a connection to one is acquired."""
     services, runtime = search.services, search.runtime
     while True:
         chosen = await _choose_database(search, request)
@@ -152,9 +151,9 @@
         except PoolRefused as refused:
             refusal = refused.refusal
         now = services.seconds()
-        # Another database is looked for without a wait.
+        # After a replica's refusal another database is chosen without a wait.
         may_go_on = now < search.give_up_at if use.is_replica else search.may_wait(now)
-        if refusal.reason not in _PASSING or not may_go_on:
+        if refusal.reason not in _TRANSIENT or not may_go_on:
             return Failure(
                 make_refusal(
                     refusal.reason.value, refusal.retry_after, refusal.sqlstate
@@ -198,7 +197,7 @@
                 request = request._replace(may_wait=False)
             case NeedSample() if now < give_up_at:
                 request = await _prove_leadership(search, request, choice)
-            case Refuse() if search.may_wait(now) and _may_wait(search):
+            case Refuse() if search.may_wait(now) and _may_queue(search):
                 await ticket.wait(runtime.wait_change())
                 request = _clear_refusals(request)
             case Refuse():
@@ -209,8 +208,8 @@
                 return Failure(make_refusal("the primary cannot be confirmed", 1.0))
 
 
-def _may_wait(search: TargetSearch) -> bool:
-    """Return whether a request waits for a change of what is known of its group."""
+def _may_queue(search: TargetSearch) -> bool:
+    """Return whether a request may join those that wait for a change of the view."""
     runtime = search.runtime
     has_primary = bool(runtime.view.primary)
     return may_wait_for_target(
@@ -221,7 +220,7 @@
 async def _prove_leadership(
     search: TargetSearch, request: TargetRequest, need: NeedSample
 ) -> TargetRequest:
-    """Wait for the proof that a choice needs; return the request with it."""
+    """Wait for the proof that a choice needs; add it to the request."""
     services, runtime = search.services, search.runtime
     if need.needs_position:
         sampling = sample_primary(services, runtime, need.timeout)
@@ -237,7 +236,7 @@
 async def confirm_leadership(
     services: RequestServices, runtime: GroupRuntime, timeout: float
 ) -> bool:
-    """Wait until the primary's term is confirmed from now on; False at the timeout."""
+    """Return whether the primary's term is confirmed from now on within a timeout."""
     confirming = runtime.task.confirm_leadership()
     confirming.addTimeout(timeout, services.reactor)
     try:
@@ -250,7 +249,7 @@
 async def sample_primary(
     services: RequestServices, runtime: GroupRuntime, timeout: float
 ) -> LogPosition | None:
-    """Return a position sampled and confirmed from now on, None at the timeout."""
+    """Return a position sampled and confirmed from now on; None at the timeout."""
     sampling = runtime.task.sample_primary()
     sampling.addTimeout(timeout, services.reactor)
     try:
@@ -262,7 +261,7 @@
 def _request_proof(
     search: TargetSearch, request: TargetRequest
 ) -> "Deferred[LogPosition | None]":
-    """Ask for the proof that the primary leads, while a request goes to it."""
+    """Request the proof that the primary leads, in parallel to a read at it."""
     services = search.services
     timeout = min(
         services.routing.sample_timeout, request.deadline - services.seconds()
@@ -274,7 +273,7 @@
 async def _acquire(
     search: TargetSearch, use: UseTarget, request: TargetRequest
 ) -> FoundTarget:
-    """Get a connection to the database that was chosen."""
+    """Acquire a connection to the chosen database."""
     services = search.services
     pool = search.runtime.pools[use.database]
     started_at = services.seconds()
@@ -296,21 +295,21 @@
 
 
 def _is_displaced(request: TargetRequest, use: UseTarget) -> bool:
-    """Return whether a read goes to the primary only as replicas are behind."""
+    """Return whether a read goes to the primary only because replicas lag behind."""
     if use.is_replica or isinstance(request, WriteRequest):
         return False
     return request.reads != READS_PRIMARY
 
 
 def _add_sample(request: TargetRequest, sample: LogPosition) -> TargetRequest:
-    """Return the request with the knowledge that a sample brought."""
+    """Return the request with a sampled position."""
     if isinstance(request, WriteRequest):
         return request._replace(sampled=True)
     return request._replace(sample=sample)
 
 
 def _clear_refusals(request: TargetRequest) -> TargetRequest:
-    """Return the request as it may be judged by a view that has changed."""
+    """Return the request without what held for the former view of the group."""
     if isinstance(request, WriteRequest):
         return request._replace(sampled=False, excluded=())
     return request._replace(excluded=())
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -1,4 +1,4 @@
-"""Runs the requests of all callers of one instance."""
+"""Entry point for callers' requests: plans, admits, forwards and runs them."""
 
 from collections.abc import Callable
 
@@ -18,24 +18,24 @@
 from beryltrack.sessions.rules import RuleSelector
 from beryltrack.settings.messages import SiteSettings
 
-GONE = make_not_run_error("the caller is gone")
+CALLER_GONE = make_not_run_error("the caller has disconnected")
 
 SESSION = "session"
 STATEMENT = "statement"
-"""What a line calls a session that is not opened, and a unit that was not planned."""
+"""Kinds in the log of a session that was refused, and of a unit without a plan."""
 
 
 class RequestTask:
-    """Takes units of callers and sees to their answers.
+    """Runs the units of callers and answers them.
 
     Parameters
     ----------
     services : RequestServices
-        What requests share.
+        Services of this instance.
     get_settings : callable
         Returns the settings in force.
     get_runtime : callable
-        Returns the group of a name, or None.
+        Returns the runtime of the named group, or None.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._forwarder: UnitForwarder | None = None
 
     def set_forwarder(self, forwarder: UnitForwarder) -> None:
-        """Pass requests of groups that others own on from now on."""
+        """Set the forwarder of requests whose group another instance owns."""
         self._forwarder = forwarder
 
     def check_session(self, caller: UnitCaller) -> SqlError | None:
@@ -66,14 +66,14 @@
         return Deferred.fromCoroutine(self._handle(unit, caller))
 
     def forget(self, caller: UnitCaller) -> None:
-        """Roll back what a caller that is gone has left open."""
+        """Roll back the open transaction of a caller that has disconnected."""
         session = caller.session
         if session is not None and session.pinned is not None:
             pinned, session.pinned = session.pinned, None
             drop_transaction(pinned)
 
     async def run_forwarded(self, unit: object, caller: UnitCaller) -> None:
-        """Run a unit that another instance has passed on, never further on."""
+        """Run a unit that another instance forwarded; it is not forwarded again."""
         await self._handle(unit, caller, may_forward=False)
         self.forget(caller)
 
@@ -106,9 +106,9 @@
         error: SqlError,
         request_id: str = "",
         priority: int | None = None,
-        verdict: str = "",
+        refusal_reason: str = "",
     ) -> None:
-        """Log that the settings in force know no database for a caller, or no room."""
+        """Log a refusal: no database in the settings, or not admitted."""
         events = self._services.events
         if events.reserve_line(RequestStep.NOT_RUN):
             event = RequestEvent(
@@ -119,7 +119,7 @@
                 error.message,
                 settings_version=self._get_settings().revision,
                 priority=priority,
-                verdict=verdict,
+                verdict=refusal_reason,
             )
             events.record(event)
         elif request_id:
@@ -127,7 +127,7 @@
             events.record_shared(request_id, shared)
 
     def _find_runtime(self, caller: UnitCaller) -> GroupRuntime | None:
-        """Return the group of a caller; that of its transaction if one is open."""
+        """Return the caller's group, which is fixed during a transaction."""
         pinned = caller.session.pinned
         if pinned is not None:
             return pinned.runtime
@@ -140,7 +140,7 @@
         runtime: GroupRuntime,
         may_forward: bool,
     ) -> None:
-        """Run a planned unit on targets, or pass it on."""
+        """Admit a planned unit, and run or forward it."""
         services, session = self._services, caller.session
         services.retries.observe_request()
         arrived_at = services.seconds()
@@ -149,10 +149,10 @@
         if isinstance(admitted, Failure) and session.pinned is None:
             self._refuse_new(plan, caller, admitted.failure())
             return
-        # A transaction that is open is finished: refusing its next statement
-        # would keep its connection for longer.
+        # A statement of an open transaction runs even if it is not admitted: its
+        # refusal would keep the transaction's connection in use for longer.
         ticket = admitted.value_or(Ticket(UNADMITTED, services.admission))
-        caller.set_gone(lambda: ticket.evict(GONE))
+        caller.set_gone(lambda: ticket.evict(CALLER_GONE))
         version = self._get_settings().revision
         if session.pinned is None:
             session.opened_by = plan.request_id
@@ -167,7 +167,7 @@
             session.opened_by,
         )
         try:
-            if may_forward and self._is_for_others(context):
+            if may_forward and self._should_forward(context):
                 await self._forwarder.run(context)
             else:
                 await _run_on_targets(context)
@@ -176,7 +176,7 @@
             ticket.finish()
 
     def _refuse_new(self, plan: UnitPlan, caller: UnitCaller, error: SqlError) -> None:
-        """Refuse a unit that this instance has no room for; log and count that."""
+        """Refuse a unit that was not admitted; log and count the refusal."""
         policy = plan.policy or self._services.policy
         self._services.metrics.count_by_priority(
             RequestSummary(
@@ -189,8 +189,8 @@
         )
         _refuse(caller, error)
 
-    def _is_for_others(self, context: RequestContext) -> bool:
-        """Return whether an owner of the group is to run a unit."""
+    def _should_forward(self, context: RequestContext) -> bool:
+        """Return whether an owner of the group runs a unit."""
         return (
             self._forwarder is not None
             and context.caller.session.pinned is None
@@ -199,7 +199,7 @@
 
 
 async def _run_on_targets(context: RequestContext) -> None:
-    """Run a unit that was taken on."""
+    """Run an admitted unit on targets."""
     plan = context.plan
     if context.caller.session.pinned is not None:
         await run_pinned(context)
@@ -210,6 +210,6 @@
 
 
 def _refuse(caller: UnitCaller, error: SqlError) -> None:
-    """Answer a unit that was not run."""
+    """Answer a unit that was not run with an error."""
     caller.send_error(error)
     caller.send_ready(caller.status)
