--- a/tests/requests/scripted.py
+++ b/tests/requests/scripted.py
@@ -1,4 +1,4 @@
-"""Scripted targets: connections whose answers a test writes down beforehand."""
+"""Scripted targets: connections that answer from a script."""
 
 from returns.result import Success
 from twisted.internet.defer import Deferred, fail, succeed
@@ -58,7 +58,7 @@
 
 
 class FakePool:
-    """Notes how connections come back."""
+    """Records whether each connection is returned as reusable."""
 
     def __init__(self):
         self.released = []
@@ -68,7 +68,7 @@
 
 
 class FakeGroupTask:
-    """Gives the commits of a test their outcomes."""
+    """Confirms commits with scripted outcomes."""
 
     def __init__(self, outcomes):
         self.outcomes = list(outcomes)
@@ -81,7 +81,7 @@
 
 
 class FakeRuntime:
-    """A group whose databases are scripted."""
+    """A group with scripted databases."""
 
     def __init__(self, outcomes):
         self.settings = GroupSettings("main", "team", (), "app", "", 0.0, 0.3)
@@ -91,7 +91,7 @@
 
 
 class Transport:
-    """Keeps what a caller was sent."""
+    """Records what a caller is sent."""
 
     def __init__(self):
         self.sent = b""
@@ -116,12 +116,12 @@
 
 
 def make_marked_context(**options):
-    """Return the context of a marked write."""
+    """Return the context of an at-most-once write."""
     return make_context("INSERT", StatementKind.WRITE, request_id="r-1", **options)
 
 
 def script_targets(monkeypatch, module, *connections):
-    """Let `module` find the scripted connections, one after the other."""
+    """Make `module` find the scripted connections, in order."""
     pool, found = FakePool(), list(connections)
 
     async def find_primary(context):
@@ -132,7 +132,7 @@
 
 
 def run_to_end(context, coroutine):
-    """Run a course under its clock until it is done."""
+    """Run a flow under its clock until it is done."""
     done = Deferred.fromCoroutine(coroutine)
     while not done.called:
         context.services.reactor.advance(0.05)
--- a/tests/requests/test_admission.py
+++ b/tests/requests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: the bound, the teams' shares, and refusals that are final."""
+"""Admission control: the bound, the teams' shares, refusals and evictions."""
 
 import random
 
@@ -29,7 +29,7 @@
     assert get_reasons(actions) == [(1, AdmissionReason.EXPIRED)]
 
 
-def test_one_team_may_use_all_while_no_other_asks():
+def test_one_team_may_use_the_whole_bound_without_competition():
     decider = make_decider()
     assert len(admit_all(decider, "a", range(4))) == 4
     actions = decider.admit(9, "a", 1.0, 0.0)
@@ -37,7 +37,7 @@
     assert actions[0].retry_after > 0 and actions[0].sqlstate == "53300"
 
 
-def test_a_team_below_its_share_puts_out_the_newest_waiting_request():
+def test_a_team_below_its_share_evicts_the_newest_waiting_request():
     decider = make_decider()
     admit_all(decider, "a", range(4))
     actions = decider.admit(9, "b", 1.0, 0.0)
@@ -46,7 +46,7 @@
     assert decider.admitted_count == 4
 
 
-def test_a_request_that_runs_is_not_put_out():
+def test_a_running_request_is_not_evicted():
     decider = make_decider()
     admit_all(decider, "a", range(4))
     for number in range(4):
@@ -63,7 +63,7 @@
     assert get_reasons(actions)[-1] == (19, AdmissionReason.OVERLOADED)
 
 
-def test_the_bound_shrinks_while_the_process_is_late_and_grows_again():
+def test_the_bound_shrinks_while_timers_are_late_and_grows_again():
     decider = make_decider(most=100)
     admit_all(decider, "a", range(50))
     for step in range(40):
@@ -82,19 +82,21 @@
 
 
 def test_counts_stay_right_in_any_order_of_events():
-    rng, decider, held = random.Random(3), make_decider(most=6, b=2.0), {}
+    rng, decider, admitted = random.Random(3), make_decider(most=6, b=2.0), {}
     for number in range(2000):
         team = rng.choice("abc")
         for action in decider.admit(number, team, 1e9, float(number)):
             if isinstance(action, Admit):
-                held[action.request] = team
+                admitted[action.request] = team
             else:
-                held.pop(action.request, None)
-        for request in rng.sample(sorted(held), min(len(held), rng.randrange(3))):
+                admitted.pop(action.request, None)
+        for request in rng.sample(
+            sorted(admitted), min(len(admitted), rng.randrange(3))
+        ):
             decider.start(request)
             if rng.random() < 0.5:
                 decider.finish(request, float(number))
-                del held[request]
-        assert decider.admitted_count == len(held) <= 6
-        counts = {team: list(held.values()).count(team) for team in "abc"}
+                del admitted[request]
+        assert decider.admitted_count == len(admitted) <= 6
+        counts = {team: list(admitted.values()).count(team) for team in "abc"}
         assert counts == {team: decider.get_count(team) for team in "abc"}
--- a/tests/requests/test_admission_task.py
+++ b/tests/requests/test_admission_task.py
@@ -1,4 +1,4 @@
-"""Tickets of requests that wait."""
+"""Tickets of waiting requests: eviction and release."""
 
 import pytest
 from returns.result import Failure, Success
@@ -18,7 +18,7 @@
     return Deferred.fromCoroutine(ticket.wait(Deferred()))
 
 
-def test_a_request_that_makes_room_stops_waiting_at_once():
+def test_an_evicted_request_stops_waiting_at_once():
     admission = make_admission()
     first, second = (admission.admit("flood", 9.0).unwrap() for _ in range(2))
     first.start()
@@ -29,20 +29,20 @@
     assert error.sqlstate == "53300" and "not run" in error.detail
 
 
-def test_a_request_that_runs_is_not_put_out():
+def test_a_running_request_is_not_evicted():
     admission = make_admission(most=1)
     admission.admit("flood", 9.0).unwrap().start()
     assert isinstance(admission.admit("quiet", 9.0), Failure)
 
 
-def test_a_request_that_is_over_makes_room():
+def test_an_ended_request_frees_its_place():
     admission = make_admission(most=1)
     admission.admit("a", 9.0).unwrap().finish()
     assert isinstance(admission.admit("a", 9.0), Success)
     assert admission.admitted_count == 1
 
 
-def test_a_request_put_out_before_it_waits_does_not_wait():
+def test_a_request_evicted_before_it_waits_does_not_wait():
     admission = make_admission()
     ticket = admission.admit("a", 9.0).unwrap()
     ticket.evict(admission.admit("a", -1.0).failure())
--- a/tests/requests/test_course.py
+++ b/tests/requests/test_course.py
@@ -1,4 +1,4 @@
-"""A unit that is given up between two runs is told the truth."""
+"""Request flows: true errors for units given up between runs, and retries."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def run_then_refuse(monkeypatch, kind, *connections, **options):
-    """Run a unit on some targets, after which there is none any more."""
+    """Run a unit on some targets, after which no target is found."""
     found = list(connections)
 
     async def find_target(search, request):
@@ -48,12 +48,12 @@
     return transport.sent
 
 
-def test_what_never_ran_is_called_not_run(monkeypatch):
+def test_a_unit_that_never_ran_is_reported_as_not_run(monkeypatch):
     sent = run_then_refuse(monkeypatch, StatementKind.WRITE)
     assert b"57P03" in sent and b"40001" not in sent
 
 
-def test_a_commit_that_was_rolled_back_is_not_called_not_run(monkeypatch):
+def test_a_rolled_back_commit_is_not_reported_as_not_run(monkeypatch):
     connection = ScriptedConnection(make_end(position=5))
     outcomes = [CommitOutcome.ROLLED_BACK]
     sent = run_then_refuse(
@@ -62,7 +62,7 @@
     assert b"40001" in sent and b"not run" not in sent
 
 
-def test_a_read_whose_answer_was_lost_is_not_called_not_run(monkeypatch):
+def test_a_read_with_a_lost_answer_is_not_reported_as_not_run(monkeypatch):
     connection = ScriptedConnection(LOST)
     sent = run_then_refuse(monkeypatch, StatementKind.READ, connection)
     assert b"40001" in sent and b"not run" not in sent
@@ -78,14 +78,14 @@
     return make_end()._replace(error=error)
 
 
-def run_through(monkeypatch, way, is_replica, *ends):
-    """Run a read on databases that refuse it; return what was sent and the attempts."""
+def run_through(monkeypatch, via, is_replica, *ends):
+    """Run a read on scripted databases; return its answer and exclusions."""
     left, excluded = list(ends), []
 
     async def find_target(search, request):
         excluded.append(request.excluded)
         connection = ScriptedConnection(left.pop(0))
-        connection.way = way
+        connection.way = via
         name = f"main-{len(excluded)}"
         return Success(FoundTarget(name, is_replica, FakePool(), connection))
 
@@ -98,38 +98,38 @@
 
 
 def make_retrying(services):
-    """Return services whose budget allows ten repeats."""
+    """Return services whose budget allows ten retries."""
     return services._replace(retries=RetryBudget(DEFAULT_RETRIES, random.Random(5)))
 
 
-def test_what_a_full_owner_refused_at_a_primary_is_not_asked_of_it_again(monkeypatch):
+def test_a_full_owners_refusal_for_a_primary_is_final(monkeypatch):
     sent, tries = run_through(
         monkeypatch, "owner", False, refuse(TOO_MANY_CONNECTIONS, 0.2)
     )
     assert len(tries) == 1 and "53300" in sent
-    # The time to come back is the owner's, and stands there once.
+    # The error names the retry time of the owner, once.
     assert FULL in sent and sent.count("Try again") == 1
 
 
-def test_what_a_full_owner_refused_at_a_replica_is_run_once_elsewhere(monkeypatch):
+def test_a_full_owners_refusal_for_a_replica_is_retried_once_elsewhere(monkeypatch):
     full = refuse(TOO_MANY_CONNECTIONS, 0.2)
     sent, tries = run_through(monkeypatch, "owner", True, full, full)
     assert tries == [(), ("main-1",)] and sent.count("Try again") == 1 and FULL in sent
 
 
-def test_a_read_that_another_database_takes_is_answered(monkeypatch):
+def test_a_read_is_answered_if_another_database_takes_it(monkeypatch):
     full = refuse(TOO_MANY_CONNECTIONS, 0.2)
     sent, tries = run_through(monkeypatch, "owner", True, full, make_end())
     assert len(tries) == 2 and "53300" not in sent
 
 
-def test_a_database_that_is_full_itself_is_tried_again_as_before(monkeypatch):
+def test_a_database_that_is_full_itself_is_retried(monkeypatch):
     full = refuse(TOO_MANY_CONNECTIONS)
     _, tries = run_through(monkeypatch, "owner", False, full, full, make_end())
     assert len(tries) == 3
 
 
-def test_a_read_that_a_replica_is_behind_for_is_run_elsewhere_as_before(monkeypatch):
+def test_a_read_refused_by_a_lagging_replica_is_retried_elsewhere(monkeypatch):
     lagging = refuse(CANNOT_CONNECT_NOW)
     _, tries = run_through(monkeypatch, "owner", True, lagging, lagging, make_end())
     assert tries == [(), ("main-1",), ("main-1", "main-2")]
@@ -158,14 +158,14 @@
     assert not connections and noted == ([] if is_broken else [("main-1", after)])
 
 
-def test_repeats_of_all_ways_draw_on_one_budget(monkeypatch):
+def test_all_kinds_of_retries_draw_on_one_budget(monkeypatch):
     monkeypatch.setattr("tests.requests.test_course.DEFAULT_RETRIES", RetryPolicy())
     lagging = refuse(CANNOT_CONNECT_NOW, 0.3)
     sent, tries = run_through(monkeypatch, "owner", True, lagging)
     assert len(tries) == 1 and sent.count("Try again in 0.30 seconds.") == 1
 
 
-def test_a_caller_that_was_refused_returns_when_it_was_told_to(monkeypatch):
+def test_a_request_after_the_retry_time_counts_as_a_retry(monkeypatch):
     context, _ = make_context("text", StatementKind.READ)
     send_failure(context, make_refusal("full", 0.2, TOO_MANY_CONNECTIONS), IDLE)
     returns = [context._replace(arrived_at=at).demand.is_retry for at in (0.1, 0.2)]
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""An instance that owns no connections passes requests on to owners."""
+"""An instance that is no owner forwards requests to owners."""
 
 import psycopg
 import pytest
@@ -28,11 +28,11 @@
 
 
 def get_streams(local):
-    """Return how many requests the instance without a seat has passed on."""
+    """Return how many requests the instance without a seat has forwarded."""
     return run(lambda: local.proxies[2].fleet.forwarder.forwarded_count)
 
 
-def test_reads_and_writes_are_passed_on(local):
+def test_reads_and_writes_are_forwarded(local):
     before = get_streams(local)
     with connect(local.proxies[2], "new") as connection:
         connection.execute("INSERT INTO item VALUES (1)")
@@ -43,21 +43,21 @@
         assert connection.execute("SELECT id FROM item").fetchone() == (1,)
 
 
-def test_prepared_statements_are_passed_on(local):
+def test_prepared_statements_are_forwarded(local):
     with connect(local.proxies[2], "new") as connection:
         for number in range(8):
             rows = connection.execute("SELECT %s + 1", (number,), prepare=True)
             assert rows.fetchone() == (number + 1,)
 
 
-def test_an_error_of_a_target_is_passed_back(local):
+def test_an_error_of_a_target_reaches_the_caller(local):
     with connect(local.proxies[2], "new") as connection:
         with pytest.raises(psycopg.errors.UndefinedTable):
             connection.execute("SELECT * FROM missing")
         assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_a_large_answer_arrives_whole(local):
+def test_a_large_answer_arrives_complete(local):
     text = "x" * 1000
     with connect(local.proxies[2], "new") as connection:
         rows = connection.execute(
@@ -76,7 +76,7 @@
         assert rows.fetchone() == (2,)
 
 
-def test_a_marked_request_runs_once_whoever_runs_it(local):
+def test_an_at_most_once_request_runs_once_at_any_instance(local):
     for proxy in (local.proxies[2], local.proxies[0], local.proxies[2]):
         with connect(proxy) as connection:
             set_request_id(connection, "forwarded-1")
@@ -84,7 +84,7 @@
 
 
 class ScriptedForwarder:
-    """Gives forwarded requests the outcomes of a script."""
+    """Answers forwarded requests from a script."""
 
     def __init__(self, *results):
         self.results = list(results)
@@ -104,29 +104,29 @@
     return transport.sent, forwarder.results
 
 
-def test_what_was_not_run_is_passed_on_again():
+def test_a_request_that_was_not_run_is_forwarded_again():
     sent, left = forward(StatementKind.WRITE, NOT_RUN, ANSWERED)
     assert left == [] and b"57P03" not in sent
 
 
-def test_an_unknown_write_is_not_passed_on_again():
+def test_a_write_with_unknown_outcome_is_not_forwarded_again():
     sent, left = forward(StatementKind.WRITE, UNKNOWN, ANSWERED)
     assert left == [ANSWERED] and b"08007" in sent
 
 
-def test_an_unknown_read_or_marked_write_is_passed_on_again():
+def test_a_read_or_at_most_once_write_with_unknown_outcome_is_forwarded_again():
     assert forward(StatementKind.READ, UNKNOWN, ANSWERED)[1] == []
     options = {"request_id": "r-1"}
     assert forward(StatementKind.WRITE, UNKNOWN, ANSWERED, **options)[1] == []
 
 
-def test_a_marked_write_that_may_have_run_is_never_called_not_run():
+def test_an_at_most_once_write_that_may_have_run_is_not_reported_as_not_run():
     results = [UNKNOWN] + [NOT_RUN] * 300
     sent, _ = forward(StatementKind.WRITE, *results, request_id="r-1")
     assert b"08007" in sent and b"57P03" not in sent
 
 
-def test_what_cannot_be_read_is_not_run():
+def test_a_request_that_cannot_be_decoded_is_not_run():
     assert decode_request(b"\xff")[0] is None
     assert decode_request(b"\x88" + b"\x60" * 8)[0] is None
     assert read_unit(b"Q\x00\x00\x00\x06a\x00Q\x00\x00\x00\x06b\x00") is None
--- a/tests/requests/test_hold.py
+++ b/tests/requests/test_hold.py
@@ -1,4 +1,4 @@
-"""For how long a request is held that no database can take."""
+"""How long a request waits while no database can take it."""
 
 from types import SimpleNamespace
 
@@ -59,29 +59,27 @@
     assert Site(True, waiting_count=7).ask() == []
 
 
-def test_later_ones_are_told_at_once_when_to_come_back():
+def test_later_requests_are_refused_at_once_with_a_retry_time():
     (end,) = Site(True, waiting_count=8).ask()
     assert isinstance(end, Failure) and end.failure().retry_after > 0
 
 
 @pytest.mark.parametrize(("is_crowded", "wait_until"), [(False, 0.35), (True, 0.125)])
-def test_a_request_is_held_by_its_target_latency_in_a_large_fleet(
-    is_crowded, wait_until
-):
+def test_target_latency_bounds_the_wait_in_a_large_fleet(is_crowded, wait_until):
     context, _ = make_context("text", StatementKind.WRITE)
     policy = RequestPolicy(0.8, 0.35, target_latency=0.5)
     services = context.services._replace(is_crowded=lambda: is_crowded, policy=policy)
     assert context._replace(services=services).search.wait_until == wait_until
 
 
-def test_who_has_been_held_for_long_enough_is_told_when_to_come_back():
+def test_a_request_past_its_wait_is_refused_with_a_retry_time():
     site = Site(True)
     site.clock.advance(0.2)
     (end,) = site.ask(wait_until=0.125)
     assert isinstance(end, Failure) and Site(True).ask(wait_until=0.125) == []
 
 
-def test_another_replica_is_tried_also_after_the_time_that_a_request_is_held(
+def test_another_replica_is_tried_also_after_the_wait(
     monkeypatch,
 ):
     site, tried = Site(True), []
--- a/tests/requests/test_load_counts.py
+++ b/tests/requests/test_load_counts.py
@@ -1,4 +1,4 @@
-"""What is counted and logged of a request by what it asked for."""
+"""Counts and log events of requests, by priority and refusal reason."""
 
 from types import SimpleNamespace
 
@@ -29,7 +29,7 @@
 
 
 class Metrics:
-    """Keeps the ends of requests."""
+    """Records the ends of requests."""
 
     def __init__(self):
         self.ends = []
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("elapsed", "is_in_aim"), [(0.05, True), (0.2, False)])
-def test_an_answer_is_in_aim_within_the_target_latency(elapsed, is_in_aim):
+def test_an_answer_within_the_target_latency_is_counted_as_such(elapsed, is_in_aim):
     context, metrics, _ = make_request(elapsed)
     count_request(context, TargetKind.PRIMARY)
     assert metrics.ends == [RequestSummary(2, False, True, is_in_aim)]
@@ -66,7 +66,7 @@
     assert event.verdict == "too_late"
 
 
-def test_reasons_are_words_of_a_fixed_list():
+def test_refusal_reasons_are_from_a_fixed_set():
     words = {classify_refusal(reason.value) for reason in RefusalReason}
     assert words == {reason.name.lower() for reason in RefusalReason}
     assert {classify_refusal(each.value) for each in AdmissionReason} == {ADMISSION}
@@ -91,7 +91,7 @@
     return RequestTask(services, lambda: SiteSettings(0, (), (), ()), lambda _: runtime)
 
 
-def test_a_request_that_an_instance_has_no_room_for_is_counted_and_named():
+def test_a_request_that_is_not_admitted_is_counted_and_logged():
     metrics, events, caller = Metrics(), Events(), Caller()
     caller.session = CallerSession()
     make_full_task(metrics, events).handle("r-1", caller)
--- a/tests/requests/test_local.py
+++ b/tests/requests/test_local.py
@@ -1,4 +1,4 @@
-"""Statements that concern the proxy alone, prepared as drivers do."""
+"""Statements that the proxy answers itself, prepared as drivers do."""
 
 import psycopg
 import pytest
@@ -15,9 +15,9 @@
 
 
 def run(connection, name, *arguments):
-    """Send a request by the driver's own interface and return its result.
+    """Send a request by the driver's asynchronous interface; return its result.
 
-    The interface that waits would hold the interpreter, and so the proxy.
+    The blocking interface would hold the interpreter lock and so block the proxy.
     """
     getattr(connection.pgconn, f"send_{name}")(*arguments)
     (result,) = connection.wait(generators.execute(connection.pgconn))
@@ -33,7 +33,7 @@
     assert run(connection, "query_prepared", b"show", []).get_value(0, 0) == b"3s"
 
 
-def test_a_set_takes_effect_when_it_is_run_and_not_before(connection):
+def test_a_set_takes_effect_only_when_it_is_executed(connection):
     connection.execute("SET beryltrack.max_age = '4s'")
     run(connection, "prepare", b"set", b"SET beryltrack.max_age = '5s'")
     assert run(connection, "describe_prepared", b"set").nfields == 0
@@ -43,7 +43,7 @@
     assert connection.execute("SHOW beryltrack.max_age").fetchone() == ("5s",)
 
 
-def test_a_statement_that_was_deallocated_is_gone(connection):
+def test_a_deallocated_statement_is_undefined(connection):
     run(connection, "prepare", b"gone", b"SELECT 1")
     run(connection, "prepare", b"all", b"DEALLOCATE ALL")
     run(connection, "query_prepared", b"gone", [])
@@ -59,13 +59,13 @@
         "SELECT pg_advisory_unlock_all();\nCLOSE ALL;\nUNLISTEN *;\nRESET ALL;",
     ],
 )
-def test_a_reset_puts_the_session_back_to_its_start(connection, text):
+def test_a_reset_restores_the_initial_settings(connection, text):
     connection.execute("SET beryltrack.max_age = '6s'")
     connection.execute("SET TimeZone TO 'Asia/Taipei'")
     connection.execute(text)
     assert connection.execute("SHOW beryltrack.max_age").fetchone() == ("",)
 
 
-def test_a_text_that_does_more_than_reset_is_refused(connection):
+def test_a_reset_with_another_statement_is_refused(connection):
     with pytest.raises(psycopg.errors.FeatureNotSupported):
         connection.execute("UNLISTEN *; SELECT 1")
--- a/tests/requests/test_losses.py
+++ b/tests/requests/test_losses.py
@@ -1,4 +1,4 @@
-"""Requests on a database that has fallen silent are given up, others are not."""
+"""Connections to databases that do not answer are closed, others are not."""
 
 from types import SimpleNamespace
 
@@ -22,7 +22,7 @@
     return GroupView("group", 1, primary, databases=databases)
 
 
-def silence(item):
+def make_unreachable(item):
     return item._replace(reachable=False)
 
 
@@ -30,15 +30,17 @@
     assert get_lost_databases(make_view(A, B), 1000.0) == ()
 
 
-def test_a_silent_database_is_lost_after_the_grace():
-    view = make_view(A, silence(B))
+def test_an_unreachable_database_is_lost_after_the_grace():
+    view = make_view(A, make_unreachable(B))
     assert get_lost_databases(view, 9.0 + DEFAULT_POLICY.grace - 0.1) == ()
     assert get_lost_databases(view, 9.0 + DEFAULT_POLICY.grace) == ("b",)
 
 
-def test_a_silent_primary_is_lost_as_soon_as_it_is_replaced():
-    assert get_lost_databases(make_view(silence(A), B), 9.1) == ()
-    assert get_lost_databases(make_view(silence(A), B, primary="b"), 9.1) == ("a",)
+def test_an_unreachable_primary_is_lost_as_soon_as_it_is_replaced():
+    assert get_lost_databases(make_view(make_unreachable(A), B), 9.1) == ()
+    assert get_lost_databases(make_view(make_unreachable(A), B, primary="b"), 9.1) == (
+        "a",
+    )
     assert get_lost_databases(make_view(A, B, primary="b"), 9.1) == ()
 
 
@@ -51,7 +53,7 @@
     )
 
 
-def test_a_database_that_was_never_asked_is_not_lost():
+def test_a_database_that_was_never_queried_is_not_lost():
     assert get_lost_databases(make_view(A, DatabaseView("c")), 1000.0) == ()
 
 
@@ -74,9 +76,11 @@
     return clock
 
 
-def test_connections_are_closed_when_the_grace_is_over(clock):
+def test_connections_are_closed_at_the_end_of_the_grace(clock):
     pools = {"a": FakePool(), "b": FakePool()}
-    task = SimpleNamespace(view=make_view(A, silence(B)), subscribe=lambda call: None)
+    task = SimpleNamespace(
+        view=make_view(A, make_unreachable(B)), subscribe=lambda call: None
+    )
     watch = LossWatch(clock, task, pools)
     watch.observe_view(task.view)
     clock.advance(DEFAULT_POLICY.grace - 0.1)
@@ -88,7 +92,9 @@
 
 def test_a_database_that_answers_again_keeps_its_connections(clock):
     pools = {"a": FakePool(), "b": FakePool()}
-    task = SimpleNamespace(view=make_view(A, silence(B)), subscribe=lambda call: None)
+    task = SimpleNamespace(
+        view=make_view(A, make_unreachable(B)), subscribe=lambda call: None
+    )
     LossWatch(clock, task, pools).observe_view(task.view)
     task.view = make_view(A, B)
     clock.advance(DEFAULT_POLICY.grace)
@@ -97,11 +103,11 @@
 
 
 def start_paused(clock, view):
-    """Return the pools of a process that is asleep, and what wakes it with a view."""
+    """Pause the process; return its clock, and a function that passes it a view."""
     pools = {"a": FakePool(), "b": FakePool()}
     task = SimpleNamespace(view=view, subscribe=lambda call: None)
-    watch, awake = LossWatch(clock, task, pools), get_pause_aware_clock(clock)
-    awake.start_detection()
+    watch, pause_clock = LossWatch(clock, task, pools), get_pause_aware_clock(clock)
+    pause_clock.start_detection()
     clock.advance(3.0)
 
     def observe(*databases, primary="a"):
@@ -109,41 +115,41 @@
         watch.observe_view(task.view)
         return [name for name, pool in pools.items() if pool.broken]
 
-    return awake, observe
+    return pause_clock, observe
 
 
-def test_a_pause_between_two_turns_loses_no_database(clock):
-    """Guards against open transactions that end as the process wakes."""
+def test_a_pause_between_two_ticks_loses_no_database(clock):
+    """Guards against closing connections with open transactions after a pause."""
     _, observe = start_paused(clock, make_view(A, B))
-    # The answer that had come was not read, or was lost with the pause.
-    assert observe(silence(A), silence(B)) == []
+    # The answer had arrived but was unread, or was lost during the pause.
+    assert observe(make_unreachable(A), make_unreachable(B)) == []
     assert observe(A, B) == []
 
 
-def test_a_database_that_is_silent_after_a_pause_is_lost_in_its_usual_time(clock):
+def test_a_database_that_is_unreachable_after_a_pause_is_lost_after_the_grace(clock):
     """Guards against a pause that hides a lost database."""
-    awake, observe = start_paused(clock, make_view(A, B))
-    observe(A, silence(B))
+    pause_clock, observe = start_paused(clock, make_view(A, B))
+    observe(A, make_unreachable(B))
     elapsed = 0.0
-    while not observe(A, silence(B)):
+    while not observe(A, make_unreachable(B)):
         clock.advance(0.05)
-        awake.record_tick()
+        pause_clock.record_tick()
         elapsed += 0.05
     assert elapsed <= DEFAULT_POLICY.grace
 
 
-def test_repeated_pauses_hide_no_lost_database_for_good(clock):
-    """Guards against a loss that each pause puts off; each counts `TICK_PERIOD`."""
-    awake, observe = start_paused(clock, make_view(A, B))
+def test_repeated_pauses_do_not_hide_a_lost_database_forever(clock):
+    """Guards against pauses that delay a loss forever; each counts `TICK_PERIOD`."""
+    pause_clock, observe = start_paused(clock, make_view(A, B))
     pauses = 1
-    while not observe(A, silence(B)):
+    while not observe(A, make_unreachable(B)):
         clock.advance(3.0)
-        awake.record_tick()
+        pause_clock.record_tick()
         pauses += 1
     assert pauses <= DEFAULT_POLICY.grace / TICK_PERIOD + 1
 
 
 def test_a_primary_that_was_replaced_during_a_pause_is_lost_at_once(clock):
-    """Guards against writes on a replaced primary that a pause would let live on."""
+    """Guards against writes that go on at a replaced primary because of a pause."""
     _, observe = start_paused(clock, make_view(A, B))
     assert observe(A, B, primary="b") == ["a"]
--- a/tests/requests/test_marked.py
+++ b/tests/requests/test_marked.py
@@ -1,4 +1,4 @@
-"""A marked request has one outcome, whatever happens to its runs."""
+"""An at-most-once request has a single outcome, whatever happens to its runs."""
 
 from returns.result import Failure
 
@@ -39,7 +39,7 @@
     assert b"<done>" in sent and released == [True]
 
 
-def test_a_refusal_of_a_replaced_primary_is_run_again(monkeypatch):
+def test_a_request_refused_by_a_replaced_primary_is_run_again(monkeypatch):
     refused = ScriptedConnection(make_end(OPEN), make_end(FAILED, "25006"), make_end())
     sent, _ = run_at_most_once(monkeypatch, refused, make_good())
     assert b"25006" not in sent and b"<done>" in sent
@@ -53,7 +53,7 @@
     assert lost.texts[0][:80] == second.texts[0][:80]
 
 
-def test_an_outcome_that_stays_unknown_is_called_so(monkeypatch):
+def test_an_outcome_that_stays_unknown_is_reported_as_unknown(monkeypatch):
     connections = [make_good() for _ in range(300)]
     unknown = [CommitOutcome.UNKNOWN] * 300
     sent, _ = run_at_most_once(monkeypatch, *connections, outcomes=unknown)
@@ -81,7 +81,7 @@
     assert b"<done>" in sent
 
 
-def test_a_refusal_says_nothing_of_earlier_sendings(monkeypatch):
+def test_a_refusal_does_not_claim_that_no_earlier_run_happened(monkeypatch):
     async def find_nothing(context):
         return Failure(make_not_run_error("no primary"))
 
--- a/tests/requests/test_opened_by.py
+++ b/tests/requests/test_opened_by.py
@@ -1,7 +1,7 @@
-"""What is logged inside of a transaction names the request that opened it.
+"""Log events inside a transaction name the request that opened it.
 
-Callers report a failed transaction by its first request, and the line of the statement
-that failed named only itself, so that nothing was found of two of ten failed requests.
+Callers report a failed transaction by its first request. While events named only their
+own request, none were found for two of ten failed requests.
 """
 
 from types import SimpleNamespace
@@ -15,7 +15,7 @@
 from beryltrack.settings.messages import SiteSettings
 
 
-def test_statements_of_a_transaction_know_which_request_opened_it(monkeypatch):
+def test_statements_of_a_transaction_name_the_request_that_opened_it(monkeypatch):
     seen = []
 
     async def run(context):
--- a/tests/requests/test_outcomes.py
+++ b/tests/requests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""No answer to a failed request is untrue."""
+"""The step after a failed run is safe and reported truthfully."""
 
 import itertools
 
@@ -23,7 +23,7 @@
     assert NextStep.RETRY not in steps
 
 
-def test_a_lost_write_is_unknown_unless_the_ledger_can_tell():
+def test_a_lost_write_is_unknown_unless_the_ledger_can_resolve_it():
     lost = RunFailure(True, "")
     assert decide_after_failure(WRITE, lost) == NextStep.UNKNOWN
     at_most_once = WRITE._replace(is_at_most_once=True)
@@ -34,7 +34,7 @@
     assert decide_after_failure(WRITE, RunFailure(False, "")) == NextStep.RETRY
 
 
-def test_nothing_is_repeated_after_a_part_of_its_answer_went_out():
+def test_a_request_is_not_repeated_after_a_part_of_its_answer_was_sent():
     failures = [RunFailure(True, ""), RunFailure(True, "25006")]
     answered = [s for s in ALL_STATES if s.is_answered]
     steps = {decide_after_failure(s, f) for s in answered for f in failures}
@@ -46,16 +46,16 @@
     assert decide_after_failure(state, RunFailure(True, "")) == NextStep.ROLLED_BACK
 
 
-def test_a_lost_commit_is_not_called_rolled_back():
+def test_a_lost_commit_is_not_reported_as_rolled_back():
     state = RequestState(False, True, True, False, False)
     assert decide_after_failure(state, RunFailure(True, "")) == NextStep.UNKNOWN
 
 
-def test_a_statement_error_is_the_callers_own():
+def test_a_statement_error_is_passed_to_the_caller():
     assert decide_after_failure(WRITE, RunFailure(True, "23505")) == NextStep.ANSWER
 
 
-def test_a_commit_without_a_majority_is_not_answered():
+def test_a_commit_without_a_majority_is_not_acknowledged():
     outcomes = [CommitOutcome.UNKNOWN, CommitOutcome.ROLLED_BACK]
     steps = {decide_after_commit(s, o) for s in ALL_STATES for o in outcomes}
     assert NextStep.ANSWER not in steps
--- a/tests/requests/test_overdue.py
+++ b/tests/requests/test_overdue.py
@@ -1,4 +1,4 @@
-"""Requests that a database leaves unanswered."""
+"""Detection of overdue statements."""
 
 from types import SimpleNamespace
 
@@ -10,7 +10,7 @@
 
 
 class Connection:
-    """Notes that it was closed."""
+    """Records that it was closed."""
 
     closed = False
     run_until = LIMIT
@@ -33,7 +33,7 @@
     return clock, connection, signs
 
 
-def test_a_late_request_makes_its_database_suspect():
+def test_a_late_statement_makes_its_database_suspect():
     clock, connection, signs = start_watch(0.0)
     clock.advance(LATE_AFTER)
     assert signs == []
@@ -41,13 +41,13 @@
     assert signs == ["db-1"] and not connection.closed
 
 
-def test_a_request_far_too_late_is_given_up():
+def test_a_statement_past_its_limit_is_given_up():
     clock, connection, _ = start_watch(0.0)
     clock.pump([0.05] * 21)
     assert connection.closed
 
 
-def test_a_request_through_an_owner_that_is_silent_is_given_up_sooner():
+def test_a_statement_through_a_silent_owner_is_given_up_earlier():
     clock, connection, _ = start_watch(0.0, is_silent=True)
     clock.pump([0.05] * 8)
     assert not connection.closed
@@ -55,16 +55,16 @@
     assert connection.closed
 
 
-def test_nothing_is_late_right_after_a_pause():
-    """Guards against statements that are given up with their answers unread."""
+def test_no_statement_is_late_right_after_a_pause():
+    """Guards against giving up statements whose answers are still unread."""
     clock, connection, signs = start_watch(0.0, is_silent=True)
     clock.advance(0.05)
     clock.advance(3.0)
     assert not connection.closed and signs == []
 
 
-def test_what_is_unanswered_after_a_pause_is_given_up_in_its_usual_time():
-    """Guards against a pause that lets a lost statement go on."""
+def test_a_statement_unanswered_after_a_pause_is_given_up_at_its_limit():
+    """Guards against a pause that keeps a lost statement running."""
     clock, connection, signs = start_watch(0.0)
     clock.advance(3.0)
     clock.pump([0.05] * 17)
--- a/tests/requests/test_passed_on.py
+++ b/tests/requests/test_passed_on.py
@@ -1,4 +1,4 @@
-"""What one owner refuses as over a limit is run by another that has rights left."""
+"""A unit refused by an owner as over a limit runs at one with quota share left."""
 
 from types import SimpleNamespace
 
@@ -17,20 +17,20 @@
 )
 
 
-def make_connection(way, *script):
+def make_connection(via, *script):
     connection = ScriptedConnection(*script)
-    connection.way = way
+    connection.way = via
     return connection
 
 
-def refuse(way):
-    text = f"refused by {way}".encode()
+def refuse(via):
+    text = f"refused by {via}".encode()
     end = make_end(sqlstate=CONFIGURATION_LIMIT_EXCEEDED, tail=text)
-    return make_connection(way, end)
+    return make_connection(via, end)
 
 
 class Site:
-    """Runs one unit at some owners, one after the other."""
+    """Runs one unit at several owners, in order."""
 
     def __init__(self, monkeypatch, *connections, left=0):
         self.found, self.asked, self.pool = list(connections), [], FakePool()
@@ -40,14 +40,14 @@
             return Success(FoundTarget("main-1", False, self.pool, self.found.pop(0)))
 
         async def wait_to_retry(each):
-            raise AssertionError("it goes on at once")
+            raise AssertionError("it is rerouted without a wait")
 
         monkeypatch.setattr(flow, "find_target", find_target)
         monkeypatch.setattr(flow.RequestFlow, "_make_request", lambda self: None)
         monkeypatch.setattr(flow.RequestFlow, "_wait_to_retry", wait_to_retry)
 
-    def observe_quota_refusal(self, account, way):
-        self.asked.append(way)
+    def observe_quota_refusal(self, account, via):
+        self.asked.append(via)
         self.left -= 1
         return self.left >= 0
 
@@ -62,7 +62,7 @@
         return transport.sent
 
 
-def test_it_runs_at_another_zones_owner(monkeypatch):
+def test_a_unit_runs_at_another_zones_owner(monkeypatch):
     end = make_end(position=5, tail=b"done")
     site = Site(monkeypatch, refuse("one"), make_connection("two", end), left=1)
     assert b"done" in site.run()
@@ -76,14 +76,14 @@
     assert site.asked == ["one", "two"]
 
 
-def test_no_request_is_passed_on_for_ever(monkeypatch):
+def test_rerouting_ends_after_the_maximum_attempts(monkeypatch):
     many = [refuse(f"owner-{number}") for number in range(10)]
     site = Site(monkeypatch, *many, left=99)
     site.run()
     assert len(site.asked) == flow.MAX_ATTEMPTS - 1
 
 
-def test_what_a_database_refuses_itself_is_not_passed_on(monkeypatch):
+def test_a_refusal_by_the_database_itself_is_not_rerouted(monkeypatch):
     site = Site(monkeypatch, refuse(""), left=1)
     site.run()
     assert site.asked == [] and site.found == []
--- a/tests/requests/test_path.py
+++ b/tests/requests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: psycopg, proxies and stand-in databases over real sockets."""
+"""End to end: psycopg, proxies and stand-in databases over real sockets."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -33,13 +33,13 @@
     assert row == ("one",)
 
 
-def test_a_caller_without_a_token_sees_all_that_was_acknowledged(local):
+def test_a_caller_without_a_token_sees_all_acknowledged_writes(local):
     with connect(local.proxies[0]) as writer, connect(local.proxies[1]) as reader:
         writer.execute("INSERT INTO item VALUES (2, 'two')")
         assert reader.execute("SELECT name FROM item WHERE id = 2").fetchone()
 
 
-def test_a_transaction_keeps_its_connection_and_commits_whole(local):
+def test_a_transaction_keeps_its_connection_and_commits_atomically(local):
     with connect(local.proxies[0], autocommit=False) as connection:
         connection.execute("INSERT INTO item VALUES (3, 'three')")
         connection.execute("INSERT INTO item VALUES (4, 'four')")
@@ -65,7 +65,7 @@
         assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_settings_of_the_session_are_the_proxys_own(local):
+def test_the_proxy_answers_statements_about_its_own_settings(local):
     with connect(local.proxies[0]) as connection:
         connection.execute("SET beryltrack.max_age = '2s'")
         assert connection.execute("SHOW beryltrack.max_age").fetchone() == ("2s",)
@@ -81,7 +81,7 @@
         connection.execute("COPY item TO STDOUT")
 
 
-def test_a_marked_request_runs_once_through_any_proxy(local):
+def test_an_at_most_once_request_runs_once_through_any_proxy(local):
     for proxy in (*local.proxies, local.proxies[0]):
         with connect(proxy) as connection:
             set_request_id(connection, "order-1")
@@ -92,7 +92,7 @@
             assert answer.fetchone() == (100,)
 
 
-def test_an_identifier_cannot_stand_for_two_requests(local):
+def test_an_identifier_cannot_be_reused_for_another_request(local):
     with connect(local.proxies[0]) as connection:
         set_request_id(connection, "order-2")
         connection.execute("INSERT INTO item VALUES (200, 'first')")
@@ -100,7 +100,7 @@
             connection.execute("INSERT INTO item VALUES (201, 'second')")
 
 
-def test_a_marked_transaction_commits_once(local):
+def test_an_at_most_once_transaction_commits_once(local):
     for expected in (1, 1):
         with connect(local.proxies[1], autocommit=False) as connection:
             connection.execute("INSERT INTO item (name) VALUES ('transfer')")
@@ -117,8 +117,8 @@
         connection.execute("INSERT INTO item VALUES (1)")
         lost = get_primary(local)
         run(lost.stop)
-        # Without a mark the answer may be "outcome unknown", truly, if the write
-        # was sent before the proxy saw that the connection had ended.
+        # Without an identifier the answer could be "outcome unknown", if the write
+        # was sent before the proxy noticed that the connection had ended.
         set_request_id(connection, "insert-2")
         connection.execute("INSERT INTO item VALUES (2)")
         token = get_token(connection)
@@ -128,13 +128,13 @@
         assert get_primary(local) is not lost
 
 
-def test_a_write_of_a_cut_off_primary_is_never_acknowledged():
+def test_a_write_on_an_isolated_primary_is_never_acknowledged():
     with run_proxies() as local, connect(local.proxies[0], "new") as connection:
         connection.execute("CREATE TABLE item (id integer PRIMARY KEY)")
         old = get_primary(local)
         run(lambda: setattr(old.database, "isolated", True))
-        # The write runs on the old primary, or waits; either way its answer may
-        # only come once the other databases have it.
+        # The write runs on the old primary, or waits; in both cases it may be
+        # answered only once the other databases have received it.
         connection.execute("INSERT INTO item VALUES (1)")
         assert get_primary(local) is not old
         rows = connection.execute("SELECT id FROM item").fetchall()
@@ -148,7 +148,7 @@
         log = primary.log
 
         def refuse_next(change):
-            # The primary stops to write between two statements, as at a hand-over.
+            # The primary stops writing between two statements, as at a hand-over.
             run(lambda: setattr(log, "stopped_writes", change))
 
         connection.execute("BEGIN")
--- a/tests/requests/test_pinned.py
+++ b/tests/requests/test_pinned.py
@@ -1,4 +1,4 @@
-"""Units of a transaction run on its connection, and their end is told truly."""
+"""Units of a transaction run on its connection; its outcome is reported truthfully."""
 
 from beryltrack.requests.pinned import run_pinned
 from beryltrack.requests.postgres import ROLLBACK_TAIL
--- a/tests/requests/test_refusals.py
+++ b/tests/requests/test_refusals.py
@@ -1,4 +1,4 @@
-"""A caller whose database is not in the settings leaves a line that says why."""
+"""Refusals of callers whose database is not in the settings are logged."""
 
 from types import SimpleNamespace
 
@@ -10,7 +10,7 @@
 
 
 class Events:
-    """Keeps what is logged, as long as there is room."""
+    """Records events, within its budget of log lines."""
 
     def __init__(self, has_room=True):
         self.has_room = has_room
@@ -28,7 +28,7 @@
 
 
 class Caller:
-    """A caller that asks for a database that nobody knows."""
+    """A caller that asks for a database without a route."""
 
     account = ""
     database = "orders"
@@ -56,7 +56,7 @@
     return RequestTask(services, lambda: settings, lambda name: None)
 
 
-def test_a_refused_session_names_its_database_and_the_settings():
+def test_a_refused_session_is_logged_with_its_database_and_settings_version():
     events = Events()
     assert make_task(events).check_session(Caller()) is UNKNOWN
     (event,) = events.events
@@ -68,7 +68,7 @@
     assert (event.reason, event.settings_version) == (UNKNOWN.message, 58)
 
 
-def test_a_statement_whose_database_is_gone_is_named():
+def test_a_statement_without_a_database_is_logged_by_its_identifier():
     events, caller = Events(), Caller()
     make_task(events).handle("r-1", caller)
     assert [(each.request, each.kind) for each in events.events] == [
@@ -77,7 +77,7 @@
     assert caller.errors == [UNKNOWN]
 
 
-def test_without_room_for_a_line_the_identifier_is_kept():
+def test_beyond_the_line_budget_the_identifier_is_recorded():
     events = Events(has_room=False)
     make_task(events).handle("r-1", Caller())
     assert events.noted == [("r-1", RequestStep.NOT_RUN, UNKNOWN.message)]
--- a/tests/requests/test_retry.py
+++ b/tests/requests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: only what did not run, within budget, attempts and deadline."""
+"""Retries: only of requests that did not run, within budget, attempts and deadline."""
 
 import random
 
@@ -16,7 +16,7 @@
     return budget
 
 
-def test_what_may_have_run_is_not_repeated():
+def test_a_request_that_may_have_run_is_not_retried():
     attempt = FailedAttempt(1, is_not_run=False)
     assert make_budget().choose_retry(attempt, 9.0, 0.0, 0.0) is Nothing
 
@@ -30,7 +30,7 @@
     assert 95 <= retries <= 100
 
 
-def test_saved_retries_are_bounded():
+def test_the_retry_budget_is_bounded():
     budget = make_budget(requests=10_000, max_tokens=5.0)
     chosen = [budget.choose_retry(NOT_RUN, 9.0, 0.0, 0.0) for _ in range(20)]
     assert sum(each is not Nothing for each in chosen) == 5
@@ -51,7 +51,7 @@
     assert budget.tokens > 9
 
 
-def test_other_ways_draw_on_the_budget_of_the_repeats():
+def test_direct_draws_and_retries_share_one_budget():
     budget = make_budget(initial_tokens=2.0, requests=0)
     assert [budget.draw() for _ in range(3)] == [True, True, False]
     assert budget.choose_retry(NOT_RUN, 9.0, 0.0, 0.0) is Nothing
--- a/tests/requests/test_routes.py
+++ b/tests/requests/test_routes.py
@@ -1,4 +1,4 @@
-"""Where requests go, and what callers can stop, over real sockets."""
+"""Routing, cancellation and draining, over real sockets."""
 
 import threading
 import time
@@ -42,7 +42,7 @@
     assert get_counts(local).primary_reads == before.primary_reads
 
 
-def test_a_comment_in_the_statement_marks_it(local):
+def test_a_comment_in_the_statement_sets_a_request_option(local):
     before = get_counts(local).replica_reads
     with connect(local.proxies[0], "new") as connection:
         connection.execute("SELECT 1 /*beryltrack_max_age='5s'*/")
@@ -58,7 +58,7 @@
         assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_a_caller_that_goes_leaves_no_transaction_behind(local):
+def test_a_disconnected_callers_transaction_is_rolled_back(local):
     with connect(local.proxies[0], "new") as gone:
         gone.execute("BEGIN")
         gone.execute("INSERT INTO item VALUES (50)")
--- a/tests/requests/test_runtime.py
+++ b/tests/requests/test_runtime.py
@@ -1,4 +1,4 @@
-"""A group's runtime: what it tells the pools of its databases."""
+"""A group's runtime ends the back-off of pools when a database is reachable."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 def acquire(clock, pool):
-    """Return what `acquire` gives at once; a refusal is raised."""
+    """Return the connection that a pool gives at once; raise a refusal."""
     results = []
     pool.acquire(clock.seconds() + 9.0).addBoth(results.append)
     if isinstance(getattr(results[0], "value", None), PoolRefused):
@@ -42,7 +42,7 @@
     return results[0]
 
 
-def test_a_database_that_came_back_is_tried_at_once_but_not_again_and_again():
+def test_a_database_that_becomes_reachable_ends_the_back_off_once():
     clock, target, task = Clock(), FakeTarget(), StubTask()
     policy = PoolPolicy(first_backoff=60.0, most_backoff=60.0)
     rng = random.Random(1)
--- a/tests/requests/test_unproven.py
+++ b/tests/requests/test_unproven.py
@@ -1,4 +1,4 @@
-"""Reads that run at a primary while it is asked whether it leads."""
+"""Reads that run at a primary while the proof of its leadership is pending."""
 
 import pytest
 from returns.result import Success
@@ -20,7 +20,7 @@
 
 
 class Site:
-    """Runs one read; the first target's answer needs a proof."""
+    """Runs one read whose first answer needs a proof."""
 
     def __init__(self, monkeypatch, kind=StatementKind.READ, first=None):
         self.pool, self.proof = FakePool(), Deferred()
@@ -49,7 +49,7 @@
         return self.transport.sent
 
 
-def test_the_answer_is_held_until_the_lead_is_proven(monkeypatch):
+def test_the_answer_is_buffered_until_leadership_is_proven(monkeypatch):
     site = Site(monkeypatch)
     assert site.sent == b"" and site.pool.released == [True]
     site.proof.callback(PROOF)
@@ -57,13 +57,13 @@
 
 
 @pytest.mark.parametrize("proof", [None, LogPosition(2, 1)])
-def test_without_a_proof_of_its_term_it_runs_again(monkeypatch, proof):
+def test_without_a_proof_of_its_term_the_read_runs_again(monkeypatch, proof):
     site = Site(monkeypatch)
     site.proof.callback(proof)
     assert b"first" not in site.sent and b"second" in site.sent
 
 
-def test_another_primary_meanwhile_proves_nothing(monkeypatch):
+def test_a_proof_is_void_after_a_change_of_primary(monkeypatch):
     site = Site(monkeypatch)
     runtime = site.context.runtime
     runtime.view = runtime.view._replace(primary="main-2")
@@ -71,7 +71,7 @@
     assert b"first" not in site.sent and b"second" in site.sent
 
 
-def test_a_transaction_that_was_not_proven_is_dropped_with_its_connection(monkeypatch):
+def test_a_transaction_without_a_proof_is_closed_with_its_connection(monkeypatch):
     first = make_end(status=OPEN, position=5, tail=b"first")
     site = Site(monkeypatch, StatementKind.BEGIN_READ_ONLY, first)
     site.proof.callback(None)
