--- a/beryltrack/callers/caller.py
+++ b/beryltrack/callers/caller.py
@@ -72,7 +72,7 @@
         self.statements = StatementTable()
         self.status = TransactionStatus.IDLE
         self.arrived_at = 0.0
-        self.gone = False
+        self.is_closed = False
         self.account = ""
         self.session: object = None
         self._reactor = reactor
@@ -109,7 +109,7 @@
         """Send frames to the caller; dropped when it is gone."""
         if self._flushed is not None:
             self._flushed.feed(data, _discard)
-        if not self.gone:
+        if not self.is_closed:
             self._transport.write(data)
 
     def send_error(self, error: SqlError) -> None:
@@ -137,17 +137,17 @@
         end = reader.feed(_READY_WIRES[TransactionStatus.IDLE], _discard)
         return end is None or end.error is not None
 
-    def set_cancel(self, callback: Callable[[], object] | None) -> None:
+    def set_cancel_callback(self, callback: Callable[[], object] | None) -> None:
         """Call `callback` when the caller asks to cancel what runs now."""
         self._on_cancel = callback
 
-    def set_gone(self, callback: Callable[[], object] | None) -> None:
+    def set_close_callback(self, callback: Callable[[], object] | None) -> None:
         """Call `callback` when the caller disconnects; at once if it has."""
         self._on_gone = callback
-        if self.gone and callback is not None:
+        if self.is_closed and callback is not None:
             callback()
 
-    def set_drained(self, callback: Callable[[], object] | None) -> None:
+    def set_drain_callback(self, callback: Callable[[], object] | None) -> None:
         """Call `callback` each time that the caller has read what was sent."""
         self._on_drained = callback
 
@@ -188,9 +188,9 @@
 
     def disconnect(self) -> None:
         """Note that the caller is gone and tell the handler."""
-        if self.gone:
+        if self.is_closed:
             return
-        self.gone = True
+        self.is_closed = True
         self._on_drained = None
         self.resumeProducing()
         callback, self._on_gone = self._on_gone, None
@@ -221,7 +221,7 @@
         While it runs, no other unit of the caller is given out.
         """
 
-    def forget(self, caller: Caller) -> None:
+    def drop_session(self, caller: Caller) -> None:
         """Give up all that is kept for a caller that is gone.
 
         Called once, after the last unit has ended.
--- a/beryltrack/callers/extended.py
+++ b/beryltrack/callers/extended.py
@@ -303,6 +303,6 @@
 def _rename_bind(frame: BindFrame, name: str) -> bytes:
     """Return a Bind with another statement name and the same bytes else."""
     names = b"%b\x00%b\x00" % (frame.portal.encode(), name.encode())
-    values = frame.wire[frame.values_at :]
+    values = frame.wire[frame.values_offset :]
     length = LENGTH_SIZE + len(names) + len(values)
     return b"B" + _LENGTH.pack(length) + names + values
--- a/beryltrack/callers/local.py
+++ b/beryltrack/callers/local.py
@@ -51,13 +51,13 @@
     rows: tuple[tuple[str, ...], ...] = ()
 
 
-def encode_simple_answer(result: LocalResult) -> bytes:
+def encode_simple_response(result: LocalResult) -> bytes:
     """Return the answer to a simple query, without ReadyForQuery."""
     description = _encode_columns(result) if result.columns else b""
     return description + _encode_rows(result)
 
 
-def encode_extended_answer(request: ExtendedRequest, result: LocalResult) -> bytes:
+def encode_extended_response(request: ExtendedRequest, result: LocalResult) -> bytes:
     """Return the answer to a batch about one statement, without ReadyForQuery."""
     return b"".join(_encode_frame(frame, result) for frame in request.messages)
 
--- a/beryltrack/callers/messages.py
+++ b/beryltrack/callers/messages.py
@@ -37,7 +37,7 @@
         Name of the portal; empty for the unnamed one.
     statement : str
         Name of the statement; empty for the unnamed one.
-    values_at : int
+    values_offset : int
         Where in `wire` the parameters begin.
     wire : bytes
         The frame as it came.
@@ -45,7 +45,7 @@
 
     portal: str
     statement: str
-    values_at: int
+    values_offset: int
     wire: bytes
 
 
--- a/beryltrack/callers/protocol.py
+++ b/beryltrack/callers/protocol.py
@@ -179,7 +179,7 @@
         welcome = self._logon.encode_welcome(parameters, self._key, secret)
         self.transport.write(welcome)
         self.transport.registerProducer(self.caller, True)
-        self.caller.set_drained(self._continue)
+        self.caller.set_drain_callback(self._continue)
         self.phase = Phase.READY
 
     def _make_caller(self, request: StartupRequest) -> None:
@@ -296,7 +296,7 @@
 
     def _go_on(self) -> None:
         """Take the next unit, if there is one."""
-        self.caller.set_cancel(None)
+        self.caller.set_cancel_callback(None)
         if self.caller.end_flushed():
             self._reader.skip_to_sync()
         if self._lost:
@@ -324,7 +324,7 @@
     def _fail_unit(self, failure: Failure) -> None:
         """End the connection after a fault of the handler."""
         log.error("callers: request failed: %s", failure.getTraceback())
-        self.caller.set_cancel(None)
+        self.caller.set_cancel_callback(None)
         if self._lost:
             self._forget()
         else:
@@ -363,7 +363,7 @@
         self.phase = Phase.CLOSING
         self._stop_timer()
         if self.caller is not None:
-            self.caller.set_drained(None)
+            self.caller.set_drain_callback(None)
             self.caller.detach()
             self.transport.unregisterProducer()
         self._resume()
@@ -396,5 +396,5 @@
         """Give up all that is kept for the caller."""
         if self._key is not None:
             self.factory.unregister(self._key)
-            self.factory.handler.forget(self.caller)
+            self.factory.handler.drop_session(self.caller)
         self.factory.remove(self)
--- a/beryltrack/callers/reader.py
+++ b/beryltrack/callers/reader.py
@@ -212,8 +212,8 @@
     portal_end = wire.find(b"\x00", HEADER_SIZE)
     portal = _decode_text(wire, HEADER_SIZE) if portal_end != HEADER_SIZE else ""
     statement = _decode_text(wire, portal_end + 1)
-    values_at = wire.find(b"\x00", portal_end + 1) + 1
-    return BindFrame(portal, statement, values_at, wire)
+    values_offset = wire.find(b"\x00", portal_end + 1) + 1
+    return BindFrame(portal, statement, values_offset, wire)
 
 
 def _decode_describe(wire: bytes) -> DescribeFrame:
--- a/beryltrack/callers/sequence.py
+++ b/beryltrack/callers/sequence.py
@@ -30,16 +30,16 @@
     may wait, `transaction_idle` how long a transaction may rest, 0 for ever.
     """
 
-    stall: float
-    waiting: int
-    transaction_idle: Callable[[], float]
+    stall_timeout: float
+    max_pending: int
+    get_idle_timeout: Callable[[], float]
     sockets: SocketLimits
 
 
-class SessionOwner(Interface):
+class SessionHandler(Interface):
     """What keeps something for the callers of a factory."""
 
-    def forget(self, caller: "SequentialCaller") -> None:
+    def drop_session(self, caller: "SequentialCaller") -> None:
         """Give up all that is kept for a caller that is gone."""
 
 
@@ -55,7 +55,7 @@
 
     def __init__(self, factory: "SequentialFactory"):
         self.status = TransactionStatus.IDLE
-        self.gone = False
+        self.is_closed = False
         self._factory = factory
         self._waiting: deque[bytes] = deque()
         self._is_running = False
@@ -71,7 +71,7 @@
         """True while the caller has a transaction open."""
         return self.status is not TransactionStatus.IDLE
 
-    def split(self, data: bytes) -> list[bytes]:
+    def split_messages(self, data: bytes) -> list[bytes]:
         """Return the messages that are complete now.
 
         Raises
@@ -81,7 +81,7 @@
         """
         raise NotImplementedError
 
-    def take(self, message: bytes) -> "Deferred[None] | None":
+    def handle_message(self, message: bytes) -> "Deferred[None] | None":
         """Take one message; return its run if it is not answered at once."""
         raise NotImplementedError
 
@@ -94,18 +94,18 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Take messages; the next one is run when the one before is answered."""
         try:
-            self._waiting.extend(self.split(data))
+            self._waiting.extend(self.split_messages(data))
         except MalformedMessage:
             self.transport.abortConnection()
             return
-        if len(self._waiting) > self._factory.limits.waiting:
+        if len(self._waiting) > self._factory.limits.max_pending:
             self.transport.abortConnection()
             return
         self._go_on()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Note that the caller is gone."""
-        self.gone = True
+        self.is_closed = True
         self._stop_timer()
         self._waiting.clear()
         self._factory.callers.discard(self)
@@ -115,7 +115,7 @@
         if callback is not None:
             callback()
         if not self._is_running:
-            self._factory.handler.forget(self)
+            self._factory.handler.drop_session(self)
         self._factory.note_gone()
 
     def leave(self) -> None:
@@ -137,13 +137,13 @@
 
     def write(self, data: bytes) -> None:
         """Send messages; dropped when the caller is gone."""
-        if not self.gone:
+        if not self.is_closed:
             self.transport.write(data)
 
-    def set_gone(self, callback: Callable[[], object] | None) -> None:
+    def set_close_callback(self, callback: Callable[[], object] | None) -> None:
         """Call `callback` when the caller disconnects; at once if it has."""
         self._on_gone = callback
-        if self.gone and callback is not None:
+        if self.is_closed and callback is not None:
             callback()
 
     def attach(self, producer: Producer) -> None:
@@ -161,7 +161,7 @@
         self._is_full = True
         if self._producer is not None:
             self._producer.pauseProducing()
-        self._start_timer(self._factory.limits.stall)
+        self._start_timer(self._factory.limits.stall_timeout)
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Told by the transport that its buffer has drained."""
@@ -176,10 +176,12 @@
 
     def _go_on(self) -> None:
         """Take the next message if none is being answered."""
-        while self._waiting and not (self._is_running or self._is_full or self.gone):
+        while self._waiting and not (
+            self._is_running or self._is_full or self.is_closed
+        ):
             self._stop_timer()
             self._is_running = True
-            running = self.take(self._waiting.popleft())
+            running = self.handle_message(self._waiting.popleft())
             if running is None:
                 self._is_running = False
                 continue
@@ -194,17 +196,17 @@
     def _finish(self) -> None:
         """Go on after a statement."""
         self._is_running = False
-        if self.gone:
-            self._factory.handler.forget(self)
+        if self.is_closed:
+            self._factory.handler.drop_session(self)
             return
         if self.in_transaction:
-            self._start_timer(self._factory.limits.transaction_idle())
+            self._start_timer(self._factory.limits.get_idle_timeout())
         self._end_if_idle()
         self._go_on()
 
     def _end_if_idle(self) -> None:
         """End a caller that is to leave, between two transactions or statements."""
-        if self.gone or self._is_running:
+        if self.is_closed or self._is_running:
             return
         is_idle = not (self.in_transaction or self._waiting)
         if self._is_finishing or (self._is_leaving and is_idle):
@@ -240,7 +242,7 @@
     noisy = False
     protocol = SequentialCaller
 
-    def __init__(self, reactor, handler: SessionOwner, limits: CallerLimits):
+    def __init__(self, reactor, handler: SessionHandler, limits: CallerLimits):
         self.reactor = reactor
         self.handler = handler
         self.limits = limits
--- a/beryltrack/platform/caller.py
+++ b/beryltrack/platform/caller.py
@@ -31,7 +31,7 @@
         self.lines = RetainedState()
         self._buffer = LineBuffer()
 
-    def split(self, data: bytes) -> list[bytes]:
+    def split_messages(self, data: bytes) -> list[bytes]:
         """Return the lines that are complete now."""
         return self._buffer.feed(data)
 
@@ -75,7 +75,7 @@
         """Name of the user: this protocol carries none."""
         return ""
 
-    def take(self, message: bytes) -> "Deferred[None] | None":
+    def handle_message(self, message: bytes) -> "Deferred[None] | None":
         """Take one message."""
         word = message.split(b" ", 1)[0]
         if self.session is None:
--- a/beryltrack/platform/relay.py
+++ b/beryltrack/platform/relay.py
@@ -79,7 +79,7 @@
         self.sends_demands = False
         self.last_report: TimedReport | None = None
 
-    def take(self, message: bytes) -> "Deferred[None] | None":
+    def handle_message(self, message: bytes) -> "Deferred[None] | None":
         """Take one message."""
         fields = message.split(b" ", 2)
         if not self.database:
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -128,7 +128,7 @@
     def send_status(self, status: DatabaseStatus, proven: AgedProof | None) -> None:
         """Send the status of the session's database, with a proof if there is one."""
 
-    def set_gone(self, callback: Callable[[], object] | None) -> None:
+    def set_close_callback(self, callback: Callable[[], object] | None) -> None:
         """Call back when the session ends."""
 
     def abort(self) -> None:
@@ -206,7 +206,7 @@
         """
         return Deferred.fromCoroutine(self._send_status(session))
 
-    def forget(self, session: RelayedSession) -> None:
+    def drop_session(self, session: RelayedSession) -> None:
         """Roll back the open transaction of a session that has closed."""
         connection, session.pinned = session.pinned, None
         lender = self._lenders.pop(session, None)
@@ -223,11 +223,11 @@
             connection = await self._lend(session)
             if connection is None:
                 return
-        session.set_gone(connection.close)
+        session.set_close_callback(connection.close)
         pool, task = self._lenders[session]
         sent_at = task.get_time()
         result = await session.run_on(connection, unit)
-        session.set_gone(None)
+        session.set_close_callback(None)
         if isinstance(result, RunLost):
             self._finish_lost(session, connection, result)
             return
@@ -268,7 +268,7 @@
         limit = min(self._time_limit, time_left)
         deadline = self._seconds() + limit
         acquiring = lender.pool.lend(deadline, session.demand, session.is_counted)
-        session.set_gone(acquiring.cancel)
+        session.set_close_callback(acquiring.cancel)
         try:
             connection = await acquiring
         except PoolRefused as refused:
@@ -283,7 +283,7 @@
             )
             return None
         finally:
-            session.set_gone(None)
+            session.set_close_callback(None)
         self._lenders[session] = lender
         return connection
 
--- a/beryltrack/requests/execution.py
+++ b/beryltrack/requests/execution.py
@@ -36,7 +36,7 @@
     ResponseEnd or RunLost
         How the run ended.
     """
-    caller.set_cancel(connection.cancel)
+    caller.set_cancel_callback(connection.cancel)
     try:
         if plan.extended is None:
             return await connection.run(plan.request.wire, sink)
@@ -45,7 +45,7 @@
     except TargetLost as lost:
         return RunLost(lost.sent, lost.reason)
     finally:
-        caller.set_cancel(None)
+        caller.set_cancel_callback(None)
     apply_effects(built.effects, end.completed, connection.prepared, caller.statements)
     return end
 
--- a/beryltrack/requests/forward_course.py
+++ b/beryltrack/requests/forward_course.py
@@ -169,11 +169,11 @@
             context.give_up_at,
             sink,
         )
-        context.caller.set_cancel(self._make_cancel(sink.stream))
+        context.caller.set_cancel_callback(self._make_cancel(sink.stream))
         try:
             return await sink.done
         finally:
-            context.caller.set_cancel(None)
+            context.caller.set_cancel_callback(None)
 
     def _make_cancel(self, stream: Stream) -> Callable[[], None]:
         """Return what cancels the unit when the caller asks for that."""
--- a/beryltrack/requests/plan.py
+++ b/beryltrack/requests/plan.py
@@ -86,7 +86,7 @@
             return compute_fingerprint(self.request.text.encode())
         # Names of statements and portals differ between connections.
         values = (
-            frame.wire[frame.values_at :]
+            frame.wire[frame.values_offset :]
             for frame in self.request.messages
             if isinstance(frame, BindFrame)
         )
--- a/beryltrack/requests/postgres.py
+++ b/beryltrack/requests/postgres.py
@@ -7,8 +7,8 @@
 from beryltrack.callers.extended import apply_plan
 from beryltrack.callers.local import (
     LocalResult,
-    encode_extended_answer,
-    encode_simple_answer,
+    encode_extended_response,
+    encode_simple_response,
 )
 from beryltrack.callers.messages import Request
 from beryltrack.connections.target import TargetConnection
@@ -176,8 +176,8 @@
 def _send_result(plan: RequestPlan, caller: Caller, result: LocalResult) -> None:
     """Send a result of the proxy's own, and keep what the batch prepared."""
     if plan.extended is None:
-        caller.write(encode_simple_answer(result))
+        caller.write(encode_simple_response(result))
     else:
-        caller.write(encode_extended_answer(plan.request, result))
+        caller.write(encode_extended_response(plan.request, result))
         apply_plan(plan.extended, caller.statements)
     caller.send_ready(caller.status)
--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -119,7 +119,7 @@
 
     session: "CallerSession"
     status: TransactionStatus
-    gone: bool
+    is_closed: bool
     account: str
 
     @property
@@ -136,7 +136,7 @@
     def send_ready(self, status: TransactionStatus) -> None:
         """Say that the unit is answered, and how its transaction stands."""
 
-    def set_gone(self, callback) -> None:
+    def set_close_callback(self, callback) -> None:
         """Call `callback` when the caller disconnects; at once if it has."""
 
 
@@ -149,7 +149,7 @@
     def handle(self, unit: object, caller: UnitCaller) -> "Deferred[None]":
         """Run one unit; ends after `caller.send_ready`."""
 
-    def forget(self, caller: UnitCaller) -> None:
+    def drop_session(self, caller: UnitCaller) -> None:
         """Give up all that is kept for a caller that is gone."""
 
 
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -65,7 +65,7 @@
         """Run one unit; see `RequestHandler`."""
         return Deferred.fromCoroutine(self._handle(unit, caller))
 
-    def forget(self, caller: UnitCaller) -> None:
+    def drop_session(self, caller: UnitCaller) -> None:
         """Roll back what a caller that is gone has left open."""
         session = caller.session
         if session is not None and session.pinned is not None:
@@ -75,7 +75,7 @@
     async def run_forwarded(self, unit: object, caller: UnitCaller) -> None:
         """Run a unit that another instance has passed on, never further on."""
         await self._handle(unit, caller, may_forward=False)
-        self.forget(caller)
+        self.drop_session(caller)
 
     async def _handle(
         self, unit: object, caller: UnitCaller, may_forward: bool = True
@@ -152,7 +152,7 @@
         # A transaction that is open is finished: refusing its next statement
         # would keep its connection for longer.
         ticket = admitted.value_or(Ticket(UNCOUNTED, services.admission))
-        caller.set_gone(lambda: ticket.put_out(GONE))
+        caller.set_close_callback(lambda: ticket.put_out(GONE))
         version = self._get_settings().revision
         if session.pinned is None:
             session.opened_by = plan.request_id
@@ -172,7 +172,7 @@
             else:
                 await _run_course(context)
         finally:
-            caller.set_gone(None)
+            caller.set_close_callback(None)
             ticket.finish()
 
     def _refuse_new(self, plan: UnitPlan, caller: UnitCaller, error: SqlError) -> None:
--- a/beryltrack_bench/experiments/wire.py
+++ b/beryltrack_bench/experiments/wire.py
@@ -84,7 +84,7 @@
     def check_session(self, caller) -> None:
         """Let each caller in."""
 
-    def forget(self, caller) -> None:
+    def drop_session(self, caller) -> None:
         """Keep nothing."""
 
     def handle(self, unit, caller) -> Deferred:
--- a/beryltrack_bench/matrix/proxy.py
+++ b/beryltrack_bench/matrix/proxy.py
@@ -161,7 +161,7 @@
     def close_caller(self, bench_caller: BenchCaller) -> None:
         """Note that a caller is gone; its open transaction is rolled back."""
         bench_caller.caller.disconnect()
-        self.requests.forget(bench_caller.caller)
+        self.requests.drop_session(bench_caller.caller)
         self._callers -= 1
         if not self._callers and self._idle is not None:
             self._idle.callback(None)
--- a/tests/callers/glue.py
+++ b/tests/callers/glue.py
@@ -8,7 +8,7 @@
 
 from beryltrack.callers.extended import apply_effects, build_extended, plan_extended
 from beryltrack.callers.factory import CallerFactory, CallerOptions
-from beryltrack.callers.local import encode_simple_answer
+from beryltrack.callers.local import encode_simple_response
 from beryltrack.callers.messages import SimpleRequest
 from beryltrack.callers.statements import run_deallocate
 from beryltrack.connections.messages import TargetLost
@@ -46,7 +46,7 @@
             return SqlError("22023", "bad session")
         return None
 
-    def forget(self, caller):
+    def drop_session(self, caller):
         self.forgotten.append(caller)
 
     def handle(self, unit, caller):
@@ -56,11 +56,11 @@
         if isinstance(unit, SimpleRequest):
             local = run_deallocate(unit.text, caller.statements)
             if local is not None:
-                caller.write(encode_simple_answer(local))
+                caller.write(encode_simple_response(local))
                 caller.send_ready(caller.status)
                 return
         target = self.pinned.pop(caller, None) or await self.pool.get()
-        caller.set_cancel(target.cancel)
+        caller.set_cancel_callback(target.cancel)
         try:
             end = await self.run_on(target, unit, caller)
         except TargetLost as lost:
@@ -68,7 +68,7 @@
             caller.send_ready(TransactionStatus.IDLE)
             return
         self.ends.append(end)
-        if end.status is TransactionStatus.IDLE or caller.gone:
+        if end.status is TransactionStatus.IDLE or caller.is_closed:
             self.pool.put(target)
         else:
             self.pinned[caller] = target
--- a/tests/callers/test_protocol_faults.py
+++ b/tests/callers/test_protocol_faults.py
@@ -59,7 +59,7 @@
         self.answer(status)
         self.running.callback(None)
 
-    def forget(self, caller):
+    def drop_session(self, caller):
         self.forgotten.append(caller)
 
 
@@ -154,7 +154,7 @@
     bench.log_on()
     bench.protocol.dataReceived(SELECT)
     gone = []
-    bench.handler.caller.set_gone(lambda: gone.append(True))
+    bench.handler.caller.set_close_callback(lambda: gone.append(True))
     bench.lose()
     assert gone and not bench.handler.forgotten
     bench.handler.end()
--- a/tests/callers/test_sequence.py
+++ b/tests/callers/test_sequence.py
@@ -15,7 +15,10 @@
 from beryltrack.wire.sockets import SocketLimits
 
 LIMITS = SimpleNamespace(
-    stall=5.0, waiting=3, transaction_idle=lambda: 2.0, sockets=SocketLimits()
+    stall_timeout=5.0,
+    max_pending=3,
+    get_idle_timeout=lambda: 2.0,
+    sockets=SocketLimits(),
 )
 
 
@@ -26,12 +29,12 @@
         super().__init__(factory)
         self.taken = []
 
-    def split(self, data):
+    def split_messages(self, data):
         if b"!" in data:
             raise MalformedMessage("no letter")
         return [bytes((each,)) for each in data]
 
-    def take(self, message):
+    def handle_message(self, message):
         self.taken.append(message)
         if message.isupper():
             return None
@@ -41,7 +44,7 @@
 
 def open_caller():
     clock, forgotten = Clock(), []
-    handler = SimpleNamespace(forget=forgotten.append)
+    handler = SimpleNamespace(drop_session=forgotten.append)
     factory = SequentialFactory(clock, handler, LIMITS)
     factory.protocol = Letters
     caller = factory.buildProtocol(None)
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -29,7 +29,10 @@
 }
 GROUP = GroupSettings("main", "", (), "", "", 0.0, 0.5)
 LIMITS = SimpleNamespace(
-    stall=5.0, waiting=4, transaction_idle=lambda: 3.0, sockets=SocketLimits()
+    stall_timeout=5.0,
+    max_pending=4,
+    get_idle_timeout=lambda: 3.0,
+    sockets=SocketLimits(),
 )
 
 
@@ -64,7 +67,7 @@
         done.callback(None)
         return done
 
-    def forget(self, caller):
+    def drop_session(self, caller):
         self.forgotten.append(caller)
 
 
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -57,7 +57,10 @@
 from tests.relay.test_handler import Task
 
 BOUNDS = SimpleNamespace(
-    stall=5.0, waiting=8, transaction_idle=lambda: 0.0, sockets=SocketLimits()
+    stall_timeout=5.0,
+    max_pending=8,
+    get_idle_timeout=lambda: 0.0,
+    sockets=SocketLimits(),
 )
 
 
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -116,7 +116,7 @@
     def send_status(self, status, proven):
         self.sent.append(("status", status))
 
-    def set_gone(self, callback):
+    def set_close_callback(self, callback):
         self.on_gone = callback
 
     def abort(self):
@@ -217,9 +217,9 @@
     owner.handler.handle(READ, session)
     owner.give()
     session.runs[0][2].callback(make_end(OPEN))
-    owner.handler.forget(session)
+    owner.handler.drop_session(session)
     assert owner.pool.released == [("c1", False)]
-    owner.handler.forget(session)
+    owner.handler.drop_session(session)
     assert len(owner.pool.released) == 1
 
 
--- a/tests/requests/test_opened_by.py
+++ b/tests/requests/test_opened_by.py
@@ -39,7 +39,9 @@
     )
     runtime = SimpleNamespace(settings=SimpleNamespace(team="", name="g"))
     caller = SimpleNamespace(
-        session=CallerSession(), database="orders", set_gone=lambda callback: None
+        session=CallerSession(),
+        database="orders",
+        set_close_callback=lambda callback: None,
     )
     task = RequestTask(services, lambda: SiteSettings(0, (), (), ()), lambda _: runtime)
     task.handle("r-1", caller)
