--- a/beryltrack/requests/protocol.py
+++ b/beryltrack/requests/protocol.py
@@ -120,7 +120,7 @@
 
     session: "CallerSession"
     status: TransactionStatus
-    gone: bool
+    is_closed: bool
     account: str
 
     @property
@@ -137,7 +137,7 @@
     def send_ready(self, status: TransactionStatus) -> None:
         """Report the end of the unit's answer, and the transaction status."""
 
-    def set_gone(self, callback) -> None:
+    def set_close_callback(self, callback) -> None:
         """Call `callback` when the caller disconnects; at once if it has."""
 
 
@@ -150,7 +150,7 @@
     def handle(self, unit: object, caller: UnitCaller) -> "Deferred[None]":
         """Run one unit; fires after `caller.send_ready`."""
 
-    def forget(self, caller: UnitCaller) -> None:
+    def drop_session(self, caller: UnitCaller) -> None:
         """Release all state of a caller that has disconnected."""
 
 
