--- a/beryltrack/daemon/group_connections.py
+++ b/beryltrack/daemon/group_connections.py
@@ -37,7 +37,7 @@
         The groups.
     policies : NodePolicies
         What steers the pools.
-    was_heard : callable
+    has_answered : callable
         Says of an instance whether it has answered this one since a time.
     """
 
@@ -47,9 +47,9 @@
         directory: RelayDirectory,
         groups: GroupTable,
         policies: NodePolicies,
-        was_heard: HasAnswered = never_answered,
+        has_answered: HasAnswered = never_answered,
     ):
-        self._was_heard = was_heard
+        self._was_heard = has_answered
         self._name = name
         self._directory = directory
         self._groups = groups
--- a/beryltrack/daemon/groups.py
+++ b/beryltrack/daemon/groups.py
@@ -27,7 +27,7 @@
 RuntimeCallback = Callable[[GroupRuntime], None]
 
 
-class TargetKit(Protocol):
+class GroupFactory(Protocol):
     """Makes the parts of a group that know what its databases speak.
 
     `keeps_members` is True if databases may come and go while a group runs;
@@ -55,7 +55,7 @@
         Makes the parts of a group that know what its databases speak.
     """
 
-    def __init__(self, reactor, kit: TargetKit):
+    def __init__(self, reactor, kit: GroupFactory):
         self._reactor = reactor
         self._kit = kit
         self._runtimes: dict[str, GroupRuntime] = {}
--- a/beryltrack/daemon/line_kit.py
+++ b/beryltrack/daemon/line_group_factory.py
@@ -30,8 +30,8 @@
 from beryltrack.settings.messages import DatabaseSettings, Endpoint, GroupSettings
 
 
-class LineKit:
-    """Makes the tasks and pools of groups; see `TargetKit`.
+class LineGroupFactory:
+    """Makes the tasks and pools of groups; see `GroupFactory`.
 
     Parameters
     ----------
@@ -104,7 +104,9 @@
             self._open_at,
             lambda group, database: (group, database) in self._pools,
             OpenPolicy(
-                options.RELAY_CONNECT, options.CONTROL_CONNECT, policies.takes_detours
+                options.RELAY_CONNECT_TIMEOUT,
+                options.CONTROL_CONNECT,
+                policies.uses_indirect_paths,
             ),
             self.owner_loads,
         )
@@ -213,7 +215,7 @@
 
     def _judge(self, via: str, database: str, demand: Demand) -> float:
         """Decide whether an operation goes to another instance."""
-        if not self._policies.takes_reports:
+        if not self._policies.uses_owner_reports:
             return 0.0
         return self._ingress.decide(via, database, demand, self._seconds())
 
--- a/beryltrack/daemon/local_site.py
+++ b/beryltrack/daemon/local_site.py
@@ -86,7 +86,7 @@
                 raise TimeoutError("the local site did not get ready")
             await deferLater(self._reactor, LOOK_PERIOD, lambda: None)
 
-    async def wait_known(self) -> None:
+    async def wait_owners_known(self) -> None:
         """Wait until every proxy knows who leads and who owns the connections."""
         give_up_at = self._reactor.seconds() + READY_TIMEOUT
         while not all(map(_knows_owners, self.proxies)):
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -23,7 +23,7 @@
 from beryltrack.daemon.copies import FleetCopies
 from beryltrack.daemon.group_connections import GroupConnections
 from beryltrack.daemon.groups import GroupTable
-from beryltrack.daemon.line_kit import LineKit
+from beryltrack.daemon.line_group_factory import LineGroupFactory
 from beryltrack.daemon.load_status import LoadStatus, LoadView, make_status_page
 from beryltrack.daemon.members import KIND as MEMBERS_KIND
 from beryltrack.daemon.members import WATCH_GAP, MemberPort, MemberTask
@@ -160,14 +160,14 @@
             own,
             self._seconds,
             options.FIRST_INSTANCES,
-            self._policies.owners_of_accounts,
+            self._policies.account_owners,
             self._policies.choose_owners,
         )
         self._traffic = ZoneTraffic(reactor, settings.zone)
         self._accounts = NodeAccounts(
             self._traffic, settings, directory, rng, self._policies.probes_owners
         )
-        self._kit = LineKit(
+        self._kit = LineGroupFactory(
             reactor,
             settings.name,
             clients.promotion,
@@ -186,7 +186,7 @@
             directory,
             self._groups,
             self._policies,
-            self._accounts.was_heard,
+            self._accounts.has_answered,
         )
         self._load = LoadView(
             directory, lambda: self._groups.runtimes, self._kit.owner_loads
@@ -207,7 +207,9 @@
             self.metrics,
             rng,
             LineProtocol(
-                self._get_route, options.make_request_policy, self._accounts.get_book
+                self._get_route,
+                options.make_request_policy,
+                self._accounts.get_account_index,
             ),
             routing=self._policies.routing,
             events=EventLog(settings.name, write_line, self._seconds),
@@ -224,7 +226,7 @@
             reactor.seconds,
             self._connections.get_lender,
             options.RELAY_TIME,
-            LoadReporter(self._seconds, self._policies.takes_reports),
+            LoadReporter(self._seconds, self._policies.uses_owner_reports),
             self._incarnation,
             self._policies.routing.lagging_pause,
             self._connections.owns,
@@ -263,7 +265,7 @@
             lambda: self._groups.runtimes,
             self._connections.give_up,
             self._connections.is_silent,
-            self._policies.late_after,
+            self._policies.overdue_after,
         )
         self._members = MemberTask(
             reactor,
@@ -334,7 +336,7 @@
         if self._own.quota_endpoint is not None:
             self._listen(self._own.quota_endpoint, self._accounts.port)
         self._accounts.start()
-        if self._policies.takes_snapshots and not self.settings.is_first_start:
+        if self._policies.uses_snapshots and not self.settings.is_first_start:
             self._snapshots.start()
         self._services.admission.start()
         self._overdue.start()
@@ -496,7 +498,7 @@
         self._groups.apply(self._site.apply(now))
         groups = (runtime.settings for runtime in self._groups.runtimes)
         self._traffic.set_databases(item for each in groups for item in each.databases)
-        self._connections.set_accounts(self._accounts.get_book() is not None)
+        self._connections.set_accounts(self._accounts.get_account_index() is not None)
         self._connections.share()
         self._look_again(now)
         if self.state is NodeState.STARTING:
@@ -554,8 +556,8 @@
                 labels = f"{group},{format_label('database', name)}"
                 yield "beryltrack_pool_busy", labels, pool.load.in_use
                 yield "beryltrack_pool_waiting", labels, pool.load.waiting
-        yield from self._accounts.get_gauges()
-        yield from self._traffic.get_gauges()
+        yield from self._accounts.get_samples()
+        yield from self._traffic.get_samples()
         yield from render_gates(self._load.gates.list_gates())
 
     def _get_status(self) -> LoadStatus:
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -97,7 +97,7 @@
         """Begin to probe owners that are passed over."""
         self._probes.start()
 
-    def get_book(self) -> AccountIndex | None:
+    def get_account_index(self) -> AccountIndex | None:
         """Return the accounts in force, None where callers need no key."""
         return self._book
 
@@ -118,7 +118,7 @@
         self._lending.set_members((peer.name for peer in peers), self._seconds())
         self._start()
 
-    def was_heard(self, name: str, since: float) -> bool:
+    def has_answered(self, name: str, since: float) -> bool:
         """Return whether an owner has answered this instance since a time."""
         return self._task.has_answered(name, since)
 
@@ -144,7 +144,7 @@
                 *each,
             )
 
-    def get_gauges(self) -> Iterable[MetricSample]:
+    def get_samples(self) -> Iterable[MetricSample]:
         """Return how many operations ran and were refused here, by account."""
         for name, counts in self.quota.counts.items():
             labels = format_label("account", name)
--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -129,7 +129,7 @@
 to 4 ms away. A lost packet is repeated after a second, so that one of 20 opens over a
 link that loses 2.5% goes another way for a while."""
 
-RELAY_CONNECT = 0.3
+RELAY_CONNECT_TIMEOUT = 0.3
 """Seconds until an owner counts as out of reach; it answers in 1 to 4 ms."""
 
 RELAY_TIME = 2.0
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -58,17 +58,17 @@
         How many requests are taken on.
     load : LoadPolicy
         What runs at a database through an owner, and in which order.
-    late_after : float
+    overdue_after : float
         Seconds after which a statement makes its primary be asked.
-    takes_reports : bool
+    uses_owner_reports : bool
         True if owners tell of their load, and what they can't do is refused in front.
-    takes_detours : bool
+    uses_indirect_paths : bool
         True if databases may be reached through other instances.
-    takes_snapshots : bool
+    uses_snapshots : bool
         True if an instance that starts may go by another one's copies.
     shares_copies : bool
         True if instances may tell each other what the store holds.
-    owners_of_accounts : SlotOwnerPolicy
+    account_owners : SlotOwnerPolicy
         Which owners count and run the operations of accounts.
     choose_owners : callable
         Chooses the owners of a group whose connections belong to no account.
@@ -85,12 +85,12 @@
     retries: RetryPolicy
     admission: AdmissionPolicy
     load: LoadPolicy
-    late_after: float
-    takes_reports: bool
-    takes_detours: bool
-    takes_snapshots: bool
+    overdue_after: float
+    uses_owner_reports: bool
+    uses_indirect_paths: bool
+    uses_snapshots: bool
     shares_copies: bool
-    owners_of_accounts: SlotOwnerPolicy
+    account_owners: SlotOwnerPolicy
     choose_owners: ChooseOwners
     probes_owners: bool
 
@@ -122,11 +122,11 @@
         AdmissionPolicy(),
         load,
         LATE_AFTER,
-        takes_reports=Mechanism.OWNER_REPORTS not in disabled,
-        takes_detours=Mechanism.DETOURS not in disabled,
-        takes_snapshots=Mechanism.SNAPSHOTS not in disabled,
+        uses_owner_reports=Mechanism.OWNER_REPORTS not in disabled,
+        uses_indirect_paths=Mechanism.DETOURS not in disabled,
+        uses_snapshots=Mechanism.SNAPSHOTS not in disabled,
         shares_copies=Mechanism.SHARED_COPIES not in disabled,
-        owners_of_accounts=FleetOwners()
+        account_owners=FleetOwners()
         if Mechanism.ZONE_OWNERS in disabled
         else ZoneOwners(),
         choose_owners=choose_owners
@@ -174,7 +174,7 @@
     Mechanism.KEPT_CONNECTIONS: _change("account_pools", retained_fraction=0.0),
     Mechanism.PARALLEL_PROOFS: _change("routing", runs_unproven=False),
     Mechanism.REPLICA_PAUSE: _change("routing", lagging_pause=0.0),
-    Mechanism.LATE_STATEMENTS: lambda each: each._replace(late_after=math.inf),
+    Mechanism.LATE_STATEMENTS: lambda each: each._replace(overdue_after=math.inf),
     Mechanism.LONG_PROOFS: _change("routing", confirmed_within=SHORT_PROOFS),
     Mechanism.LONG_QUEUE: lambda each: _change_pools(each, max_wait=SHORT_QUEUE),
     Mechanism.NEAR_REPLICAS: _change("routing", prefers_near=False),
--- a/beryltrack/daemon/postgres_kit.py
+++ b/beryltrack/daemon/postgres_group_factory.py
@@ -19,8 +19,8 @@
 """Seconds until a new connection to a target counts as failed."""
 
 
-class PostgresKit:
-    """Makes the tasks and pools of PostgreSQL groups; see `TargetKit`.
+class PostgresGroupFactory:
+    """Makes the tasks and pools of PostgreSQL groups; see `GroupFactory`.
 
     Parameters
     ----------
--- a/beryltrack/daemon/proxy.py
+++ b/beryltrack/daemon/proxy.py
@@ -15,7 +15,7 @@
 from beryltrack.daemon.groups import GroupTable
 from beryltrack.daemon.health import build_health_site
 from beryltrack.daemon.metrics import InstanceMetrics
-from beryltrack.daemon.postgres_kit import PostgresKit
+from beryltrack.daemon.postgres_group_factory import PostgresGroupFactory
 from beryltrack.daemon.reports import build_status
 from beryltrack.daemon.status import InstanceStatus
 from beryltrack.events.log import EventLog
@@ -69,7 +69,9 @@
         self.metrics = InstanceMetrics(settings.name)
         self.platform = PlatformClient(reactor, settings.platform_url)
         self.settings_task = SettingsTask(reactor, self.platform, rng)
-        self.groups = GroupTable(reactor, PostgresKit(reactor, settings.name, rng))
+        self.groups = GroupTable(
+            reactor, PostgresGroupFactory(reactor, settings.name, rng)
+        )
         self.services = make_services(
             reactor,
             settings.zone,
--- a/beryltrack/daemon/zone_traffic.py
+++ b/beryltrack/daemon/zone_traffic.py
@@ -128,7 +128,7 @@
             factory = CountingFactory(factory, self._counts, purpose)
         return self._reactor.connectTCP(host, port, factory, *words, **options)
 
-    def get_gauges(self) -> Iterable[MetricSample]:
+    def get_samples(self) -> Iterable[MetricSample]:
         """Return the bytes to and from other zones, by purpose and direction."""
         for (purpose, direction), number in sorted(self._counts.items()):
             labels = f'purpose="{purpose}",direction="{direction}"'
--- a/tests/daemon/test_account_ways.py
+++ b/tests/daemon/test_account_ways.py
@@ -8,7 +8,7 @@
 from beryltrack.accounts.messages import AccountSettings
 from beryltrack.accounts.quota import QuotaDecider
 from beryltrack.connections.messages import PoolRefused, RefusalReason
-from beryltrack.daemon.line_kit import LineKit
+from beryltrack.daemon.line_group_factory import LineGroupFactory
 from beryltrack.daemon.node_policies import make_policies
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.load.messages import Demand
@@ -37,7 +37,7 @@
         self.directory.set_peers([make_peer(each) for each in range(6)])
         self.directory.set_accounts(62)
         self.quota = QuotaDecider({"a": ACCOUNT}.get)
-        kit = LineKit(
+        kit = LineGroupFactory(
             self.reactor,
             own.name,
             None,
--- a/tests/daemon/test_line_kit.py
+++ b/tests/daemon/test_line_kit.py
@@ -8,8 +8,8 @@
 from twisted.internet.task import Clock
 
 from beryltrack.connections.messages import PoolRefused, RefusalReason
-from beryltrack.daemon import line_kit
-from beryltrack.daemon.line_kit import LineKit
+from beryltrack.daemon import line_group_factory
+from beryltrack.daemon.line_group_factory import LineGroupFactory
 from beryltrack.daemon.node_policies import make_policies
 from beryltrack.daemon.zone_traffic import ZoneTraffic
 from beryltrack.load.messages import DatabaseReport, Demand
@@ -33,13 +33,13 @@
 
     def __init__(self, monkeypatch, *disabled):
         self.clock, self.opened = Clock(), []
-        monkeypatch.setattr(line_kit, "connect_line_target", self.connect)
+        monkeypatch.setattr(line_group_factory, "connect_line_target", self.connect)
         directory = RelayDirectory(make_peer("me"), self.clock.seconds, 8)
         directory.set_peers([make_peer(f"n{each}") for each in range(70)])
         names = (f"g{each}" for each in range(100))
         group = next(each for each in names if not directory.is_owner(each, 40))
         self.owner = directory.choose_via(group, "db-1", 40).name
-        self.kit = LineKit(
+        self.kit = LineGroupFactory(
             self.clock,
             "me",
             None,
--- a/tests/daemon/test_node_policies.py
+++ b/tests/daemon/test_node_policies.py
@@ -12,7 +12,7 @@
     assert policies.pools == options.POOLS
     assert policies.routing == options.ROUTING
     assert policies.failover == options.FAILOVER
-    assert policies.takes_detours and policies.takes_snapshots
+    assert policies.uses_indirect_paths and policies.uses_snapshots
 
 
 def test_without_fences_other_figures_hold():
--- a/tests/daemon/test_zone_traffic.py
+++ b/tests/daemon/test_zone_traffic.py
@@ -56,7 +56,7 @@
 
     @property
     def gauges(self):
-        return {labels: value for _, labels, value in self.traffic.get_gauges()}
+        return {labels: value for _, labels, value in self.traffic.get_samples()}
 
 
 @pytest.fixture
--- a/tests/metrics/test_catalog.py
+++ b/tests/metrics/test_catalog.py
@@ -104,7 +104,7 @@
     accounts.set_accounts((AccountSettings(special, frozenset(), 1.0, 0.0),))
     accounts.quota.spend(special, 0.0)
     metrics = PrometheusMetrics()
-    metrics.set_sample_source(accounts.get_gauges)
+    metrics.set_sample_source(accounts.get_samples)
     name = "beryltrack_account_operations_total"
     assert get_value(metrics, name, account=special) == 1
 
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -6,7 +6,12 @@
 
 ROOT = Path(__file__).parents[2] / "beryltrack"
 ADAPTER = ROOT / "platform"
-COMPOSITION = {"line_kit.py", "node.py", "node_process.py", "store_clients.py"}
+COMPOSITION = {
+    "line_group_factory.py",
+    "node.py",
+    "node_process.py",
+    "store_clients.py",
+}
 
 WIRE_NAMES = (
     "config_version",
--- a/tests/requests/test_forwarding.py
+++ b/tests/requests/test_forwarding.py
@@ -23,7 +23,7 @@
         with connect(running.proxies[0], "new") as connection:
             connection.execute("CREATE TABLE item (id integer PRIMARY KEY)")
         run(running.start_proxy, 2)
-        run(running.wait_known)
+        run(running.wait_owners_known)
         yield running
 
 
