--- a/beryltrack/connections/__init__.py
+++ b/beryltrack/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to targets: pools, and budgets that all proxies keep together."""
+"""Connections to targets: pools, and connection budgets across all proxies."""
--- a/beryltrack/connections/budget.py
+++ b/beryltrack/connections/budget.py
@@ -1,9 +1,9 @@
-"""How many connections this proxy may have at each database.
+"""Limits this proxy's connections to each database, without central coordination.
 
-The total of a database is a hard limit over all proxies. A proxy's seats give
-it shares that need no coordination; what it does not use it lends to others
-for a time. The sum of all rights never exceeds the total, whatever messages
-are lost or late and however the proxies' views of each other differ; see
+The total of a database is a hard limit over all proxies. A proxy's seats give it fixed
+shares of the totals; connections that it does not use it lends to other proxies for a
+bounded time. The sum of all hard limits never exceeds the total, whichever messages are
+lost or late and however the proxies' views of the membership differ; see
 docs/notes/limits.md for the argument and its one assumption.
 """
 
@@ -28,18 +28,20 @@
 from beryltrack.connections.shares import compute_share, get_owner_seats
 
 UNSETTLED_PERIOD = 0.25
+"""Seconds between two ticks while a seat waits for something."""
+
 NO_USE = DatabaseUse(0, 0, 0)
 
 
 class BudgetPolicy(NamedTuple):
-    """The figures that steer a budget.
+    """Limits and timeouts of a budget.
 
     Parameters
     ----------
     loans : LoanPolicy
-        Of the loans.
+        Limits and timeouts of loans.
     seats : SeatPolicy
-        Of the seats.
+        Timeouts of seats.
     """
 
     loans: LoanPolicy = LoanPolicy()
@@ -47,7 +49,7 @@
 
 
 class BudgetDecider:
-    """Decides how many connections this proxy may open at each database.
+    """Decides how many connections this proxy may open to each database.
 
     Parameters
     ----------
@@ -56,12 +58,12 @@
     plan : BudgetPlan
         The layout of the shares, the same on every proxy.
     read_use : callable
-        Gives the present use of a database by its key. It must be true at the
-        moment of the call: what is open is never given away.
+        Returns the use of a database by its key. It must be exact at the moment of the
+        call, as open connections must not be lent or returned.
     rng : random.Random
         For choices and jitter.
     policy : BudgetPolicy
-        The figures that steer it.
+        Limits and timeouts.
     """
 
     def __init__(
@@ -79,9 +81,9 @@
         self._seats = SeatBook(holder, plan, policy.seats, rng)
         self._databases: dict[str, BudgetedDatabase] = {}
         self._books: dict[str, LoanBook] = {}
-        # Books of databases that are gone, until their loans have ended.
+        # Loans of databases that were removed, until they have expired.
         self._retired: dict[str, LoanBook] = {}
-        self._told: dict[str, SetLimit] = {}
+        self._reported_limits: dict[str, SetLimit] = {}
         self._active: set[str] = set()
         self._applied_seats: tuple[frozenset[int], frozenset[int]] | None = None
 
@@ -92,26 +94,26 @@
 
     @property
     def era(self) -> int:
-        """The latest era of the store in which the held seats are confirmed, or 0."""
+        """The store's latest era if the held seats are confirmed in it, else 0."""
         return self._seats.era
 
     @property
     def seat_records(self) -> tuple[SeatRecord, ...]:
-        """What is known of all seats."""
+        """The latest known records of all seats."""
         return self._seats.records
 
     @property
     def is_settled(self) -> bool:
-        """True if no seat waits to be claimed, freed or given up."""
+        """True if no seat waits to be claimed, freed, released or confirmed."""
         return self._seats.is_settled
 
     def get_limit(self, key: str, now: float) -> int:
-        """Return the most connections to a database for new work."""
+        """Return the most connections to a database for new requests."""
         return self._books[key].get_limit(now)
 
-    def get_right(self, key: str, now: float) -> int:
+    def get_hard_limit(self, key: str, now: float) -> int:
         """Return the most connections to a database that may exist."""
-        return self._books[key].get_right(now)
+        return self._books[key].get_hard_limit(now)
 
     def get_owners(self, group: str) -> tuple[str, ...]:
         """Return the holders of the seats that own a group, best rank first."""
@@ -120,7 +122,7 @@
     def set_databases(
         self, databases: Iterable[BudgetedDatabase], now: float
     ) -> list[BudgetAction]:
-        """Take in the databases and totals of the settings in force."""
+        """Replace the databases and their totals."""
         self._databases = {database.key: database for database in databases}
         known = self._retired | self._books
         self._books = {
@@ -134,7 +136,9 @@
         }
         for book in self._retired.values():
             book.set_own(0, 0)
-        self._told = {k: told for k, told in self._told.items() if k in self._books}
+        self._reported_limits = {
+            k: limit for k, limit in self._reported_limits.items() if k in self._books
+        }
         self._active &= self._books.keys()
         self._applied_seats = None
         return self._apply_seats(now)
@@ -142,52 +146,52 @@
     def observe_seats(
         self, records: Iterable[SeatRecord], is_complete: bool, now: float
     ) -> list[BudgetAction]:
-        """Take in seats' objects; see `SeatBook.observe_seats`."""
+        """Record seats; see `SeatBook.observe_seats`."""
         self._seats.observe_seats(records, is_complete)
         return self._apply_seats(now)
 
-    def observe_live(self, holders: LiveHolders, now: float) -> None:
-        """Take in which processes are live."""
-        self._seats.observe_live(holders, now)
+    def observe_live_holders(self, holders: LiveHolders, now: float) -> None:
+        """Record which processes are live."""
+        self._seats.observe_live_holders(holders, now)
 
     def leave(self, now: float) -> list[BudgetAction]:
-        """Give up all seats, as fast as the pools close their connections."""
+        """Release all seats as the pools close their connections."""
         self._seats.leave()
         return self.tick(now)
 
     def receive(
         self, sender: str, message: BudgetMessage, now: float
     ) -> list[BudgetAction]:
-        """Take in a message of another proxy."""
+        """Handle a message of another proxy."""
         book = self._books.get(message.database)
         if book is None:
             return self._receive_retired(sender, message, now)
         use = self._read_use(message.database)
         sent = book.receive(sender, message, use, now)
         self._active.add(message.database)
-        return [*self._tell_limits([message.database], now), *sent]
+        return [*self._get_changed_limits([message.database], now), *sent]
 
     def observe_use(self, key: str, now: float) -> list[BudgetAction]:
-        """Look at a database whose use has changed."""
+        """Update the loans of a database whose use has changed."""
         if key not in self._books:
             return []
         return self._tick_database(key, now)
 
     def tick(self, now: float) -> list[BudgetAction]:
-        """Do what is due by time, for the databases that have something due."""
-        self._seats.choose_giving_up()
+        """Update the seats, and the loans of all databases that are not idle."""
+        self._seats.choose_seat_to_release()
         lowered = self._apply_seats(now)
-        writes = self._seats.tick(lambda: self._can_give_up(now), now)
-        given_up = self._apply_seats(now)
+        writes = self._seats.tick(lambda: self._can_release(now), now)
+        released = self._apply_seats(now)
         ticked = [
             action
             for key in sorted(self._active)
             for action in self._tick_database(key, now)
         ]
-        return [*lowered, *given_up, *writes, *ticked]
+        return [*lowered, *released, *writes, *ticked]
 
     def get_wakeup(self, now: float) -> float | None:
-        """Return when `tick` is next due, or None if nothing waits for time."""
+        """Return when `tick` is next due, or None if nothing is."""
         times = [self._books[key].get_wakeup(now) for key in self._active]
         if not self._seats.is_settled:
             times.append(now + UNSETTLED_PERIOD)
@@ -196,7 +200,7 @@
     def _receive_retired(
         self, sender: str, message: BudgetMessage, now: float
     ) -> list[BudgetAction]:
-        """Take in what concerns a loan of a database that is gone."""
+        """Handle a message about a loan of a database that was removed."""
         book = self._retired.get(message.database)
         return [] if book is None else book.receive(sender, message, NO_USE, now)
 
@@ -205,17 +209,17 @@
         sent: list[SendToHolder] = book.tick(
             self._get_lenders(key), self._read_use(key), now
         )
-        if book.is_quiet:
+        if book.is_idle:
             self._active.discard(key)
         else:
             self._active.add(key)
-        return [*self._tell_limits([key], now), *sent]
+        return [*self._get_changed_limits([key], now), *sent]
 
     def _get_lenders(self, key: str) -> tuple[str, ...]:
         owners = self.get_owners(self._databases[key].group)
         return tuple(owner for owner in owners if owner != self._holder)
 
-    def _can_give_up(self, now: float) -> bool:
+    def _can_release(self, now: float) -> bool:
         if any(book.has_lent(now) for book in self._retired.values()):
             return False
         return all(
@@ -224,7 +228,7 @@
         )
 
     def _apply_seats(self, now: float) -> list[BudgetAction]:
-        """Work out all shares anew if the seats that are held have changed."""
+        """Compute all shares again if the held seats have changed."""
         seats = self._seats.held, self._seats.usable
         if seats == self._applied_seats:
             return []
@@ -235,16 +239,20 @@
                 sum(compute_share(database, seat, self._plan) for seat in held),
                 sum(compute_share(database, seat, self._plan) for seat in usable),
             )
-        return self._tell_limits(self._books, now)
+        return self._get_changed_limits(self._books, now)
 
-    def _tell_limits(self, keys: Iterable[str], now: float) -> list[BudgetAction]:
-        """Return the limits that changed since they were told last."""
+    def _get_changed_limits(
+        self, keys: Iterable[str], now: float
+    ) -> list[BudgetAction]:
+        """Return the limits that have changed since they were last returned."""
         current = [
-            SetLimit(key, self.get_limit(key, now), self.get_right(key, now))
+            SetLimit(key, self.get_limit(key, now), self.get_hard_limit(key, now))
             for key in keys
         ]
         changed = [
-            limit for limit in current if self._told.get(limit.database) != limit
+            limit
+            for limit in current
+            if self._reported_limits.get(limit.database) != limit
         ]
-        self._told.update((limit.database, limit) for limit in changed)
+        self._reported_limits.update((limit.database, limit) for limit in changed)
         return changed
--- a/beryltrack/connections/budget_messages.py
+++ b/beryltrack/connections/budget_messages.py
@@ -1,7 +1,7 @@
-"""Messages and actions by which proxies keep a database's connection total.
+"""Messages and actions by which proxies keep a database's total of connections.
 
-All are flat tuples of numbers and text, so that CBOR carries them as they are.
-Proxies are named by holder identifiers: a name and the incarnation of the
+All messages are flat tuples of numbers and text, which CBOR encodes directly. A process
+is identified by its holder identifier, the instance's name and the incarnation of the
 process, so that a restarted instance is not taken for its predecessor.
 """
 
@@ -11,14 +11,14 @@
 
 
 class BudgetedDatabase(NamedTuple):
-    """A database whose connections are shared out.
+    """A database whose connections are divided among the seats.
 
     Parameters
     ----------
     key : str
         ``GROUP/DATABASE``.
     group : str
-        Its group, which decides who owns it.
+        Its group, which determines the seats that own it.
     total : int
         Most connections over all proxies, control connections included.
     """
@@ -29,54 +29,54 @@
 
 
 class BudgetPlan(NamedTuple):
-    """How shares are laid out; the same on every proxy.
+    """How connections are divided among seats; the same on every proxy.
 
     Parameters
     ----------
     seats : int
-        Number of seats in the fleet; a proxy that holds a seat has its share.
-    most_owners : int
-        Most seats among which the connections of one database are shared.
+        Number of seats in the fleet; the holder of a seat has its shares.
+    max_owners : int
+        Most seats among which the connections of one database are divided.
     """
 
     seats: int
-    most_owners: int
+    max_owners: int
 
 
 class SeatRecord(NamedTuple):
-    """Who holds a seat, as the platform's object says.
+    """The holder of a seat, as in the platform's object.
 
     Parameters
     ----------
     seat : int
         Number of the seat, from 0.
     version : int
-        Version of the write that made it; 0 if it was never written. It keeps the era
-        of that write also where a store shows it that was restored from a backup since.
+        Version of its last write; 0 if it was never written. It keeps the era of that
+        write even if the store has been restored from a backup since.
     holder : str
         Identifier of the holder; empty if the seat is free.
-    seen : int
-        Version under which the store shows it, on which a write of it depends; 0 if
-        it was not told by the store.
+    stored_version : int
+        Version under which the store has it, which is the condition of the next write;
+        0 if the record is not from the store.
     """
 
     seat: int
     version: int
     holder: str
-    seen: int = 0
+    stored_version: int = 0
 
 
 class LiveHolders(NamedTuple):
-    """The processes of the fleet, by the instance list or by the peers' word.
+    """The live processes of the fleet, by the instance list or by gossip.
 
     Parameters
     ----------
     live : frozenset of str
-        Identifiers of all that may still run.
+        Identifiers of all processes that may still run.
     leaving : frozenset of str
-        Those among them that are leaving and want no seat.
+        Those that are leaving and need no seat.
     eras : mapping of str to int
-        The era of the store in which each has confirmed its seats, 0 if not given.
+        The store's era in which each process has confirmed its seats; 0 if missing.
     """
 
     live: frozenset[str]
@@ -85,14 +85,14 @@
 
 
 class DatabaseUse(NamedTuple):
-    """How a proxy uses a database, control connections included.
+    """A proxy's use of a database, control connections included.
 
     Parameters
     ----------
     open : int
         Connections that the database may count.
     busy : int
-        Connections that are held by requests or by control.
+        Connections that are held by requests, and control connections.
     waiting : int
         Requests that wait for a connection.
     """
@@ -103,12 +103,12 @@
 
     @property
     def demand(self) -> int:
-        """Connections that could be put to use now."""
+        """Connections that could be used now."""
         return self.busy + self.waiting
 
 
 class LoanRequest(NamedTuple):
-    """Asks an owner for unused connections."""
+    """Requests unused connections from another seat holder."""
 
     database: str
     request: int
@@ -116,14 +116,14 @@
 
 
 class LoanGrant(NamedTuple):
-    """Lends connections, or renews a loan, for a time from the request on.
+    """Grants or renews a loan, for a time from the request on.
 
     Parameters
     ----------
     database : str
         The database's key.
     request : int
-        The borrower's request or renewal that this answers.
+        Number of the borrower's request or renewal.
     loan : int
         Number of the loan, unique at the lender.
     count : int
@@ -140,14 +140,14 @@
 
 
 class LoanRefusal(NamedTuple):
-    """Says that nothing is lent now."""
+    """Refuses to lend or to renew."""
 
     database: str
     request: int
 
 
 class LoanRenewal(NamedTuple):
-    """Asks to lengthen a loan, of which `keep` connections are still held."""
+    """Requests the renewal of a loan, of which the borrower keeps `keep`."""
 
     database: str
     request: int
@@ -156,7 +156,7 @@
 
 
 class LoanReturn(NamedTuple):
-    """Gives back all but `keep` connections of a loan; `keep` never rises."""
+    """Returns all but `keep` connections of a loan; `keep` never rises."""
 
     database: str
     loan: int
@@ -164,7 +164,7 @@
 
 
 class LoanRecall(NamedTuple):
-    """Asks to give back all but `keep` connections of a loan soon."""
+    """Asks the borrower to return all but `keep` connections of a loan soon."""
 
     database: str
     loan: int
@@ -184,7 +184,7 @@
 
 
 class WriteSeat(NamedTuple):
-    """Write a seat's object if it still has a version; report what it is then.
+    """Write a seat's object if it still has a version; report the resulting seat.
 
     Parameters
     ----------
@@ -202,21 +202,21 @@
 
 
 class SetLimit(NamedTuple):
-    """Change what a database's pool may open.
+    """Change the limits of a database's pool.
 
     Parameters
     ----------
     database : str
         The database's key.
     limit : int
-        Most connections for new work.
-    right : int
-        Most connections that may exist; beyond it they are closed at once.
+        Most connections for new requests.
+    hard_limit : int
+        Most connections that may exist; a surplus is closed at once, even in use.
     """
 
     database: str
     limit: int
-    right: int
+    hard_limit: int
 
 
 BudgetAction = SendToHolder | WriteSeat | SetLimit
--- a/beryltrack/connections/budget_service.py
+++ b/beryltrack/connections/budget_service.py
@@ -1,4 +1,4 @@
-"""The budget of one proxy, joined to its peers, the platform and its pools."""
+"""The connection budget of one proxy, with its peers, the platform and its pools."""
 
 import random
 from collections.abc import Mapping
@@ -16,18 +16,18 @@
 from beryltrack.settings.messages import GroupSettings
 
 CONTROL_CONNECTIONS = 1
-"""Control connections of a proxy to each database, beside its pool."""
+"""Control connections of a proxy to each database, beside its pool's."""
 
 LEAVE_TIMEOUT = 3.0
-"""Longest time to give up seats, seconds; the longest loan ends within it."""
+"""Seconds within which seats are released; the longest loan ends within them."""
 
-MOST_OWNERS = 8
-"""Seats among which a database's connections are shared, at most."""
+MAX_OWNERS = 8
+"""Most seats among which a database's connections are divided."""
 
 
 def make_plan(seats: int) -> BudgetPlan:
-    """Return the layout of the shares for a fleet of so many seats."""
-    return BudgetPlan(seats, min(seats, MOST_OWNERS))
+    """Return the layout of the shares for a fleet with a number of seats."""
+    return BudgetPlan(seats, min(seats, MAX_OWNERS))
 
 
 class BudgetService:
@@ -40,13 +40,13 @@
     peers : PeerTask
         The peers.
     client : PlatformClient
-        The platform, which keeps the seats.
+        The platform, which stores the seats.
     plan : BudgetPlan
         The layout of the shares, the same on every proxy.
     rng : random.Random
         For choices and jitter.
     incarnation : int
-        What the peers were told at the start of this process.
+        Incarnation under which this process joined the peers.
     """
 
     def __init__(
@@ -66,30 +66,30 @@
         client.eras.subscribe(lambda era: self.task.read_soon())
 
     def start(self) -> None:
-        """Tell the peers who this process is, and claim a seat."""
+        """Publish this process's identifier to the peers, and claim a seat."""
         self._links.start(self.task.receive, self.task.observe_seats)
         self.task.start()
 
     def stop(self) -> None:
-        """Stop; the seats stay until the others see this process gone."""
+        """Stop; the seats stay held until other proxies evict this process."""
         self.task.stop()
 
     def leave(self) -> Deferred[None]:
-        """Give up the seats as the pools close their connections.
+        """Release the seats as the pools close their connections.
 
         Call it when no request needs a connection any more.
 
         Returns
         -------
         Deferred
-            Fires when that is done, after `LEAVE_TIMEOUT` in any case.
+            Fires when that is done, after `LEAVE_TIMEOUT` at the latest.
         """
         leaving = self.task.leave()
         leaving.addTimeout(LEAVE_TIMEOUT, self._reactor)
         return leaving.addErrback(lambda failure: failure.trap(TimeoutError) and None)
 
     def add_pools(self, group: GroupSettings, pools: Mapping[str, PoolTask]) -> None:
-        """Take charge of the limits of a group's pools.
+        """Start to control the limits of a group's pools.
 
         Parameters
         ----------
@@ -104,6 +104,6 @@
             self.task.add_pool(budgeted, pools[database.name], CONTROL_CONNECTIONS)
 
     def remove_pools(self, group: GroupSettings) -> None:
-        """Forget a group's pools, whose connections are all closed."""
+        """Remove a group's pools, whose connections are all closed."""
         for database in group.databases:
             self.task.remove_pool(f"{group.name}/{database.name}")
--- a/beryltrack/connections/budget_task.py
+++ b/beryltrack/connections/budget_task.py
@@ -1,8 +1,7 @@
-"""Keeps the limits of a proxy's pools in step with its budget.
+"""Applies a proxy's connection budget to its pools.
 
-It owns the timer, reads the pools and carries out what `BudgetDecider` says.
-Where messages go and where seats are kept is behind two Protocols, so that the
-peer link and the platform stay out of this slice.
+`BudgetTask` owns the timer, reads the pools and carries out the actions that
+`BudgetDecider` returns. Two Protocols hide the peer links and the platform.
 """
 
 import logging
@@ -32,42 +31,47 @@
 log = logging.getLogger(__name__)
 
 FIRST_READ_PERIOD = 1.0
-"""Seconds between two reads of the seats while one waits for something, and within
-which all proxies read them when the store was restored from a backup."""
+"""Seconds between two reads of the seats while one of them waits for something, and
+within which all proxies read them after a restore of the store from a backup."""
 
 READ_PERIOD = 15.0
-READ_FLEET = 8
+"""Seconds between two reads of settled seats, in fleets of up to `READ_FLEET_SIZE`."""
+
+READ_FLEET_SIZE = 8
+"""Processes beyond which the period grows with the fleet."""
+
 LIVE_PERIOD = 1.0
+"""Seconds between two updates of the live processes."""
 
 
 class BudgetPeers(Protocol):
-    """What a budget needs of the link to the other proxies."""
+    """The other proxies, as a budget uses them."""
 
     def get_live_holders(self) -> LiveHolders:
-        """Return who is live, by the instance list or by the peers' word."""
+        """Return the live processes, by the instance list or by gossip."""
 
     def send(self, holder: str, message: BudgetMessage) -> None:
         """Send a message to a proxy; it may be lost."""
 
     def publish_seat(self, record: SeatRecord) -> None:
-        """Tell all proxies of a seat's object."""
+        """Publish a seat's record to all proxies."""
 
     def publish_era(self, era: int) -> None:
-        """Tell all proxies in which era of the store the own seats are confirmed."""
+        """Publish the store's era in which this process's seats are confirmed."""
 
 
 class SeatStore(Protocol):
-    """Where the objects of the seats are kept."""
+    """The store of the seats' objects."""
 
     async def read_seats(self) -> tuple[SeatRecord, ...] | None:
-        """Return all seats that were ever written; None if the store is away."""
+        """Return all seats that were ever written; None if the store is unavailable."""
 
     async def write_seat(self, write: WriteSeat) -> SeatRecord | None:
-        """Write a seat conditionally and return what it is then, if known."""
+        """Write a seat conditionally and return the resulting seat, if known."""
 
 
 class _Pooled(NamedTuple):
-    """A database with its pool and the control connections beside it."""
+    """A database with its pool and its number of control connections."""
 
     database: BudgetedDatabase
     pool: PoolTask
@@ -88,11 +92,11 @@
     peers : BudgetPeers
         The other proxies.
     store : SeatStore
-        Where seats are kept.
+        The store of the seats.
     rng : random.Random
         For choices and jitter.
     policy : BudgetPolicy
-        The figures that steer the budget.
+        Limits and timeouts of the budget.
     """
 
     def __init__(
@@ -118,9 +122,9 @@
         self._fleet_size = 1
         self._is_reading = False
         self._is_running = False
-        self._told_era = 0
+        self._published_era = 0
         self._writing = 0
-        self._left: Deferred[None] | None = None
+        self._leave_done: Deferred[None] | None = None
         self._actions: deque[BudgetAction] = deque()
         self._is_performing = False
 
@@ -140,7 +144,7 @@
     def add_pool(
         self, database: BudgetedDatabase, pool: PoolTask, control: int
     ) -> None:
-        """Take charge of a pool's limit.
+        """Start to control a pool's limit.
 
         Parameters
         ----------
@@ -149,20 +153,20 @@
         pool : PoolTask
             Its pool; the limit is set at once.
         control : int
-            Control connections that this proxy has at the database besides;
-            they are part of its share.
+            Control connections of this proxy to the database beside the pool's, which
+            are part of its share.
         """
         self._pools[database.key] = _Pooled(database, pool, control)
         pool.subscribe(lambda: self._observe_use(database.key, pool))
         self._update_databases()
 
     def remove_pool(self, key: str) -> None:
-        """Forget a pool whose connections are all closed."""
+        """Remove a pool whose connections are all closed."""
         self._pools.pop(key, None)
         self._update_databases()
 
     def start(self) -> None:
-        """Read the seats and begin to keep the limits."""
+        """Read the seats and start to set the limits."""
         self._is_running = True
         self._tick()
 
@@ -173,31 +177,31 @@
             self._timer.cancel()
 
     def leave(self) -> Deferred[None]:
-        """Give up all seats as the pools close their connections.
+        """Release all seats as the pools close their connections.
 
         Returns
         -------
         Deferred
-            Fires when no seat is held and each has been written once, whether
-            the store took it or not.
+            Fires when no seat is held and each has been written once, whether or not
+            the write succeeded.
         """
-        self._left = Deferred()
+        self._leave_done = Deferred()
         self._perform(self._decider.leave(self._now))
-        self._check_left()
-        return self._left
+        self._finish_leave()
+        return self._leave_done
 
     def receive(self, sender: str, message: BudgetMessage) -> None:
-        """Take in a message of another proxy."""
+        """Handle a message of another proxy."""
         self._perform(self._decider.receive(sender, message, self._now))
 
     def observe_seats(self, records: tuple[SeatRecord, ...]) -> None:
-        """Take in seats' objects that peers told of."""
+        """Record seats that were received from peers."""
         self._perform(self._decider.observe_seats(records, False, self._now))
         if get_latest_era(record.version for record in records) > self._decider.era:
             self.read_soon()
 
     def read_soon(self) -> None:
-        """Read the seats soon, as the store may have lost what they were."""
+        """Read the seats soon, as the store may have been restored from a backup."""
         soon = self._now + self._rng.uniform(0.0, FIRST_READ_PERIOD)
         self._read_at = min(self._read_at, soon)
 
@@ -221,8 +225,8 @@
     def _perform(self, actions: list[BudgetAction]) -> None:
         """Carry out actions in the order in which they were decided.
 
-        A pool whose limit changes reports its use at once; what is decided
-        then queues behind the actions that are under way.
+        A pool whose limit changes reports its use at once; the actions that follow are
+        appended to the queue.
         """
         self._actions.extend(actions)
         if self._is_performing:
@@ -248,10 +252,14 @@
         pooled = self._pools.get(action.database)
         if pooled is None:
             return
-        right = max(0, action.right - pooled.control)
-        if pooled.pool.load.open > right:
-            log.warning("connections: the share of %s has lapsed", action.database)
-            pooled.pool.enforce_limit(right)
+        hard_limit = max(0, action.hard_limit - pooled.control)
+        if pooled.pool.load.open > hard_limit:
+            log.warning(
+                "connections: share of %s expired; closing its connections above %d",
+                action.database,
+                hard_limit,
+            )
+            pooled.pool.enforce_limit(hard_limit)
         pooled.pool.set_limit(max(0, action.limit - pooled.control))
 
     async def _write_seat(self, write: WriteSeat) -> None:
@@ -260,34 +268,34 @@
         self._writing -= 1
         if record is not None:
             self._peers.publish_seat(record)
-            self._learn((record,), False)
-        self._check_left()
+            self._apply_seats((record,), False)
+        self._finish_leave()
 
-    def _check_left(self) -> None:
-        """Tell who waits for the leaving if there is nothing left to do."""
+    def _finish_leave(self) -> None:
+        """Fire the Deferred of `leave` if nothing is left to do."""
         is_busy = bool(self._decider.held_seats) or self._writing
-        if self._left is not None and not is_busy and not self._left.called:
-            self._left.callback(None)
+        if self._leave_done is not None and not is_busy and not self._leave_done.called:
+            self._leave_done.callback(None)
 
     async def _read_seats(self) -> None:
         self._is_reading = True
         records = await self._store.read_seats()
         self._is_reading = False
         if records is not None:
-            self._learn(records, True)
+            self._apply_seats(records, True)
 
-    def _learn(self, records: tuple[SeatRecord, ...], is_complete: bool) -> None:
+    def _apply_seats(self, records: tuple[SeatRecord, ...], is_complete: bool) -> None:
         if self._is_running:
             now = self._now
             self._perform(self._decider.observe_seats(records, is_complete, now))
             self._perform(self._decider.tick(now))
-            self._tell_era()
+            self._publish_era()
 
-    def _tell_era(self) -> None:
-        """Tell the others once the own seats are confirmed in a new era."""
+    def _publish_era(self) -> None:
+        """Publish a new era once this process's seats are confirmed in it."""
         era = self._decider.era
-        if era > self._told_era:
-            self._told_era = era
+        if era > self._published_era:
+            self._published_era = era
             self._peers.publish_era(era)
 
     def _tick(self) -> None:
@@ -297,20 +305,20 @@
             self._live_at = now
             holders = self._peers.get_live_holders()
             self._fleet_size = len(holders.live)
-            self._decider.observe_live(holders, now)
+            self._decider.observe_live_holders(holders, now)
         if now >= self._read_at and not self._is_reading:
             self._read_at = now + self._get_read_period() * self._rng.uniform(0.5, 1.0)
             Deferred.fromCoroutine(self._read_seats())
         self._perform(self._decider.tick(now))
 
     def _get_read_period(self) -> float:
-        """Return how often the store is read: a fleet's reads stay the same."""
+        """Return the period of reads; it keeps the rate of a large fleet constant."""
         if not self._decider.is_settled:
             return FIRST_READ_PERIOD
-        return READ_PERIOD * max(1.0, self._fleet_size / READ_FLEET)
+        return READ_PERIOD * max(1.0, self._fleet_size / READ_FLEET_SIZE)
 
     def _set_timer(self) -> None:
-        """Keep one timer, at the earliest time at which something is due."""
+        """Set the single timer to the time at which `_tick` is next due."""
         if not self._is_running:
             return
         due = self._decider.get_wakeup(self._now)
--- a/beryltrack/connections/cancel.py
+++ b/beryltrack/connections/cancel.py
@@ -1,8 +1,8 @@
-"""Cancel requests to targets.
+"""Cancel requests to targets, as in the PostgreSQL protocol.
 
-A cancel request names a connection, not a statement, and goes over a connection
-of its own. While it is on the way, the connection that it names must not run
-anything for anybody else: the request would cancel that instead.
+A cancel request names a connection, not a statement, and is sent over a connection of
+its own. Until it has ended, the named connection must not run another request, which
+the cancel request could hit instead.
 """
 
 import logging
@@ -21,8 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds until a cancel request must have been carried out by the target.
 CANCEL_TIMEOUT = 5.0
+"""Seconds within which the target must have carried out a cancel request."""
 
 
 class CancelProtocol(Protocol):
@@ -36,8 +36,8 @@
     Attributes
     ----------
     done : Deferred of None
-        Fires when the target closes the connection, which it does after it
-        has passed the request on.
+        Fires when the target closes the connection, which it does after it has
+        forwarded the request.
     """
 
     def __init__(self, wire: bytes):
@@ -49,23 +49,23 @@
         self.transport.write(self._wire)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell that the target is done with the request."""
+        """Fire `done`: the target has handled the request."""
         if not self.done.called:
             self.done.callback(None)
 
     def _abort(self) -> None:
-        """Give up waiting for the target."""
+        """Stop waiting for the target."""
         self.transport.abortConnection()
 
 
 def make_endpoint(reactor, endpoint: Endpoint, timeout: float):
-    """Return Twisted's endpoint for an address by IP number."""
+    """Return Twisted's endpoint for a numeric IP address."""
     kind = TCP6ClientEndpoint if ":" in endpoint.host else TCP4ClientEndpoint
     return kind(reactor, endpoint.host, endpoint.port, timeout)
 
 
 def send_cancel(reactor, endpoint: Endpoint, key: BackendKeyData) -> "Deferred[bool]":
-    """Ask a target to cancel what one of its connections runs.
+    """Ask a target to cancel the request that one of its connections runs.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
     endpoint : Endpoint
         Address of the target.
     key : BackendKeyData
-        What the target gave the connection to be named by.
+        Process ID and secret key that the target gave the connection.
 
     Returns
     -------
@@ -89,7 +89,7 @@
     sending.addTimeout(CANCEL_TIMEOUT, reactor)
 
     def fail(failure: Failure) -> bool:
-        log.info("target: cancel request failed: %s", failure.getErrorMessage())
+        log.info("target: a cancel request failed: %s", failure.getErrorMessage())
         return protocol.transport is None
 
     return sending.addCallbacks(lambda _: True, fail)
--- a/beryltrack/connections/deadline_queue.py
+++ b/beryltrack/connections/deadline_queue.py
@@ -7,7 +7,7 @@
 
 
 class QueuedWaiter(NamedTuple):
-    """A waiter in its order: earliest deadline first, then first come.
+    """A queued request; sorts by earliest deadline, then by number.
 
     Parameters
     ----------
@@ -26,12 +26,12 @@
 
 
 class DeadlineQueue:
-    """A queue from which waiters may leave at any place.
+    """A priority queue from which any waiter can be removed.
 
     Parameters
     ----------
     by_deadline : bool
-        False if the waiters stand in the order of their numbers, in which they came.
+        False to order the waiters by their numbers, that is, by arrival.
     """
 
     def __init__(self, by_deadline: bool = True):
@@ -46,10 +46,10 @@
 
     @property
     def first(self) -> QueuedWaiter:
-        """The waiter whose turn it is; the queue must not be empty."""
+        """The waiter at the head; the queue must not be empty."""
         return self._queue[0]
 
-    def find_place(self, waiter: QueuedWaiter) -> int:
+    def find_position(self, waiter: QueuedWaiter) -> int:
         """Return how many waiters are before this one, or would be."""
         return self._queue.bisect_left(waiter)
 
@@ -59,7 +59,7 @@
         self._deadlines[waiter.waiter] = waiter.deadline
 
     def remove(self, number: int) -> None:
-        """Remove a waiter by its number; an unknown one changes nothing."""
+        """Remove a waiter by its number; an unknown one is ignored."""
         deadline = self._deadlines.pop(number, None)
         if deadline is not None:
             self._queue.remove(QueuedWaiter(deadline, number))
--- a/beryltrack/connections/exclusive.py
+++ b/beryltrack/connections/exclusive.py
@@ -1,8 +1,8 @@
-"""A connection to a target that runs one statement at a time.
+"""A connection to a target that runs one statement at a time, for any wire protocol.
 
-Whatever is not exactly one whole answer to the one statement in flight breaks the
-connection: it is closed and never used again, so that an answer that is late or partial
-cannot reach another caller. How bytes are told apart is the wire protocol's part.
+Anything but exactly one complete answer to the statement in flight closes the
+connection for good, so that a late or partial answer cannot reach another caller.
+Subclasses parse the wire protocol.
 """
 
 import math
@@ -26,13 +26,13 @@
     Parameters
     ----------
     start : bytes
-        What is sent first.
+        The first message to the target.
     limits : SocketLimits
-        When a silent target is given up.
+        TCP timeouts after which a silent target counts as lost.
     seconds : callable
-        The node's time.
+        The node's clock.
     account : str
-        Whose statements it runs.
+        Account to which the connection belongs.
     """
 
     def __init__(
@@ -48,25 +48,26 @@
         self.closed: Deferred[None] = Deferred()
         self.run_since: float | None = None
         self.run_until = math.inf
-        self.via = ""  # The instance that it goes through, if any.
+        # Owner through which the connection goes; empty if direct.
+        self.via = ""
         self.last_received_at = -math.inf
-        # True if that instance need not count the next operation of the account.
+        # True if the owner need not count the account's next operation.
         self.is_counted = False
-        # What the next operation asks for, as that instance is told.
+        # Demand of the next operation, to be sent to the owner.
         self.demand = DEFAULT_DEMAND
-        # Number of that instance's process if it understands demands; else zero.
+        # Incarnation of the owner's process if it understands demands; else zero.
         self.incarnation = 0
-        # Whose statement that instance was last told.
+        # The last ACCOUNT message that was sent to the owner.
         self.account_message = b""
-        # Called with what that instance tells of its load, and with when the statement
-        # was sent that it came with an answer to.
-        self.on_report: Callable[[TimedReport, float], object] = lambda told, since: (
+        # Called with each load report of the owner, and with the time at which the
+        # statement was sent whose answer the report came with.
+        self.on_report: Callable[[TimedReport, float], object] = lambda report, since: (
             None
         )
-        # Who follows the statements of the operation that it is lent for, if any.
+        # Observes the statements of the operation that holds the connection, if any.
         self.observer: RunObserver | None = None
-        # Called if that instance says that it does not reach the database, or (True)
-        # that it gives connections to none of the group's.
+        # Called if the owner reports that it does not reach the database, or (with
+        # True) that it no longer lends connections to any database of the group.
         self.on_target_unreachable: Callable[[bool], object] = lambda has_left: None
         self._start = start
         self._limits = limits
@@ -80,17 +81,17 @@
         return self._answer is not None
 
     def receive_bytes(self, data: bytes) -> None:
-        """Take bytes of the target.
+        """Parse bytes from the target.
 
         Raises
         ------
         MalformedMessage
-            If they are no answer to what runs.
+            If they are no answer to the statement in flight.
         """
         raise NotImplementedError
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Ask for the database."""
+        """Send the first message."""
         tune_socket(self.transport, self._limits)
         self.transport.write(self._start)
 
@@ -102,11 +103,12 @@
         Parameters
         ----------
         wire : bytes
-            The statement, with what goes before it.
+            The statement, with the messages that precede it.
         sink : ResponseSink
-            Takes the rows as they come.
+            Receives the rows as they arrive.
         limit : float
-            Seconds after which whoever watches the runs may close the connection.
+            Seconds after which the statement counts as overdue, so that the connection
+            may be closed.
 
         Returns
         -------
@@ -123,43 +125,43 @@
         self.run_until = self.run_since + limit
         if self.observer is not None:
             self.observer.observe_start()
-            answer.addBoth(self._tell_end, self.observer, self.run_since)
+            answer.addBoth(self._notify_end, self.observer, self.run_since)
         sink.attach(self)
         self.transport.write(wire)
         return answer
 
-    def end_run(self) -> "Deferred[ResponseEnd]":
-        """Be free for the next statement; return who waits for this one."""
+    def finish_run(self) -> "Deferred[ResponseEnd]":
+        """Free the connection for the next statement and return this one's Deferred."""
         answer, self._answer = self._answer, None
         self._sink.detach()
         self._sink = None
         self.run_since = None
         return answer
 
-    def _tell_end(
+    def _notify_end(
         self, end: ResponseEnd | Failure, observer: RunObserver, since: float
     ) -> ResponseEnd | Failure:
-        """Tell who follows a statement that it has ended."""
+        """Notify the observer that a statement has ended."""
         observer.observe_end(self._seconds() - since, end)
         return end
 
     def close(self) -> None:
-        """Close the connection; what it ran ends as lost."""
+        """Close the connection; a statement that runs fails with `TargetLost`."""
         self.broken = True
         if self.transport is not None:
             self.transport.abortConnection()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Read no more until the sink has room."""
+        """Stop reading until the sink accepts data."""
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read again."""
+        """Continue reading."""
         if not self.broken:
             self.transport.resumeProducing()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the target; what is malformed ends the connection."""
+        """Process bytes from the target; a malformed message ends the connection."""
         self.last_received_at = self._seconds()
         try:
             self.receive_bytes(data)
@@ -167,14 +169,14 @@
             self.close()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell whoever waits that the connection is gone."""
+        """Fail what waits for the connection, as it has ended."""
         self.broken = True
         text = reason.getErrorMessage()
         if not self.ready.called:
             self.ready.errback(ConnectionError(text))
         if self._answer is not None:
-            answer = self.end_run()
-            # Whoever gave it up was told so already.
+            answer = self.finish_run()
+            # A cancelled statement has failed already.
             if not answer.called:
                 answer.errback(TargetLost(True, text))
         self.closed.callback(None)
--- a/beryltrack/connections/lender.py
+++ b/beryltrack/connections/lender.py
@@ -26,7 +26,7 @@
 
 
 class _Promise(NamedTuple):
-    """A loan to make as soon as the own pool has closed enough connections."""
+    """A loan to grant when the lender's pool has closed enough connections."""
 
     borrower: str
     request: int
@@ -35,14 +35,14 @@
 
 
 class Lender:
-    """Lends connections that the own pool neither uses nor has open.
+    """Lends connections that the lender's pool neither needs nor has open.
 
     Parameters
     ----------
     key : str
         The database's key.
     policy : LoanPolicy
-        The figures that steer it.
+        Limits and timeouts of loans.
     """
 
     def __init__(self, key: str, policy: LoanPolicy):
@@ -59,33 +59,33 @@
 
     @property
     def promised_count(self) -> int:
-        """Connections that will be lent when the own pool has let go of them."""
+        """Connections that are lent once the lender's pool has closed them."""
         return sum(promise.count for promise in self._promises)
 
-    def drop_ended(self, now: float) -> None:
-        """Take back the loans whose time, margin included, is over."""
+    def remove_expired(self, now: float) -> None:
+        """Remove the loans that have expired, margin included."""
         self._lent = {n: lent for n, lent in self._lent.items() if now < lent.ends_at}
 
     def promise(
         self, sender: str, message: LoanRequest, spare: int, now: float
     ) -> list[SendToHolder]:
-        """Promise what is spare, or refuse.
+        """Promise spare connections, or refuse.
 
         Parameters
         ----------
         sender : str
             The borrower.
         message : LoanRequest
-            What it asks for.
+            Its request.
         spare : int
-            Connections that are not needed here.
+            Connections that the lender does not need.
         now : float
             The current time, seconds.
 
         Returns
         -------
         list of SendToHolder
-            A refusal, or nothing yet; `grant_promises` follows.
+            A refusal, or nothing; `grant_promises` sends the grant.
         """
         lendable = min(message.count, spare)
         if lendable <= 0:
@@ -94,13 +94,13 @@
         self._promises.append(_Promise(sender, message.request, lendable, until))
         return []
 
-    def grant_promises(self, room: int, now: float) -> list[SendToHolder]:
-        """Lend what was promised, as far as `room` connections are not open here."""
+    def grant_promises(self, headroom: int, now: float) -> list[SendToHolder]:
+        """Lend promised connections, at most `headroom`, which are not open here."""
         messages = []
         for promise in self._take_promises():
-            given = min(promise.count, room)
+            given = min(promise.count, headroom)
             if given > 0:
-                room -= given
+                headroom -= given
                 messages.append(self._lend(promise, given, now))
             elif now < promise.until:
                 self._promises.append(promise)
@@ -109,18 +109,18 @@
         return messages
 
     def receive_renewal(
-        self, sender: str, message: LoanRenewal, is_short: bool, now: float
+        self, sender: str, message: LoanRenewal, is_overlent: bool, now: float
     ) -> list[SendToHolder]:
-        """Lengthen a loan, or refuse to.
+        """Renew a loan, or refuse to.
 
         Parameters
         ----------
         sender : str
             The borrower.
         message : LoanRenewal
-            What it asks for.
-        is_short : bool
-            True if more is lent than may be, since seats are given up.
+            Its request.
+        is_overlent : bool
+            True if more connections are lent than usable, as seats are being released.
         now : float
             The current time, seconds.
 
@@ -130,23 +130,23 @@
             The answer.
         """
         lent = self._reduce(sender, message.loan, message.keep)
-        if lent is None or is_short or not self._may_renew(lent, now):
+        if lent is None or is_overlent or not self._may_renew(lent, now):
             return [self._refuse(sender, message.request)]
         self._lent[message.loan] = lent._replace(ends_at=self._compute_end(now))
         return [self._answer(sender, message.request, message.loan, lent.count)]
 
     def receive_return(self, sender: str, message: LoanReturn) -> None:
-        """Take back what a borrower gives up."""
+        """Handle the return of connections."""
         self._reduce(sender, message.loan, message.keep)
 
     def recall(self, missing: int, now: float) -> list[SendToHolder]:
-        """Ask for `missing` connections back, of the newest loans first."""
+        """Recall `missing` connections, from the newest loans first."""
         messages = []
         for loan, lent in reversed(list(self._lent.items())):
             wanted = min(missing, lent.count)
             missing -= wanted
-            is_told = now - lent.recall_sent_at < self._policy.repeat_period
-            if wanted > 0 and not is_told:
+            was_sent = now - lent.recall_sent_at < self._policy.repeat_period
+            if wanted > 0 and not was_sent:
                 first = now if lent.recalled_at is None else lent.recalled_at
                 self._lent[loan] = lent._replace(recalled_at=first, recall_sent_at=now)
                 recall = LoanRecall(self._key, loan, lent.count - wanted)
@@ -177,7 +177,7 @@
         return now < lent.ends_at and now - recalled_at < self._policy.recall_limit
 
     def _reduce(self, sender: str, loan: int, keep: int) -> _Lent | None:
-        """Lower a loan to what its borrower keeps; None if nothing is left."""
+        """Reduce a loan to what its borrower keeps; None if nothing is left."""
         lent = self._lent.get(loan)
         if lent is None or lent.borrower != sender:
             return None
--- a/beryltrack/connections/loan_links.py
+++ b/beryltrack/connections/loan_links.py
@@ -1,9 +1,8 @@
-"""The way by which budgets of different proxies talk: links of their own.
+"""Peer links over which the budgets of different proxies exchange loan messages.
 
-A budget talks to few others, those with which it shares databases. A link to
-such a peer is opened when there is something to say and stays open. What
-cannot be sent soon is dropped: a loan's request is repeated and a loan ends by
-itself.
+A budget exchanges messages with the few proxies with which it shares databases. A link
+to such a peer is opened for the first message and stays open. Messages that cannot be
+sent soon are dropped: requests for loans are repeated, and loans expire.
 """
 
 import logging
@@ -34,23 +33,30 @@
 
 SEAT_KIND = "seat"
 HOLDER_KIND = "member.holder"
-MOST_WAITING = 64
-LONGEST_WAIT = 1.0
-OPEN_PAUSE = 1.0
+
+MAX_QUEUED_MESSAGES = 64
+"""Messages that wait for one link to open; the oldest beyond it are dropped."""
+
+MAX_MESSAGE_AGE = 1.0
+"""Seconds after which a message that waits for a link is not sent."""
+
+OPEN_RETRY_PERIOD = 1.0
+"""Seconds between two attempts to open a link to the same peer."""
+
 SEPARATOR = "/"
 
 LIVE_STATES = PRESENT_STATES | {LISTED}
 
 
-class _Waiting(NamedTuple):
-    """A message that waits for its link to open."""
+class _QueuedMessage(NamedTuple):
+    """A message that waits for a link to open."""
 
     message: BudgetMessage
     sent_at: float
 
 
 def format_holder(name: str, incarnation: int) -> str:
-    """Return the identifier of a process: its instance's name and its start."""
+    """Return a process's identifier: its instance's name and its incarnation."""
     return f"{name}{SEPARATOR}{incarnation}"
 
 
@@ -59,14 +65,14 @@
     return holder.rpartition(SEPARATOR)[0]
 
 
-def get_holder_start(holder: str) -> int:
-    """Return the incarnation with which an identifier's process started."""
+def get_holder_incarnation(holder: str) -> int:
+    """Return the incarnation in an identifier, zero if it has none."""
     start = holder.rpartition(SEPARATOR)[2]
     return int(start) if start.isdecimal() else 0
 
 
 class LoanLinks:
-    """A `BudgetPeers` over the peers' links and shared knowledge.
+    """A `BudgetPeers` over peer links and gossiped items.
 
     Parameters
     ----------
@@ -75,7 +81,7 @@
     peers : PeerTask
         The peers of this proxy.
     incarnation : int
-        What the peers were told at the start of this process.
+        Incarnation under which this process joined the peers.
     """
 
     def __init__(self, reactor: IReactorTime, peers: PeerTask, incarnation: int):
@@ -83,8 +89,8 @@
         self._reactor = reactor
         self._peers = peers
         self._incarnation = incarnation
-        self._waiting: defaultdict[str, deque[_Waiting]] = defaultdict(
-            lambda: deque(maxlen=MOST_WAITING)
+        self._queued: defaultdict[str, deque[_QueuedMessage]] = defaultdict(
+            lambda: deque(maxlen=MAX_QUEUED_MESSAGES)
         )
         self._opened_at: dict[str, float] = {}
         self._holders: dict[str, str] = {}
@@ -98,29 +104,29 @@
         receive: Callable[[str, BudgetMessage], None],
         observe_seats: Callable[[tuple[SeatRecord, ...]], None],
     ) -> None:
-        """Begin to hand on messages and seats, and tell who this process is."""
+        """Start to deliver messages and seats; publish this process's identifier."""
         self._receive = receive
         self._observe_seats = observe_seats
         self._peers.set_owner(LOANS, self)
-        self._peers.subscribe(HOLDER_KIND, self._learn_holder)
-        self._peers.subscribe(SEAT_KIND, self._learn_seat)
+        self._peers.subscribe(HOLDER_KIND, self._observe_holder)
+        self._peers.subscribe(SEAT_KIND, self._observe_seat)
         self.publish_era(0)
 
     def get_live_holders(self) -> LiveHolders:
-        """Return who is live, by the instance list or by the peers' word.
+        """Return the live processes, by the instance list or by gossip.
 
-        A process is taken for gone only if its instance is gone by both, or if
-        a later process of the same instance is known.
+        A process counts as gone only if its instance is missing from both, or if a
+        later process of the same instance is known.
         """
         members = {member.name: member for member in self._peers.members}
         known = {*self._holders.values(), *self._seats.values()}
         live = frozenset(holder for holder in known if self._is_live(holder, members))
-        wanting = frozenset(
+        staying = frozenset(
             holder
             for holder in live
             if _is_staying(members.get(get_holder_name(holder)))
         )
-        return LiveHolders(live | {self.holder}, live - wanting, self._eras)
+        return LiveHolders(live | {self.holder}, live - staying, self._eras)
 
     def send(self, holder: str, message: BudgetMessage) -> None:
         """Send a message to a process, opening a link if there is none."""
@@ -128,54 +134,55 @@
         link = self._peers.get_link(name, LOANS)
         if link is None:
             now = self._reactor.seconds()
-            self._waiting[name].append(_Waiting(message, now))
+            self._queued[name].append(_QueuedMessage(message, now))
             self._open(name, now)
         elif self._get_holder(link) == holder and not link.is_stuck:
             link.send(message)
 
     def publish_seat(self, record: SeatRecord) -> None:
-        """Tell all proxies of a seat's object."""
+        """Publish a seat's record to all proxies."""
         self._peers.publish(
             KnowledgeItem(SEAT_KIND, str(record.seat), (record.version,), record.holder)
         )
 
     def publish_era(self, era: int) -> None:
-        """Tell all proxies who this process is, and what era its seats are of."""
+        """Publish this process's identifier and the era of its confirmed seats."""
         version = (self._incarnation, era)
         own = KnowledgeItem(HOLDER_KIND, self._peers.name, version, self.holder)
         self._peers.publish(own)
 
     def accept_link(self, link: PeerLink) -> None:
-        """Send what waited for this link, if it is not too old."""
+        """Send the messages that waited for this link, unless they are too old."""
         now = self._reactor.seconds()
-        for waiting in self._waiting.pop(link.peer.name, ()):
-            if now - waiting.sent_at <= LONGEST_WAIT:
-                link.send(waiting.message)
+        for queued in self._queued.pop(link.peer.name, ()):
+            if now - queued.sent_at <= MAX_MESSAGE_AGE:
+                link.send(queued.message)
 
     def accept_message(self, link: PeerLink, message: Message) -> None:
-        """Hand a budget's message on."""
+        """Deliver a loan message to the budget."""
         if isinstance(message, BudgetMessage):
             self._receive(self._get_holder(link), message)
         else:
             log.warning(
-                "connections: %s sent a message that is not for loans", link.peer.name
+                "connections: ignored a message from %s that is no loan message",
+                link.peer.name,
             )
 
     def resume_link(self, link: PeerLink) -> None:
-        """Do nothing: what could not be sent was dropped."""
+        """Do nothing: messages that could not be sent were dropped."""
 
     def lose_link(self, link: PeerLink, orderly: bool) -> None:
-        """Do nothing: the next message opens a link again."""
+        """Do nothing: the next message opens a new link."""
 
     def fail_link(self, peer: str, purpose: str) -> None:
-        """Drop what waited for a link that could not be opened."""
-        self._waiting.pop(peer, None)
+        """Drop the messages that waited for a link that could not be opened."""
+        self._queued.pop(peer, None)
 
     def _open(self, name: str, now: float) -> None:
-        """Open a link to a member, not more often than once a pause."""
+        """Open a link to a member, at most once per `OPEN_RETRY_PERIOD`."""
         member = next((m for m in self._peers.members if m.name == name), None)
-        is_tried = now - self._opened_at.get(name, float("-inf")) < OPEN_PAUSE
-        if member is not None and not is_tried:
+        was_tried = now - self._opened_at.get(name, float("-inf")) < OPEN_RETRY_PERIOD
+        if member is not None and not was_tried:
             self._opened_at[name] = now
             self._peers.open_link(member, LOANS)
 
@@ -186,20 +193,23 @@
         name = get_holder_name(holder)
         member = members.get(name)
         latest = self._holders.get(name, "")
-        is_latest = get_holder_start(holder) >= get_holder_start(latest)
+        is_latest = get_holder_incarnation(holder) >= get_holder_incarnation(latest)
         is_present = member is not None and member.state in LIVE_STATES
         listed = self._peers.listed
         return is_latest and (is_present or listed is None or name in listed)
 
-    def _learn_holder(self, item: KnowledgeItem) -> None:
+    def _observe_holder(self, item: KnowledgeItem) -> None:
         if isinstance(item.value, str):
             self._holders[item.key] = item.value
             self._eras[item.value] = item.version[1] if len(item.version) > 1 else 0
 
-    def _learn_seat(self, item: KnowledgeItem) -> None:
-        is_known = item.key.isdecimal() and isinstance(item.value, str)
-        if not is_known or len(item.version) != 1:
-            log.warning("connections: a peer told of a malformed seat")
+    def _observe_seat(self, item: KnowledgeItem) -> None:
+        is_valid = item.key.isdecimal() and isinstance(item.value, str)
+        if not is_valid or len(item.version) != 1:
+            log.warning(
+                "connections: ignored a malformed seat record from a peer: seat %r",
+                item.key,
+            )
             return
         record = SeatRecord(int(item.key), item.version[0], item.value)
         self._seats[record.seat] = record.holder
@@ -207,5 +217,5 @@
 
 
 def _is_staying(member: Member | None) -> bool:
-    """Return whether a member runs and is not leaving."""
+    """Return whether a member is running and not leaving."""
     return member is not None and member.state in (JOINED, LISTED)
--- a/beryltrack/connections/loan_policy.py
+++ b/beryltrack/connections/loan_policy.py
@@ -1,21 +1,21 @@
-"""The figures that steer the loans of connections."""
+"""Limits and timeouts of connection loans."""
 
 from typing import NamedTuple
 
 
 class LoanPolicy(NamedTuple):
-    """All times are in seconds.
+    """Limits and timeouts of connection loans; all times are in seconds.
 
     Parameters
     ----------
     duration : float
         How long a loan lasts without renewal.
     margin : float
-        What the lender adds, against clocks of different rates.
+        Time that the lender adds, for clocks that run at different rates.
     renew_after : float
-        Age of the last renewal at which the borrower asks for the next.
+        Age of the last renewal at which the borrower requests the next.
     soft_end : float
-        Time before the end in which a loan is not used for new work.
+        Time before the end of a loan in which it is not used for new requests.
     demand_window : float
         How long a peak of demand keeps connections from being lent.
     recall_limit : float
@@ -23,7 +23,7 @@
     repeat_period : float
         Time after which an unanswered request or recall is sent again.
     first_backoff, max_backoff : float
-        Bounds of the doubling pause after a lender's refusal.
+        Bounds of the exponential back-off after a lender's refusal.
     max_asked_lenders : int
         Most lenders to ask at the same time.
     """
--- a/beryltrack/connections/loans.py
+++ b/beryltrack/connections/loans.py
@@ -1,11 +1,11 @@
-"""One database's connections at one proxy: what is own, lent and borrowed.
-
-A loan lasts a bounded time. The borrower counts it from when it *sent* its
-request, the lender from when it granted it and with a margin on top, each on
-its own clock. So the borrower's right lapses before the lender uses the
-connections again, whatever is lost, late or repeated, as long as the clocks
-run at the same rate within the margin. What is returned or recalled early only
-makes the exchange faster; the proof does not rest on it.
+"""One database's connections at one proxy: own, lent and borrowed.
+
+A loan is a lease: a borrower may use connections of a lender's share for a bounded
+time. The borrower counts that time from when it *sent* its request, the lender from
+when it granted it, plus a margin, each on its own clock. So the loan expires at the
+borrower before the lender uses the connections again, whichever messages are lost, late
+or repeated, as long as the rates of the clocks agree within the margin. Early returns
+and recalls only save time; the limit holds without them.
 """
 
 from beryltrack.connections.borrower import Borrower
@@ -25,17 +25,17 @@
 
 
 class LoanBook:
-    """What a proxy may open at one database.
+    """The loans of one database at one proxy, and the limits that follow from them.
 
-    Each call that decides takes the pool's use at that very moment: what the
-    pool still has open is never given away.
+    Each call that decides takes the pool's use at that moment: connections that the
+    pool has open are never lent or returned.
 
     Parameters
     ----------
     key : str
         The database's key.
     policy : LoanPolicy
-        The figures that steer loans.
+        Limits and timeouts of loans.
     """
 
     def __init__(self, key: str, policy: LoanPolicy):
@@ -54,10 +54,10 @@
         return self._lender.lent_count
 
     @property
-    def is_quiet(self) -> bool:
-        """True if nothing is lent, borrowed or asked for, and no request waits."""
+    def is_idle(self) -> bool:
+        """True if nothing is lent, borrowed or requested, and the demand is met."""
         return (
-            self._borrower.is_quiet
+            self._borrower.is_idle
             and not self._lender.lent_count
             and not self._lender.promised_count
             and not self._use.waiting
@@ -72,49 +72,51 @@
         own : int
             Connections of all seats that are held.
         usable : int
-            The same without seats that are being given up.
+            The same without the seats that are being released.
         """
         self._own = own
         self._usable = usable
 
     def has_lent(self, now: float) -> bool:
-        """Return whether anything is lent that has not ended."""
-        self._lender.drop_ended(now)
+        """Return whether a loan to another proxy has not expired."""
+        self._lender.remove_expired(now)
         return self.lent_count > 0
 
     def can_shrink(self, use: DatabaseUse, now: float) -> bool:
-        """Return whether what is own but not usable can be given up now."""
-        rest = self._usable - self.lent_count
-        return rest >= 0 and rest + self._borrower.compute_held(now) >= use.open
+        """Return whether own connections that are not usable can be released now."""
+        remaining = self._usable - self.lent_count
+        return (
+            remaining >= 0 and remaining + self._borrower.compute_held(now) >= use.open
+        )
 
     def get_limit(self, now: float) -> int:
-        """Return the most connections for new work."""
+        """Return the most connections for new requests."""
         kept = self._usable - self.lent_count - self._lender.promised_count
         return max(0, kept + self._borrower.compute_usable(now))
 
-    def get_right(self, now: float) -> int:
-        """Return the most connections that may exist; it lapses by time alone."""
+    def get_hard_limit(self, now: float) -> int:
+        """Return the most connections that may exist; it falls as loans expire."""
         return max(0, self._own - self.lent_count + self._borrower.compute_held(now))
 
     def get_wakeup(self, now: float) -> float | None:
-        """Return when `tick` is next due, or None if nothing waits for time."""
-        if self.is_quiet:
+        """Return when `tick` is next due, or None if nothing is."""
+        if self.is_idle:
             return None
-        ends = [end for end in self._borrower.get_ends() if end > now]
+        ends = [end for end in self._borrower.get_end_times() if end > now]
         return min([now + self._policy.repeat_period, *ends])
 
     def receive(
         self, sender: str, message: BudgetMessage, use: DatabaseUse, now: float
     ) -> list[SendToHolder]:
-        """Take in a message of another proxy and return the answers."""
+        """Handle a message of another proxy and return the answers."""
         self._observe_use(use, now)
         match message:
             case LoanRequest():
                 answers = self._lender.promise(sender, message, self._spare, now)
                 return answers + self._grant_promises(now)
             case LoanRenewal():
-                is_short = self.lent_count > self._usable
-                return self._lender.receive_renewal(sender, message, is_short, now)
+                is_overlent = self.lent_count > self._usable
+                return self._lender.receive_renewal(sender, message, is_overlent, now)
             case LoanReturn():
                 self._lender.receive_return(sender, message)
             case LoanGrant():
@@ -123,13 +125,13 @@
                 self._borrower.receive_refusal(sender, message, now)
             case LoanRecall():
                 self._borrower.receive_recall(sender, message, now)
-                return self._return_unwanted(now)
+                return self._return_unused(now)
         return []
 
     def tick(
         self, lenders: tuple[str, ...], use: DatabaseUse, now: float
     ) -> list[SendToHolder]:
-        """Do what is due.
+        """Expire, grant, return, renew, request and recall loans as they are due.
 
         Parameters
         ----------
@@ -146,11 +148,11 @@
             Messages to send.
         """
         self._observe_use(use, now)
-        self._lender.drop_ended(now)
-        self._borrower.drop_ended(now)
+        self._lender.remove_expired(now)
+        self._borrower.remove_expired(now)
         return [
             *self._grant_promises(now),
-            *self._return_unwanted(now),
+            *self._return_unused(now),
             *self._borrower.renew(now),
             *self._borrow(lenders, now),
             *self._recall(now),
@@ -160,7 +162,7 @@
     def _spare(self) -> int:
         """Connections that are not needed here.
 
-        A borrower lends nothing: what it lent could outlast its own loan.
+        A borrower lends nothing, as such a loan could outlast its own.
         """
         if self._borrower.has_loans:
             return 0
@@ -176,12 +178,12 @@
 
     def _grant_promises(self, now: float) -> list[SendToHolder]:
         has_loans = self._borrower.has_loans
-        room = 0 if has_loans else self._usable - self.lent_count - self._use.open
-        return self._lender.grant_promises(room, now)
+        headroom = 0 if has_loans else self._usable - self.lent_count - self._use.open
+        return self._lender.grant_promises(headroom, now)
 
-    def _return_unwanted(self, now: float) -> list[SendToHolder]:
-        self._borrower.drop_surplus(self.get_limit(now) - self._peak)
-        return self._borrower.return_unwanted(self.get_right(now) - self._use.open)
+    def _return_unused(self, now: float) -> list[SendToHolder]:
+        self._borrower.reduce_use(self.get_limit(now) - self._peak)
+        return self._borrower.return_unused(self.get_hard_limit(now) - self._use.open)
 
     def _borrow(self, lenders: tuple[str, ...], now: float) -> list[SendToHolder]:
         missing = self._use.demand - self.get_limit(now)
@@ -190,7 +192,7 @@
         return self._borrower.borrow(missing, lenders, now)
 
     def _recall(self, now: float) -> list[SendToHolder]:
-        """Ask back what is needed here, or what is lent of a seat given up."""
+        """Recall connections that are needed here, or lent beyond the usable ones."""
         wanted = min(self._use.demand, self._usable) - self.get_limit(now)
-        over = self.lent_count - self._usable
-        return self._lender.recall(max(wanted, over), now)
+        overlent = self.lent_count - self._usable
+        return self._lender.recall(max(wanted, overlent), now)
--- a/beryltrack/connections/logon.py
+++ b/beryltrack/connections/logon.py
@@ -1,4 +1,4 @@
-"""The log-on to a target, from the start-up packet to ReadyForQuery; sans-I/O."""
+"""The PostgreSQL log-on to a target, up to ReadyForQuery, without I/O."""
 
 from typing import NamedTuple
 
@@ -33,7 +33,7 @@
 
 
 class Credentials(NamedTuple):
-    """Whom a connection logs on as.
+    """The database, user and password of a log-on.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     Parameters
     ----------
     credentials : Credentials
-        Whom to log on as.
+        The database, user and password.
     """
 
     def __init__(self, credentials: Credentials):
@@ -67,14 +67,14 @@
         self.position: LogPosition | None = None
         self.key = BackendKeyData()
         self._credentials = credentials
-        self._wire = FrontendConnection()
-        self._wire._decoder = BoundedBackendDecoder()
+        self._protocol = FrontendConnection()
+        self._protocol._decoder = BoundedBackendDecoder()
         self._scram: ScramClient | None = None
 
     @property
     def is_done(self) -> bool:
         """True when the target is ready for requests."""
-        return self._wire.phase is ConnectionPhase.READY
+        return self._protocol.phase is ConnectionPhase.READY
 
     def start(self) -> bytes:
         """Return the start-up packet."""
@@ -84,30 +84,29 @@
             "application_name": self._credentials.application_name,
             "client_encoding": "UTF8",
         }
-        return self._wire.send(StartupMessage(names))
+        return self._protocol.send(StartupMessage(names))
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the target and return what to send.
+        """Process bytes from the target and return the bytes to send.
 
         Raises
         ------
         ProtocolError, ScramException, ValueError
-            If the target does not keep to the protocol or asks for what is
-            not supported.
+            If the target violates the protocol or asks for an unsupported feature.
         """
         wire = b""
-        for message in self._wire.receive(data):
-            wire += self._take(message)
+        for message in self._protocol.receive(data):
+            wire += self._handle(message)
             if self.is_done or self.error is not None:
                 break
         return wire
 
     def take_rest(self) -> bytes:
-        """Return what came after ReadyForQuery."""
-        return self._wire._decoder.take_rest()
+        """Return the bytes that were received after ReadyForQuery."""
+        return self._protocol._decoder.take_rest()
 
-    def _take(self, message: PGMessage) -> bytes:
-        """Handle one message; return what to send."""
+    def _handle(self, message: PGMessage) -> bytes:
+        """Handle one message and return the bytes to send."""
         match message:
             case ParameterStatus(name=name, value=value):
                 if name == POSITION_PARAMETER:
@@ -132,18 +131,20 @@
             case AuthenticationSASLContinue(data=data):
                 self._scram.set_server_first(data.decode())
                 final = self._scram.get_client_final().encode()
-                return self._wire.send(SASLResponse(final))
+                return self._protocol.send(SASLResponse(final))
             case AuthenticationSASLFinal(data=data):
                 self._scram.set_server_final(data.decode())
                 return b""
-        # A password in clear text is never sent, whoever asks for it.
-        raise ProtocolError(f"{type(message).__name__} is not supported")
+        # Passwords are never sent in clear text or as MD5 hashes.
+        raise ProtocolError(f"unsupported message {type(message).__name__}")
 
     def _begin_scram(self, mechanisms: list[str]) -> bytes:
-        """Return the first message of the password exchange."""
+        """Return the client's first message of the SCRAM exchange."""
         if _SCRAM_MECHANISM not in mechanisms:
-            raise ProtocolError(f"the target offers only {mechanisms}")
+            raise ProtocolError(
+                f"the target does not offer {_SCRAM_MECHANISM}, only {mechanisms}"
+            )
         user, password = self._credentials.user, self._credentials.password
         self._scram = ScramClient([_SCRAM_MECHANISM], user, password)
         first = self._scram.get_client_first().encode()
-        return self._wire.send(SASLInitialResponse(_SCRAM_MECHANISM, first))
+        return self._protocol.send(SASLInitialResponse(_SCRAM_MECHANISM, first))
--- a/beryltrack/connections/messages.py
+++ b/beryltrack/connections/messages.py
@@ -1,7 +1,6 @@
-"""What a pool is asked, what it decides, and what it needs of a connection.
+"""Messages and actions of connection pools, and the interface of their connections.
 
-Waiters and connections are named by numbers that the pool's task gives out, so
-that the decider never touches a socket.
+Waiters and connections are identified by numbers, so that `PoolDecider` needs no I/O.
 """
 
 from enum import Enum
@@ -17,12 +16,12 @@
 
 
 class PooledConnection(Protocol):
-    """What a pool needs of a connection to a target.
+    """A connection to a target, as pools use it.
 
-    `run_since` is when the request that it runs was sent, by the node's clock;
-    None while it runs none. `run_until` is when that run is to be given up. `via`
-    names the instance that the connection goes through; empty if it goes straight.
-    `observer` is told of each statement, if there is one.
+    `run_since` is when the request that runs was sent, in seconds of the node's clock;
+    None if none runs. `run_until` is when that request counts as overdue. `via` is the
+    owner through which the connection goes; empty if it is direct. `observer`, if set,
+    is notified of each statement.
     """
 
     run_since: float | None
@@ -32,31 +31,31 @@
 
     @property
     def broken(self) -> bool:
-        """True if the connection is in doubt and must not be used again."""
+        """True if the connection's state is uncertain: it must not be used again."""
 
     @property
     def closed(self) -> Deferred[None]:
-        """Fires once when the connection is gone; callbacks pass the value on."""
+        """Fires once when the connection has ended; callbacks return their value."""
 
     def close(self) -> None:
-        """Close the connection; `closed` fires when it is gone."""
+        """Close the connection; `closed` fires when it has ended."""
 
 
 class RunObserver(Protocol):
-    """Follows the statements that run on a connection while it is lent."""
+    """Observes the statements that run on a connection while a request holds it."""
 
     def observe_start(self) -> None:
-        """Take in that a statement is sent."""
+        """Record that a statement is sent."""
 
     def observe_end(self, seconds: float, end: object) -> None:
-        """Take in that a statement has ended.
+        """Record that a statement has ended.
 
         Parameters
         ----------
         seconds : float
-            How long it took.
+            Its duration.
         end : ResponseEnd or Failure
-            What became of it.
+            The end of its answer, or its failure.
         """
 
 
@@ -69,7 +68,7 @@
     NO_SHARE = "no share of the target's connections is free"
     LEAVING = "the target takes no new work"
     OVER_LIMIT = "the account is over its limit"
-    OWNER_FULL = "too much waits where the connections are"
+    OWNER_FULL = "too many requests wait at the database's owner"
 
     @property
     def is_overload(self) -> bool:
@@ -85,14 +84,14 @@
 
 
 class PoolRefusal(NamedTuple):
-    """A refusal, true as "not run" and final.
+    """A final refusal: the request was not run.
 
     Parameters
     ----------
     reason : RefusalReason
-        Why.
+        Why the pool refused.
     retry_after : float
-        Seconds after which a new attempt has a fair chance.
+        Seconds after which a new attempt may succeed.
     """
 
     reason: RefusalReason
@@ -100,7 +99,7 @@
 
     @property
     def sqlstate(self) -> str:
-        """The SQLSTATE that says the same to a caller."""
+        """The SQLSTATE of the error that the caller receives."""
         if self.reason is RefusalReason.OVER_LIMIT:
             return CONFIGURATION_LIMIT_EXCEEDED
         is_overload = self.reason.is_overload
@@ -108,12 +107,12 @@
 
 
 class PoolRefused(Exception):
-    """Raised to who asked for a connection; the request was not run.
+    """Raised if a pool refuses a request, which was not run.
 
     Parameters
     ----------
     refusal : PoolRefusal
-        Why, and when to try again.
+        The reason, and when to retry.
     """
 
     def __init__(self, refusal: PoolRefusal):
@@ -122,7 +121,7 @@
 
 
 class TargetUnreachable(ConnectionError):
-    """No packet came back from where a target listens."""
+    """Raised if no packet came back from a target's address."""
 
 
 class ConnectRefused(Exception):
@@ -131,25 +130,25 @@
     Parameters
     ----------
     sqlstate : str
-        The target's SQLSTATE; 53300 means that its connections are used up.
+        The target's SQLSTATE; 53300 means that its connection limit is reached.
     is_target_unreachable : bool
-        True if another instance refused it that serves the group, and does not reach
-        this database alone.
+        True if an owner of the group refused it because this one database is
+        unreachable from it.
     """
 
     def __init__(self, sqlstate: str, is_target_unreachable: bool = False):
-        super().__init__(f"the target refused the connection: {sqlstate}")
+        super().__init__(f"the target refused the connection: SQLSTATE {sqlstate}")
         self.sqlstate = sqlstate
         self.is_target_unreachable = is_target_unreachable
 
 
 class TargetLost(Exception):
-    """Raised when a connection ended before the answer did.
+    """Raised if a connection ended before the answer did.
 
     Parameters
     ----------
     sent : bool
-        False if no byte of the request was sent: it was not run, truly. True
+        False if no byte of the request was sent, so that it was certainly not run. True
         if it may have been run.
     reason : str
         Why the connection ended.
@@ -162,14 +161,14 @@
 
 
 class GiveConnection(NamedTuple):
-    """Hand a connection to a waiter."""
+    """Give a connection to a waiter."""
 
     waiter: int
     connection: int
 
 
 class RefuseWaiter(NamedTuple):
-    """Tell a waiter that it gets no connection."""
+    """Refuse a waiter."""
 
     waiter: int
     refusal: PoolRefusal
@@ -183,7 +182,7 @@
 
 
 class CloseConnection(NamedTuple):
-    """Close a connection; report `observe_closed` when it is gone."""
+    """Close a connection; call `observe_closed` when it has ended."""
 
     connection: int
 
@@ -197,7 +196,7 @@
     Parameters
     ----------
     limit : int
-        Most connections that the pool may open now.
+        Most connections that the pool may have open now.
     open : int
         Connections that the target may still count, closing ones included.
     in_use : int
--- a/beryltrack/connections/open_backoff.py
+++ b/beryltrack/connections/open_backoff.py
@@ -5,15 +5,16 @@
 from beryltrack.connections.pool_policy import PoolPolicy
 
 NEVER = float("-inf")
+"""A time, in seconds, before all others."""
 
 
 class OpenBackoff:
-    """A jittered wait that doubles with each round of failures.
+    """Exponential back-off with jitter.
 
     Parameters
     ----------
     policy : PoolPolicy
-        Its bounds.
+        The bounds of the wait.
     rng : random.Random
         For the jitter.
     """
@@ -36,9 +37,9 @@
         return self._open_after
 
     def observe_failure(self, started: float, now: float) -> None:
-        """Take in a failure of an attempt that began at `started`.
+        """Record the failure of an attempt that began at `started`.
 
-        Of several opens that fail together, only the first counts.
+        Of several attempts that run at the same time, only the first failure counts.
         """
         if started >= self._failed_at:
             self._failures += 1
@@ -46,7 +47,7 @@
             self._open_after = now + self._compute_wait()
 
     def reset(self) -> None:
-        """Take in that the target answers."""
+        """End the back-off, as the target answers."""
         self._failures = 0
         self._open_after = NEVER
 
--- a/beryltrack/connections/opening.py
+++ b/beryltrack/connections/opening.py
@@ -1,4 +1,4 @@
-"""Opens connections to targets within a time limit, with errors of the usual types."""
+"""Opens connections to targets within a time limit, with a fixed set of error types."""
 
 from typing import Protocol
 
@@ -13,7 +13,7 @@
 
 
 class OpeningConnection(Protocol):
-    """A connection whose `ready` fires with it once a target has taken it."""
+    """A connection whose `ready` fires with it when the target has accepted it."""
 
     ready: Deferred
     transport: object
@@ -34,28 +34,28 @@
     Parameters
     ----------
     reactor : IReactorTCP
-        Opens it.
+        Opens the connection and measures the timeouts.
     endpoint : Endpoint
-        Where the target listens.
+        Address of the target.
     connection : OpeningConnection
         The connection.
     timeout : float
         Seconds within which it must be ready.
     reach_timeout : float, optional
-        Seconds within which the target must be reached at all; it may be ready later.
+        Seconds within which the TCP connection must be established.
 
     Returns
     -------
     Deferred
-        Fires with the connection. Fails with `ConnectRefused` if the target answered
-        and refused, with `TargetUnreachable` if nothing came back in time, and with
-        another `ConnectionError` if it is not ready in time or breaks off.
+        Fires with the connection. Fails with `ConnectRefused` if the target refused the
+        session, with `TargetUnreachable` if no packet arrived from it in time, and with
+        another `ConnectionError` if the connection is not ready in time or ends.
     """
     reach = timeout if reach_timeout is None else min(reach_timeout, timeout)
     opening = TCP4ClientEndpoint(reactor, endpoint.host, endpoint.port, reach)
     connecting = connectProtocol(opening, connection)
     connecting.addCallback(lambda _: connection.ready)
-    timer = reactor.callLater(timeout, _give_up, connection, connecting)
+    timer = reactor.callLater(timeout, _abort, connection, connecting)
 
     def stop_timer(result: object) -> object:
         is_late = not timer.active()
@@ -69,10 +69,10 @@
 
 
 def _translate(failure: Failure, is_late: bool, is_reached: bool) -> Failure:
-    """Return why a connection could not be opened, in the usual types.
+    """Return a failure to open a connection as one of the documented types.
 
-    Twisted's own errors of connections are no `OSError`. A cancellation from
-    outside stays one, so that whoever stops is not taken to have failed.
+    Twisted's connection errors are no `OSError`. A cancellation by the caller of
+    `open_within` stays a `CancelledError`, so that it is not taken for a failure.
     """
     if failure.check(ConnectRefused):
         return failure
@@ -85,8 +85,8 @@
     return Failure(ConnectionError(text))
 
 
-def _give_up(connection: OpeningConnection, connecting: Deferred) -> None:
-    """End an attempt that takes too long."""
+def _abort(connection: OpeningConnection, connecting: Deferred) -> None:
+    """Abort an attempt that has timed out."""
     if connection.transport is not None:
         connection.close()
     else:
--- a/beryltrack/connections/pool.py
+++ b/beryltrack/connections/pool.py
@@ -1,17 +1,19 @@
-"""The decisions of one database's pool of connections, without any socket.
+"""The decisions of one database's connection pool, without I/O.
 
-A connection is lent per transaction. Requests wait in the order of their
-deadlines. Who cannot be done in time, by what holds took of late, is told so
-at once: a refusal is final and true, for nothing was sent.
+A connection is lent for one transaction. Requests wait in the order of their deadlines.
+A request that is not expected to end before its deadline, judged by recent hold times,
+is refused at once. A refusal is final: nothing of the request was sent.
 
-A connection belongs to one account. Where accounts outnumber the connections, one that
-rests is closed for an account that has none; `resting` says which.
+A connection belongs to one account. Where accounts outnumber the connections, an idle
+one is closed in favour of an account that has none; `idle_ranking` chooses it.
 """
 
 import random
 from enum import Enum
 
+from beryltrack.connections.connection_table import ConnectionTable
 from beryltrack.connections.deadline_queue import QueuedWaiter
+from beryltrack.connections.idle_ranking import IdleRanking
 from beryltrack.connections.messages import (
     CloseConnection,
     GiveConnection,
@@ -24,38 +26,45 @@
 )
 from beryltrack.connections.open_backoff import OpenBackoff
 from beryltrack.connections.pool_policy import PoolPolicy
-from beryltrack.connections.resting import Resting
-from beryltrack.connections.room import TargetRoom
 from beryltrack.connections.service_estimate import ServiceEstimate
-from beryltrack.connections.stock import ConnectionStock
+from beryltrack.connections.target_capacity import TargetCapacity
 from beryltrack.connections.wait_model import WaitModel, model_waits
 from beryltrack.connections.waiting import WaitingRequests
 
-FIRST_HOLD_TIME = 0.005
-FIRST_OPEN_TIME = 0.03
-LEAST_RETRY_AFTER = 0.05
+INITIAL_HOLD_TIME = 0.005
+"""Seconds that a request is assumed to hold a connection before the first sample."""
+
+INITIAL_OPEN_TIME = 0.03
+"""Seconds that opening a connection is assumed to take before the first sample."""
+
+MIN_RETRY_AFTER = 0.05
+"""Shortest time to a retry that a refusal advises, seconds."""
+
 SCAN_PERIOD = 0.05
-# A hold this many times as long as expected is not counted on to end soon.
+"""Seconds between two checks of the queue for requests that have become too late."""
+
 STUCK_FACTOR = 8.0
+"""A request that holds a connection for this many times the expected time counts as
+stuck: the estimate of waits does not expect it to end soon."""
 
 
 class _State(Enum):
-    """Whether the pool takes work."""
+    """Whether the pool accepts requests."""
 
     ACTIVE = 1
     DRAINING = 2
 
 
 class PoolDecider:
-    """Decides who gets a connection, and when to open and close connections.
+    """Decides which request gets a connection, and when to open and close connections.
 
-    Each method takes the current time in seconds and returns the actions to
-    carry out, in order.
+    Methods take the current time in seconds and return the actions to carry out, in
+    order.
 
     Parameters
     ----------
     policy : PoolPolicy
-        The figures that steer it.
+        Limits and timeouts.
     limit : int
         Most connections that it may have open.
     rng : random.Random
@@ -66,16 +75,16 @@
         self._policy = policy
         self._limit = limit
         self._state = _State.ACTIVE
-        self._stock = ConnectionStock()
-        self._brief: dict[int, None] = {}
-        self._uncounted: set[int] = set()
+        self._table = ConnectionTable()
+        self._brief_waiters: dict[int, None] = {}
+        self._brief_uses: set[int] = set()
         self._waiters = WaitingRequests(policy.by_deadline)
-        self._hold = ServiceEstimate(FIRST_HOLD_TIME)
-        self._resting = Resting(self._stock, self._hold)
-        self._open_time = ServiceEstimate(FIRST_OPEN_TIME)
+        self._hold_time = ServiceEstimate(INITIAL_HOLD_TIME)
+        self._idle_ranking = IdleRanking(self._table, self._hold_time)
+        self._open_time = ServiceEstimate(INITIAL_OPEN_TIME)
         self._backoff = OpenBackoff(policy, rng)
-        self._room = TargetRoom(rng)
-        self._dry_since: float | None = None
+        self._capacity = TargetCapacity(rng)
+        self._no_share_since: float | None = None
 
     @property
     def limit(self) -> int:
@@ -85,21 +94,21 @@
     @property
     def open_count(self) -> int:
         """Connections that the target may count, closing ones included."""
-        return self._stock.open_count
+        return self._table.open_count
 
     @property
     def outstanding(self) -> int:
         """Requests that hold a connection or wait for one."""
-        return len(self._stock.in_use) + len(self._waiters)
+        return len(self._table.in_use) + len(self._waiters)
 
     @property
-    def is_short(self) -> bool:
+    def is_oversubscribed(self) -> bool:
         """True if more requests want a connection than may be open."""
         return self.outstanding > self._limit
 
     @property
     def is_drained(self) -> bool:
-        """True if the pool takes no work and all its connections are gone."""
+        """True if the pool is draining and all its connections have ended."""
         return self._state is _State.DRAINING and self.open_count == 0
 
     def get_load(self, now: float) -> PoolLoad:
@@ -107,10 +116,10 @@
         return PoolLoad(
             self._limit,
             self.open_count,
-            len(self._stock.in_use),
+            len(self._table.in_use),
             len(self._waiters),
             self._compute_wait(len(self._waiters), now),
-            self._hold.mean,
+            self._hold_time.mean,
         )
 
     def acquire(
@@ -127,66 +136,66 @@
         now : float
             The current time.
         account : str
-            Whose connection it must be.
+            Account to which the connection must belong.
 
         Returns
         -------
         list of PoolAction
-            A connection, a refusal, or what has to be opened while it waits.
+            A connection, a refusal, or the connections to open while it waits.
         """
         if self._state is not _State.ACTIVE:
             return [self._refuse(waiter, RefusalReason.LEAVING, now)]
         if self._policy.retained_fraction:
-            self._resting.rates.observe(account, now)
-        idle = self._stock.find_idle(account)
-        if idle is not None and now + self._compute_service() <= deadline:
+            self._idle_ranking.rates.observe(account, now)
+        idle = self._table.find_idle(account)
+        if idle is not None and now + self._compute_service_time() <= deadline:
             return [self._give(waiter, idle, now)]
         if len(self._waiters) >= self._policy.queue_limit:
             return [self._refuse(waiter, RefusalReason.QUEUE_FULL, now)]
-        if self._is_cut_off(now):
+        if self._is_unreachable(now):
             return [self._refuse(waiter, RefusalReason.UNREACHABLE, now)]
         queued = QueuedWaiter(deadline, waiter)
-        place = self._waiters.find_place(queued)
+        position = self._waiters.find_position(queued)
         model = self._model_waits(now)
-        wait = model.get_wait(place)
+        wait = model.get_wait(position)
         refuses_early = self._policy.refuses_early
-        if refuses_early and now + wait + self._compute_service() > deadline:
+        if refuses_early and now + wait + self._compute_service_time() > deadline:
             return [self._refuse(waiter, RefusalReason.TOO_LATE, now)]
-        # A connection that is opened for it is no queue, however long that takes.
-        is_queued = place >= model.free
+        # A slow opening is no queue: `max_wait` bounds only waits for other requests.
+        is_queued = position >= model.free
         if refuses_early and is_queued and wait > self._policy.max_wait:
             return [self._refuse(waiter, RefusalReason.QUEUE_FULL, now)]
         self._waiters.add(queued, account, now)
-        # Whoever now waits behind may have lost its last chance.
-        is_last = place == len(self._waiters) - 1
+        # The requests behind it in the queue may be too late now.
+        is_last = position == len(self._waiters) - 1
         late = [] if is_last and self._limit else self._refuse_late(now)
-        return late + self._fill(now)
+        return late + self._open_wanted(now)
 
     def acquire_briefly(self, waiter: int, now: float) -> list[PoolAction]:
-        """Ask for a connection for a short request of the proxy's own.
+        """Ask for a connection for a short request of the proxy itself.
 
-        It goes before the requests of callers, and how long it takes tells nothing of
-        them. No connection is opened for it.
+        It goes before the requests of callers. No connection is opened for it, and the
+        time for which it holds one is not a sample of the expected hold time.
         """
         if self._state is not _State.ACTIVE:
             return [self._refuse(waiter, RefusalReason.LEAVING, now)]
-        if self._stock.idle:
-            return [self._give_briefly(waiter, next(reversed(self._stock.idle)), now)]
-        self._brief[waiter] = None
+        if self._table.idle:
+            return [self._give_briefly(waiter, next(reversed(self._table.idle)), now)]
+        self._brief_waiters[waiter] = None
         return []
 
     def _give_briefly(self, waiter: int, connection: int, now: float) -> GiveConnection:
-        self._uncounted.add(connection)
+        self._brief_uses.add(connection)
         return self._give(waiter, connection, now)
 
     def cancel(self, waiter: int) -> None:
-        """Forget a waiter that does not want its connection any more."""
+        """Remove a request that no longer needs a connection from the queue."""
         self._remove(waiter)
 
     def _remove(self, waiter: int) -> None:
-        """Take a waiter out of the queue."""
+        """Remove a waiter from the queue."""
         self._waiters.remove(waiter)
-        self._brief.pop(waiter, None)
+        self._brief_waiters.pop(waiter, None)
 
     def release(
         self, connection: int, is_reusable: bool, now: float
@@ -198,181 +207,186 @@
         connection : int
             Its number.
         is_reusable : bool
-            False if anything about it is in doubt; it is thrown away.
+            False if its state is uncertain; it is closed then.
         now : float
             The current time.
 
         Returns
         -------
         list of PoolAction
-            What follows from it.
+            The actions that follow.
         """
-        if connection not in self._stock.in_use:
+        if connection not in self._table.in_use:
             return []
         held = self._end_use(connection, now)
-        if connection in self._uncounted:
-            self._uncounted.discard(connection)
+        if connection in self._brief_uses:
+            self._brief_uses.discard(connection)
         else:
-            self._hold.observe(held)
-        surplus = self._stock.live_count >= self._limit
+            self._hold_time.observe(held)
+        surplus = self._table.live_count >= self._limit
         if not is_reusable or surplus or self._state is not _State.ACTIVE:
-            return self._close(connection) + self._fill(now)
-        return self._serve(connection, now)
+            return self._close(connection) + self._open_wanted(now)
+        return self._reuse(connection, now)
 
     def observe_opened(self, connection: int, now: float) -> list[PoolAction]:
-        """Take in that a connection is open."""
-        self._open_time.observe(now - self._stock.opening.pop(connection))
+        """Record that a connection is open."""
+        self._open_time.observe(now - self._table.opening.pop(connection))
         self._backoff.reset()
-        self._room.observe_opened(self._stock.established_count + 1)
-        if self._state is not _State.ACTIVE or self._stock.live_count >= self._limit:
+        self._capacity.observe_opened(self._table.established_count + 1)
+        if self._state is not _State.ACTIVE or self._table.live_count >= self._limit:
             return self._close(connection)
-        # It was opened for its account: closed unused it would only be opened anew.
-        return self._give_free(connection, now) + self._fill(now)
+        # Not `_reuse`: closed unused for another account it would only be opened again.
+        return self._give_free(connection, now) + self._open_wanted(now)
 
     def observe_open_failed(
         self, connection: int, now: float, is_full: bool = False
     ) -> list[PoolAction]:
-        """Take in that a connection could not be opened: back off.
+        """Handle a failed opening: back off.
 
-        `is_full` is True if the target has no room for more connections. Accounts then
-        take turns with those that are open: without this one that rests would keep
-        its account's place while others wait in vain.
+        `is_full` is True if the target has reached its connection limit. The accounts
+        then share the open connections by round robin: otherwise idle connections
+        would stay with their accounts while requests of other accounts time out.
         """
-        has_accounts = bool(self._stock.get_account(connection))
-        started = self._stock.fail(connection)
-        if is_full and has_accounts and self._stock.established_count:
-            self._room.observe_full(self._stock.established_count, now)
-            return self._refuse_late(now) + self._fill(now)
+        has_accounts = bool(self._table.get_account(connection))
+        started = self._table.remove_failed(connection)
+        if is_full and has_accounts and self._table.established_count:
+            self._capacity.observe_full(self._table.established_count, now)
+            return self._refuse_late(now) + self._open_wanted(now)
         self._backoff.observe_failure(started, now)
-        if self._is_cut_off(now):
+        if self._is_unreachable(now):
             return self._refuse_all(RefusalReason.UNREACHABLE, now)
         return self._refuse_late(now)
 
     def observe_closed(self, connection: int, now: float) -> list[PoolAction]:
-        """Take in that a connection is gone, by whatever cause."""
-        self._uncounted.discard(connection)
-        self._stock.forget(connection)
-        return self._fill(now)
+        """Record that a connection has ended, for any reason."""
+        self._brief_uses.discard(connection)
+        self._table.remove(connection)
+        return self._open_wanted(now)
 
     def set_limit(self, limit: int, now: float) -> list[PoolAction]:
         """Change how many connections may be open.
 
-        A surplus is closed at once if idle, else when it comes back.
+        A surplus connection is closed at once if idle, else when it is released.
         """
         self._limit = limit
-        surplus = min(max(0, self._stock.live_count - limit), len(self._stock.idle))
-        closed = tuple(reversed(self._stock.idle))[:surplus]
+        surplus = min(max(0, self._table.live_count - limit), len(self._table.idle))
+        closed = tuple(reversed(self._table.idle))[:surplus]
         actions = [action for number in closed for action in self._close(number)]
-        return actions + self._refuse_late(now) + self._fill(now)
+        return actions + self._refuse_late(now) + self._open_wanted(now)
 
     def set_policy(self, policy: PoolPolicy) -> None:
-        """Go by other figures from now on."""
+        """Replace the policy for all later decisions."""
         self._policy = policy
 
     def enforce_limit(self, limit: int) -> list[PoolAction]:
         """Close connections beyond `limit`, also those in use.
 
-        Only for a share that has lapsed: it may be in other hands already.
-        Those in use for the shortest time go first, for they lose the least.
+        Only for a share that has expired: another instance may use it already. Idle
+        connections go first, then those in use for the shortest time, which lose the
+        least work.
         """
-        surplus = max(0, self._stock.live_count - limit)
-        idle = list(self._stock.idle)
+        surplus = max(0, self._table.live_count - limit)
+        idle = list(self._table.idle)
         in_use = sorted(
-            self._stock.in_use, key=self._stock.in_use.__getitem__, reverse=True
+            self._table.in_use, key=self._table.in_use.__getitem__, reverse=True
         )
         chosen = (idle + in_use)[:surplus]
         return [action for number in chosen for action in self._close(number)]
 
     @property
     def idle_numbers(self) -> tuple[int, ...]:
-        """Numbers of the connections that are open and lent to nobody."""
-        return tuple(self._stock.idle)
+        """Numbers of the open connections that no request holds."""
+        return tuple(self._table.idle)
 
     def drain(self, now: float) -> list[PoolAction]:
-        """Take no new work; connections in use close when they come back."""
+        """Refuse new requests; connections in use close when they are released."""
         self._state = _State.DRAINING
-        idle = tuple(self._stock.idle)
+        idle = tuple(self._table.idle)
         closed = [action for number in idle for action in self._close(number)]
         return closed + self._refuse_all(RefusalReason.LEAVING, now)
 
     def resume(self, now: float) -> list[PoolAction]:
-        """Take work again after a drain."""
+        """Accept requests again after a drain."""
         self._state = _State.ACTIVE
-        return self._fill(now)
+        return self._open_wanted(now)
 
     def observe_reachable(self, now: float) -> list[PoolAction]:
-        """Take in that the target answers elsewhere: do not back off any longer."""
+        """End the back-off, as the target answers on another connection."""
         self._backoff.reset()
-        return self._fill(now)
+        return self._open_wanted(now)
 
     def tick(self, now: float) -> list[PoolAction]:
-        """Do what is due by time alone: refusals, reaping, opening."""
-        return self._refuse_late(now) + self._reap(now) + self._fill(now)
+        """Refuse late requests, close expired connections and open wanted ones."""
+        return self._refuse_late(now) + self._reap(now) + self._open_wanted(now)
 
     def get_wakeup(self, now: float) -> float | None:
-        """Return when `tick` is next due, or None if nothing waits for time."""
+        """Return when `tick` is next due, or None if nothing is."""
         if self._waiters:
             return self._get_next_scan(now)
         if self._state is not _State.ACTIVE:
             return None
         times = []
-        if now < self._backoff.open_after and self._list_wanted(now):
+        if now < self._backoff.open_after and self._list_accounts_to_open(now):
             times.append(self._backoff.open_after)
-        end = self._resting.get_next_end(self._policy, self._limit, now)
+        end = self._idle_ranking.get_next_expiry(self._policy, self._limit, now)
         return min((*times, *([] if end is None else [end])), default=None)
 
     def _get_next_scan(self, now: float) -> float:
-        """Return when to look at the waiters again."""
+        """Return when to check the waiting requests again."""
         scan = now + SCAN_PERIOD
-        ends = (since + self._policy.open_delay for since in self._waiters.times)
+        ends = (
+            since + self._policy.open_delay for since in self._waiters.arrival_times
+        )
         return min(scan, next((end for end in ends if end > now), scan))
 
-    def _list_wanted(self, now: float) -> list[str]:
-        """Return whose connections to open besides those on the way."""
-        latest = now - self._policy.open_delay
-        wanted = self._waiters.list_wanted(self._stock, latest)
-        for_warmth = self._policy.warm - self._stock.live_count - len(wanted)
-        return wanted + [""] * for_warmth
+    def _list_accounts_to_open(self, now: float) -> list[str]:
+        """Return the accounts to open connections for, beside those being opened."""
+        arrived_by = now - self._policy.open_delay
+        wanted = self._waiters.list_accounts_to_open(self._table, arrived_by)
+        warm_count = self._policy.warm - self._table.live_count - len(wanted)
+        return wanted + [""] * warm_count
 
-    def _is_cut_off(self, now: float) -> bool:
-        """Return whether nothing is open and opening has just failed."""
+    def _is_unreachable(self, now: float) -> bool:
+        """Return whether no connection is open and the last attempt failed."""
         return (
-            self._stock.live_count == 0
+            self._table.live_count == 0
             and now < self._backoff.open_after
             and self._backoff.has_failed
         )
 
-    def _compute_service(self) -> float:
-        """Return a time in which a request that holds a connection is done.
+    def _compute_service_time(self) -> float:
+        """Return the time within which a request that holds a connection should end.
 
-        While none is held the estimate has nothing to learn from. A request
-        must be let through then, or one long hold would refuse all for ever.
+        Zero while no connection is in use: the estimate gets no samples then, and one
+        long hold would otherwise have all later requests refused for ever.
         """
-        if not self._stock.in_use:
+        if not self._table.in_use:
             return 0.0
-        return self._hold.mean + self._policy.deviations * self._hold.deviation
+        return (
+            self._hold_time.mean + self._policy.deviations * self._hold_time.deviation
+        )
 
     def _model_waits(self, now: float) -> WaitModel:
-        """Return how the expected wait depends on the place in the queue."""
+        """Return the expected wait by position in the queue."""
         is_backing_off = now < self._backoff.open_after
         return model_waits(
-            self._stock.live_count if is_backing_off else self._get_most_open(now),
-            self._stock.in_use.values(),
-            0.0 if self._stock.idle else self._open_time.mean,
-            self._hold.mean,
-            now - STUCK_FACTOR * self._compute_service(),
+            self._table.live_count if is_backing_off else self._get_max_open(now),
+            self._table.in_use.values(),
+            0.0 if self._table.idle else self._open_time.mean,
+            self._hold_time.mean,
+            now - STUCK_FACTOR * self._compute_service_time(),
             now,
         )
 
-    def _compute_wait(self, place: int, now: float) -> float:
-        """Return the expected wait of the request at a place in the queue."""
-        return self._model_waits(now).get_wait(place)
+    def _compute_wait(self, position: int, now: float) -> float:
+        """Return the expected wait at a position in the queue, seconds."""
+        return self._model_waits(now).get_wait(position)
 
     def _refuse(self, waiter: int, reason: RefusalReason, now: float) -> RefuseWaiter:
-        """Return a refusal with the time after which a retry is worth while."""
+        """Return a refusal with the time after which a retry may succeed."""
         until_open = self._backoff.open_after - now
         wait = max(self._compute_wait(len(self._waiters), now), until_open)
-        return RefuseWaiter(waiter, PoolRefusal(reason, max(LEAST_RETRY_AFTER, wait)))
+        return RefuseWaiter(waiter, PoolRefusal(reason, max(MIN_RETRY_AFTER, wait)))
 
     def _refuse_waiter(
         self, waiter: int, reason: RefusalReason, now: float
@@ -381,117 +395,120 @@
         return self._refuse(waiter, reason, now)
 
     def _refuse_all(self, reason: RefusalReason, now: float) -> list[PoolAction]:
-        waiters = [*self._brief, *(queued.waiter for queued in self._waiters)]
+        waiters = [*self._brief_waiters, *(queued.waiter for queued in self._waiters)]
         return [self._refuse_waiter(waiter, reason, now) for waiter in waiters]
 
     def _refuse_late(self, now: float) -> list[PoolAction]:
-        """Refuse whoever cannot be done in time any more."""
-        if self._is_dry_for_long(now):
+        """Refuse the waiting requests that are not expected to end in time."""
+        if self._is_share_overdue(now):
             return self._refuse_all(RefusalReason.NO_SHARE, now)
         if not self._waiters:
             return []
         if not self._policy.refuses_early:
-            over = [each.waiter for each in self._waiters if now > each.deadline]
+            late = [each.waiter for each in self._waiters if now > each.deadline]
             return [
-                self._refuse_waiter(each, RefusalReason.TOO_LATE, now) for each in over
+                self._refuse_waiter(each, RefusalReason.TOO_LATE, now) for each in late
             ]
-        late, place = [], 0
-        model, done_at = self._model_waits(now), now + self._compute_service()
+        late, position = [], 0
+        model, done_at = self._model_waits(now), now + self._compute_service_time()
         for queued in self._waiters:
-            if done_at + model.get_wait(place) > queued.deadline:
+            if done_at + model.get_wait(position) > queued.deadline:
                 late.append(queued.waiter)
             else:
-                place += 1
+                position += 1
         return [
             self._refuse_waiter(waiter, RefusalReason.TOO_LATE, now) for waiter in late
         ]
 
-    def _is_dry_for_long(self, now: float) -> bool:
-        """Return whether requests waited long enough for a share to come."""
+    def _is_share_overdue(self, now: float) -> bool:
+        """Return whether requests have waited for a share longer than `share_wait`."""
         if self._limit > 0 or not self._waiters:
-            self._dry_since = None
+            self._no_share_since = None
             return False
-        if self._dry_since is None:
-            self._dry_since = now
-        return now - self._dry_since > self._policy.share_wait
+        if self._no_share_since is None:
+            self._no_share_since = now
+        return now - self._no_share_since > self._policy.share_wait
 
     def _give(self, waiter: int, connection: int, now: float) -> GiveConnection:
-        self._stock.idle.pop(connection, None)
-        self._stock.in_use[connection] = now
+        self._table.idle.pop(connection, None)
+        self._table.in_use[connection] = now
         return GiveConnection(waiter, connection)
 
     def _end_use(self, connection: int, now: float) -> float:
-        """Take a connection out of use and return how long it was held."""
-        return now - self._stock.in_use.pop(connection)
-
-    def _serve(self, connection: int, now: float) -> list[PoolAction]:
-        """Give on a connection that came back, or close it for another account."""
-        account = self._stock.get_account(connection)
-        if not self._brief and self._find_poorer(account, now) is not None:
+        """End the use of a connection and return its length in seconds."""
+        return now - self._table.in_use.pop(connection)
+
+    def _reuse(self, connection: int, now: float) -> list[PoolAction]:
+        """Give a released connection to a waiter, or close it for another account."""
+        account = self._table.get_account(connection)
+        if (
+            not self._brief_waiters
+            and self._find_preferred_account(account, now) is not None
+        ):
             return self._close(connection)
         return self._give_free(connection, now)
 
     def _give_free(self, connection: int, now: float) -> list[PoolAction]:
-        """Give a free connection to the first waiter that can still be done."""
+        """Give a free connection to the first waiter that can still end in time."""
         actions: list[PoolAction] = []
-        if self._brief:
-            waiter = next(iter(self._brief))
+        if self._brief_waiters:
+            waiter = next(iter(self._brief_waiters))
             self._remove(waiter)
             return [self._give_briefly(waiter, connection, now)]
-        account = self._stock.get_account(connection)
+        account = self._table.get_account(connection)
         while (first := self._waiters.find_first(account)) is not None:
             self._remove(first.waiter)
-            if now + self._compute_service() <= first.deadline:
+            if now + self._compute_service_time() <= first.deadline:
                 return [*actions, self._give(first.waiter, connection, now)]
             actions.append(self._refuse(first.waiter, RefusalReason.TOO_LATE, now))
-        self._stock.idle[connection] = now
-        return actions + self._fill(now)
+        self._table.idle[connection] = now
+        return actions + self._open_wanted(now)
 
-    def _find_poorer(self, account: str, now: float) -> str | None:
-        """Return who is to have the connection that an account gives back, if another.
+    def _find_preferred_account(self, account: str, now: float) -> str | None:
+        """Return the account in whose favour to close a released connection, if any.
 
-        Where there is room one is opened for whoever waits.
+        None while the limit lets a connection be opened for each waiting request.
         """
-        # The connection that came back is in no state now.
-        has_room = self._stock.open_count + 1 < self._get_most_open(now)
-        if has_room or not self._waiters:
+        # The table does not count the released connection now.
+        has_capacity = self._table.open_count + 1 < self._get_max_open(now)
+        if has_capacity or not self._waiters:
             return None
-        latest = now - self._policy.open_delay
-        return self._waiters.find_poorer(account, self._stock, latest)
+        arrived_by = now - self._policy.open_delay
+        return self._waiters.find_preferred_account(account, self._table, arrived_by)
 
     def _close(self, connection: int) -> list[PoolAction]:
-        self._stock.close(connection)
+        self._table.begin_closing(connection)
         return [CloseConnection(connection)]
 
     def _reap(self, now: float) -> list[PoolAction]:
-        """Close the connections that have rested for long enough."""
-        expired = self._resting.list_expired(self._policy, self._limit, now)
+        """Close the connections whose idle time has expired."""
+        expired = self._idle_ranking.list_expired(self._policy, self._limit, now)
         return [action for number in expired for action in self._close(number)]
 
-    def _fill(self, now: float) -> list[PoolAction]:
-        """Open what waiters and warmth ask for, within the limits."""
+    def _open_wanted(self, now: float) -> list[PoolAction]:
+        """Open the connections that waiters and `warm` need, within the limits."""
         if self._state is not _State.ACTIVE or now < self._backoff.open_after:
             return []
-        # After a failure one attempt is enough to learn that the target is back.
-        is_in_doubt = self._backoff.has_failed or self._room.is_in_doubt(now)
-        most = 1 if is_in_doubt else self._policy.max_opening
-        at_once = max(0, most - len(self._stock.opening))
-        wanted = self._list_wanted(now)[:at_once]
-        room = max(0, self._get_most_open(now) - self._stock.open_count)
+        # After a failure a single attempt shows whether the target is back.
+        is_probing = self._backoff.has_failed or self._capacity.is_probing(now)
+        max_opening = 1 if is_probing else self._policy.max_opening
+        allowed = max(0, max_opening - len(self._table.opening))
+        wanted = self._list_accounts_to_open(now)[:allowed]
+        capacity = max(0, self._get_max_open(now) - self._table.open_count)
         opened = [
-            OpenConnection(self._stock.begin(account, now), account)
-            for account in wanted[:room]
+            OpenConnection(self._table.begin_opening(account, now), account)
+            for account in wanted[:capacity]
         ]
-        return opened + self._make_room(len(wanted) - room, now)
+        return opened + self._close_for_waiters(len(wanted) - capacity, now)
 
-    def _get_most_open(self, now: float) -> int:
-        """Return how many connections may be open, by the share and the target."""
-        return self._room.get_most(self._limit, now)
+    def _get_max_open(self, now: float) -> int:
+        """Return how many connections the share and the target's capacity permit."""
+        return self._capacity.get_max_open(self._limit, now)
 
-    def _make_room(self, count: int, now: float) -> list[PoolAction]:
-        """Close connections that rest, so that others can be opened in their place."""
-        surplus = max(0, count - len(self._stock.closing))
+    def _close_for_waiters(self, count: int, now: float) -> list[PoolAction]:
+        """Close idle connections, so that others can be opened in their place."""
+        surplus = max(0, count - len(self._table.closing))
         if not surplus:
             return []
-        cheapest = self._resting.rank(self._policy, now)[:surplus]
-        return [action for number in cheapest for action in self._close(number)]
+        least_valuable = self._idle_ranking.rank(self._policy, now)[:surplus]
+        return [action for number in least_valuable for action in self._close(number)]
--- a/beryltrack/connections/pool_policy.py
+++ b/beryltrack/connections/pool_policy.py
@@ -1,42 +1,43 @@
-"""The figures that steer a pool of connections."""
+"""Limits and timeouts of a connection pool."""
 
 from typing import NamedTuple
 
 
 class PoolPolicy(NamedTuple):
-    """The figures that steer a pool.
+    """Limits and timeouts of a connection pool.
 
     Parameters
     ----------
     queue_limit : int
-        Most requests that wait.
+        Most requests in the queue.
     max_wait : float
-        Longest expected wait, seconds; a longer queue would serve no more
-        requests and only make all of them late.
+        Longest expected wait for other requests, seconds. A longer queue would serve
+        no more requests and only delay them.
     warm : int
-        Connections to keep open while nothing asks for them.
+        Connections to keep open without demand.
     idle_timeout : float
         Seconds after which a surplus idle connection is closed.
     retained_fraction : float
-        Part of the limit that may rest for longer, those whose accounts ask most often.
+        Fraction of the limit that may be idle for longer, for the connections whose
+        accounts ask most often.
     retained_idle_timeout : float
-        Seconds after which these are closed too.
+        Seconds after which these idle connections are closed too.
     open_delay : float
-        Seconds that a request waits for a connection that is in use before another
-        one is opened for it.
+        Seconds that a request waits for a connection in use before another one is
+        opened for it.
     max_opening : int
         Most connections to open at the same time.
     first_backoff, max_backoff : float
-        Bounds of the wait after a failed open, seconds.
+        First and longest back-off after a failed opening, seconds.
     deviations : float
-        Mean deviations added to the hold time when a deadline is judged.
+        Mean deviations that the check of a deadline adds to the mean hold time.
     share_wait : float
-        Seconds that requests wait for a share of the connections to come free
-        when the pool has none.
+        Seconds that requests wait for a share of the target's connections when the
+        pool has none.
     by_deadline : bool
         False if requests wait in the order of their arrival.
     refuses_early : bool
-        False if a request is refused only when its own time is over.
+        False if a request is refused only after its deadline.
     """
 
     queue_limit: int = 256
--- a/beryltrack/connections/prepared.py
+++ b/beryltrack/connections/prepared.py
@@ -1,19 +1,19 @@
-"""The statements that are prepared on one connection to a target."""
+"""The prepared statements of one connection to a target."""
 
 from collections import OrderedDict
 from itertools import islice
 
-# Statements kept prepared on one connection; the oldest are closed beyond it.
 MAX_PREPARED = 256
+"""Statements that stay prepared on one connection; the oldest beyond it are closed."""
 
 
 class PreparedNames:
-    """Names of the statements that exist on one connection, oldest use first.
+    """Names of the prepared statements on one connection, least recently used first.
 
     Parameters
     ----------
     limit : int
-        Names to keep; `get_excess` tells which to close beyond it.
+        Names to keep; `get_excess` returns those to close beyond it.
     """
 
     def __init__(self, limit: int = MAX_PREPARED):
@@ -28,27 +28,27 @@
         return len(self._names)
 
     def touch(self, name: str) -> None:
-        """Note that the statement exists and was used just now."""
+        """Record that the statement exists and was used now."""
         self._names[name] = None
         self._names.move_to_end(name)
         self._stale.discard(name)
 
     def remove(self, name: str) -> None:
-        """Note that the statement does not exist any more."""
+        """Record that the statement no longer exists."""
         self._names.pop(name, None)
         self._stale.discard(name)
 
     def clear(self) -> None:
-        """Note that no statement exists any more."""
+        """Record that no statement exists any more."""
         self._names.clear()
         self._stale.clear()
 
     def expire(self) -> None:
-        """Have each statement closed and prepared anew before its next use."""
+        """Mark all statements as stale: each is prepared again before its next use."""
         self._stale.update(self._names)
 
     def is_stale(self, name: str) -> bool:
-        """Return whether the statement exists but must be prepared anew."""
+        """Return whether the statement exists but must be prepared again."""
         return name in self._stale
 
     def get_excess(self, coming: int) -> tuple[str, ...]:
--- a/beryltrack/connections/seat_store.py
+++ b/beryltrack/connections/seat_store.py
@@ -1,4 +1,4 @@
-"""The seats as objects of the platform, changed by conditional updates."""
+"""Seats as objects of the platform, changed by conditional updates."""
 
 from returns.result import Success
 
@@ -13,8 +13,8 @@
 class PlatformSeatStore:
     """A `SeatStore` over the platform's object API.
 
-    The value of a seat tells the era in which it was written, so that one that a copy
-    has brought back is not taken for a later write.
+    The value of a seat includes the era in which it was written, so that a seat that a
+    restored backup shows again is not taken for a later write.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
         self._seats = seats
 
     async def read_seats(self) -> tuple[SeatRecord, ...] | None:
-        """Return all seats; None if the store is away."""
+        """Return all seats; None if the store is unavailable."""
         result = await self._client.list(PREFIX)
         if not isinstance(result, Success):
             return None
@@ -40,9 +40,9 @@
         return tuple((absent | found).values())
 
     async def write_seat(self, write: WriteSeat) -> SeatRecord | None:
-        """Write a seat conditionally and return what it is then, if known.
+        """Write a seat conditionally and return the resulting seat, if known.
 
-        A lost answer, and a conflict, are resolved by reading the object.
+        After a lost answer or a conflict the object is read.
         """
         path = f"{PREFIX}{write.seat}"
         value = {"holder": write.holder, "era": get_era(write.if_version)}
@@ -60,12 +60,12 @@
 
 
 def make_absent_seat(seat: int, era: int) -> SeatRecord:
-    """Return a seat that the store does not have in an era."""
+    """Return the record of a seat that the store does not have in an era."""
     return SeatRecord(seat, 0, "", make_version(era, 0))
 
 
 def parse_seat(found: PlatformObject) -> SeatRecord | None:
-    """Return the seat that an object stands for, None if it is malformed.
+    """Return the seat that an object describes, None if it is malformed.
 
     Parameters
     ----------
--- a/beryltrack/connections/service_estimate.py
+++ b/beryltrack/connections/service_estimate.py
@@ -1,17 +1,20 @@
-"""Estimates of how long a request holds a connection, and of opening times.
+"""Moving averages of how long requests hold a connection and how long openings take.
 
-Smoothed mean and mean deviation as in RFC 6298, with smaller weights: holds of
-single statements and of transactions differ tenfold, and a mean that follows
-each of them makes the length of the queue swing. The first samples weigh more,
-so that a new pool learns within some ten requests.
+Mean and mean deviation as in RFC 6298, with smaller weights: the hold times of single
+statements and of transactions differ tenfold, and a mean that followed each of them
+would make the length of the queue oscillate. The first samples weigh more, so that a
+new pool's estimate is useful after about ten requests.
 """
 
 MEAN_WEIGHT = 1 / 32
+"""Weight of a sample in the mean."""
+
 DEVIATION_WEIGHT = 1 / 16
+"""Weight of a sample in the mean deviation."""
 
 
 class ServiceEstimate:
-    """Smoothed mean and deviation of a duration.
+    """Moving averages of a duration and of its deviation.
 
     Parameters
     ----------
@@ -29,16 +32,16 @@
 
     @property
     def mean(self) -> float:
-        """The smoothed mean, seconds."""
+        """The moving average, seconds."""
         return self._mean
 
     @property
     def deviation(self) -> float:
-        """The smoothed mean deviation, seconds."""
+        """The moving average of the deviation, seconds."""
         return self._deviation
 
     def observe(self, duration: float) -> None:
-        """Take in one duration, seconds."""
+        """Record one duration, seconds."""
         self._count += 1
         weight = max(self._weight, 1 / self._count)
         error = duration - self._mean
--- a/beryltrack/connections/shares.py
+++ b/beryltrack/connections/shares.py
@@ -1,9 +1,9 @@
-"""The share of a database's connections that goes with each seat.
+"""The share of a database's connections that belongs to each seat.
 
-Shares belong to numbered seats, not to proxies, so that they do not depend on
-who is thought to be alive: proxies whose views of the membership differ still
-agree on every share. Rendezvous hashing picks the seats that own a group when
-there are more seats than one database's connections can feed.
+Shares belong to numbered seats, not to proxies, so that they do not depend on the
+membership: proxies whose views of it differ still agree on every share. Rendezvous
+hashing selects the seats that own a group if there are more seats than the connections
+of one database should be divided among.
 """
 
 from functools import lru_cache
@@ -30,14 +30,14 @@
         Numbers of the seats.
     """
     ranked = sorted(range(plan.seats), key=lambda seat: _hash(f"{group}/{seat}"))
-    return tuple(ranked[: plan.most_owners])
+    return tuple(ranked[: plan.max_owners])
 
 
 def compute_share(database: BudgetedDatabase, seat: int, plan: BudgetPlan) -> int:
-    """Return how many connections to a database go with a seat.
+    """Return how many connections to a database belong to a seat.
 
-    The shares of all seats add up to the total. What the division leaves over
-    goes to other seats for each database of a group.
+    The shares of all seats add up to the total. The remainder of the division goes to
+    different seats for each database of a group.
 
     Parameters
     ----------
@@ -56,9 +56,9 @@
     owners = get_owner_seats(database.group, plan)
     if seat not in owners:
         return 0
-    base, left_over = divmod(database.total, len(owners))
-    turn = _hash(database.key) + owners.index(seat)
-    return base + (turn % len(owners) < left_over)
+    base, remainder = divmod(database.total, len(owners))
+    offset = _hash(database.key) + owners.index(seat)
+    return base + (offset % len(owners) < remainder)
 
 
 def _hash(text: str) -> int:
--- a/beryltrack/connections/target.py
+++ b/beryltrack/connections/target.py
@@ -1,8 +1,7 @@
-"""One connection to a target: start-up, one request at a time, and its end.
+"""One PostgreSQL connection to a target, which runs one request at a time.
 
-Whatever is not exactly one whole answer to the one request in flight breaks
-the connection: it is closed and never used again, so that an answer that is
-late or partial cannot reach another caller.
+Anything but exactly one complete answer to the request in flight closes the connection
+for good, so that a late or partial answer cannot reach another caller.
 """
 
 import logging
@@ -37,8 +36,8 @@
 
 log = logging.getLogger(__name__)
 
-# Errors after which the statements on a connection may not be what they were:
-# a plan that no longer fits its table, or a name that does not exist.
+# Errors after which a connection's prepared statements may be invalid: a plan that does
+# not match its table any more, or a name that does not exist.
 _STALE_STATES = frozenset({FEATURE_NOT_SUPPORTED, INVALID_SQL_STATEMENT_NAME})
 
 _TERMINATE_WIRE = Terminate().to_wire()
@@ -52,15 +51,15 @@
     Parameters
     ----------
     reactor : IReactorTCP
-        Used to open cancel requests.
+        Opens the connections of cancel requests.
     endpoint : Endpoint
         Address of the target.
     credentials : Credentials
-        Whom to log on as.
+        The database, user and password.
     """
 
     via = ""
-    """Connections of this protocol go straight to their target."""
+    """Empty: connections of this protocol are direct."""
 
     def __init__(self, reactor, endpoint: Endpoint, credentials: Credentials):
         self.endpoint = endpoint
@@ -75,7 +74,7 @@
         self._sink: ResponseSink | None = None
         self._answer: Deferred[ResponseEnd] | None = None
         self._closed: Deferred[None] = Deferred()
-        self._held_end: ResponseEnd | None = None
+        self._deferred_end: ResponseEnd | None = None
         self._cancels = 0
         self._paused = False
 
@@ -86,7 +85,7 @@
 
     @property
     def closed(self) -> "Deferred[None]":
-        """Fires once when the connection is gone; callbacks pass the value on."""
+        """Fires once when the connection has ended; callbacks return their value."""
         return self._closed
 
     def run(
@@ -99,21 +98,21 @@
         wire : bytes
             Frames that the target answers with exactly one ReadyForQuery.
         sink : ResponseSink
-            Takes the frames of the answer as they come.
+            Receives the frames of the answer as they arrive.
         edits : tuple of Edit
             See `AnswerReader.start`.
 
         Returns
         -------
         Deferred of ResponseEnd
-            The end of the answer. Fails with `TargetLost`. Cancelling it
-            breaks the connection, which makes it fail so at once.
+            The end of the answer. Fails with `TargetLost`, also if it is cancelled,
+            which closes the connection.
         """
         if self.broken or self._logon is not None or self._answer is not None:
             reason = "another request runs" if self._answer else "connection is closed"
             return _fail(TargetLost(False, reason))
         self._sink = sink
-        # An answer that nobody waits for any more must reach nobody.
+        # The answer to a cancelled request must not reach another one.
         self._answer = answer = Deferred(lambda _: self.close())
         self._reader.start(edits)
         sink.attach(self)
@@ -123,25 +122,25 @@
     def cancel(self) -> None:
         """Ask the target to cancel the request that runs now.
 
-        It may come too late; the answer tells. The answer does not end before
-        the cancel request has, so that it cannot hit a later request.
+        The answer shows whether that was in time. It does not end before the cancel
+        request has ended, which therefore cannot hit a later request.
         """
         if not self.busy:
             return
         self._cancels += 1
         sending = send_cancel(self._reactor, self.endpoint, self._key)
-        sending.addCallback(self._end_cancel)
+        sending.addCallback(self._finish_cancel)
 
-    def _end_cancel(self, is_over: bool) -> None:
-        """Go on after a cancel request."""
+    def _finish_cancel(self, has_ended: bool) -> None:
+        """Handle the end of a cancel request; end an answer that waited for it."""
         self._cancels -= 1
-        if not is_over:
+        if not has_ended:
             self.close()
-        elif self._held_end is not None and not self._cancels:
-            self._end_answer(self._held_end)
+        elif self._deferred_end is not None and not self._cancels:
+            self._finish_answer(self._deferred_end)
 
     def close(self) -> None:
-        """End the connection. A request that runs fails with `TargetLost`."""
+        """Close the connection. A request that runs fails with `TargetLost`."""
         if self.broken:
             return
         if self._logon is None and not self.busy:
@@ -149,15 +148,15 @@
             self.transport.loseConnection()
         else:
             self.transport.abortConnection()
-        self._break("closed by the proxy")
+        self._mark_broken("closed by the proxy")
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Read no more of the answer until the sink has room; see `Producer`."""
+        """Stop reading the answer until the sink accepts data; see `Producer`."""
         self._paused = True
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on."""
+        """Continue reading."""
         self._paused = False
         self.transport.resumeProducing()
 
@@ -167,7 +166,7 @@
         self.transport.write(self._logon.start())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the target."""
+        """Process bytes from the target; a protocol error ends the connection."""
         if self.broken:
             return
         try:
@@ -176,23 +175,29 @@
             else:
                 self._receive_answer(data)
         except (ProtocolError, ScramException, ValueError) as error:
-            log.warning("target: %s:%d: %s", *self.endpoint, error)
+            log.warning(
+                "target: connection to %s:%d closed after a protocol error: %s",
+                *self.endpoint,
+                error,
+            )
             self.transport.abortConnection()
-            self._break(str(error))
+            self._mark_broken(str(error))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell who waits that the connection has ended."""
+        """Fail what waits for the connection, as it has ended."""
         lost = "closed by the target"
-        self._break(lost if reason.check(ConnectionDone) else reason.getErrorMessage())
+        self._mark_broken(
+            lost if reason.check(ConnectionDone) else reason.getErrorMessage()
+        )
 
     def _receive_logon(self, data: bytes) -> None:
-        """Log on; what follows ReadyForQuery is read as answers."""
+        """Continue the log-on; bytes after ReadyForQuery are read as answers."""
         logon = self._logon
         wire = logon.feed(data)
         if wire:
             self.transport.write(wire)
         if logon.error is not None:
-            self._break(logon.error.message, SqlException(logon.error))
+            self._mark_broken(logon.error.message, SqlException(logon.error))
             self.transport.loseConnection()
         elif logon.is_done:
             self._logon = None
@@ -207,7 +212,7 @@
         end = self._reader.feed(data, sink.write if sink is not None else _discard)
         if end is None:
             return
-        # What follows the answer must not be left for the next request.
+        # Bytes after the answer must not be read as the next request's answer.
         if self._reader.has_rest:
             self._reader.feed(b"", _discard)
         if end.position is not None:
@@ -215,27 +220,27 @@
         if end.error is not None and end.error.sqlstate in _STALE_STATES:
             self.prepared.expire()
         if self._cancels:
-            self._held_end = end
+            self._deferred_end = end
         else:
-            self._end_answer(end)
+            self._finish_answer(end)
 
-    def _end_answer(self, end: ResponseEnd) -> None:
-        """Hand out the end of an answer; the connection is free from then on."""
+    def _finish_answer(self, end: ResponseEnd) -> None:
+        """Fire the answer's Deferred; the connection is free from then on."""
         answer, sink = self._answer, self._sink
-        self._answer = self._sink = self._held_end = None
+        self._answer = self._sink = self._deferred_end = None
         sink.detach()
         # A sink that was full may have paused the transport.
         if self._paused:
             self.resumeProducing()
         answer.callback(end)
 
-    def _break(self, reason: str, failure: Exception | None = None) -> None:
-        """Mark the connection as ended and tell all who wait."""
+    def _mark_broken(self, reason: str, failure: Exception | None = None) -> None:
+        """Mark the connection as ended and fire or fail all its Deferreds."""
         if self.broken:
             return
         self.broken = True
         answer, sink, ready = self._answer, self._sink, self.ready
-        end, self._held_end = self._held_end, None
+        end, self._deferred_end = self._deferred_end, None
         self._answer = self._sink = None
         if sink is not None:
             sink.detach()
@@ -249,7 +254,7 @@
 
 
 def _discard(data: bytes) -> None:
-    """Take bytes that nobody reads."""
+    """Drop bytes that no request reads."""
 
 
 def _fail(error: Exception) -> Deferred:
@@ -277,9 +282,9 @@
     endpoint : Endpoint
         Address of the target.
     database, user, password : str
-        Whom to log on as.
+        The database, user and password of the log-on.
     timeout : float
-        Most seconds until the connection is ready.
+        Seconds within which the connection must be ready.
     application_name : str
         Name that the target shows for the connection.
 
--- a/beryltrack/connections/task.py
+++ b/beryltrack/connections/task.py
@@ -1,6 +1,7 @@
-"""The pool of connections to one database, as the other tasks use it.
+"""The connection pool of one database.
 
-It owns the connections and the timer; what to do is decided by `PoolDecider`.
+`PoolTask` owns the connections and the timer and carries out the actions that
+`PoolDecider` returns.
 """
 
 import logging
@@ -26,7 +27,7 @@
     RefusalReason,
     RefuseWaiter,
 )
-from beryltrack.connections.pool import LEAST_RETRY_AFTER, PoolDecider
+from beryltrack.connections.pool import MIN_RETRY_AFTER, PoolDecider
 from beryltrack.connections.pool_policy import PoolPolicy
 from beryltrack.errors import TOO_MANY_CONNECTIONS
 from beryltrack.load.messages import DEFAULT_DEMAND, Demand, ExpectedTimes
@@ -46,12 +47,12 @@
         The database.
     connect : callable
         Opens a connection for an account: returns a Deferred of a `PooledConnection`
-        that is ready for a request. It must fail or fire within a bounded time.
+        that is ready for a request. The Deferred must fire within a bounded time.
     policy : PoolPolicy
-        The figures that steer the pool.
+        Limits and timeouts of the pool.
     limit : int or None
-        Most connections; by default the database's `max_connections`. A
-        budget lowers and raises it by `set_limit`.
+        Most connections; by default the database's `max_connections`. A budget changes
+        it by `set_limit`.
     rng : random.Random or None
         For the jitter of back-offs.
     """
@@ -84,7 +85,7 @@
         self._drained: list[Deferred[None]] = []
         self._actions: deque[PoolAction] = deque()
         self._is_performing = False
-        self._told = (0, False)
+        self._reported_use = (0, False)
 
     @property
     def load(self) -> PoolLoad:
@@ -106,11 +107,11 @@
         return self._reactor.seconds()
 
     def get_expected(self, demand: Demand) -> ExpectedTimes:
-        """Return what is known of the target's load: nothing by its connections."""
+        """Return no estimate: a pool has no load reports of its target."""
         return ExpectedTimes()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call `callback` after each change that may concern a budget."""
+        """Call `callback` after each change of the pool's use or demand."""
         self._listeners.append(callback)
 
     def start(self) -> None:
@@ -125,16 +126,15 @@
         Parameters
         ----------
         deadline : float
-            Time of the reactor's clock, in seconds, by which the request must
-            be done.
+            Time of the reactor's clock, in seconds, by which the request must be done.
         demand : Demand
-            What the request asks for; the connection must be of its account.
+            The request's demand; the connection belongs to its account.
 
         Returns
         -------
         Deferred of PooledConnection
-            Fails with `PoolRefused` as soon as that is decided; the request
-            was not run then. Cancelling it leaves the queue.
+            Fails with `PoolRefused` as soon as the pool refuses the request, which was
+            not run then. Cancelling it removes the request from the queue.
         """
         waiter = next(self._waiter_numbers)
         result: Deferred[PooledConnection] = Deferred(lambda _: self._cancel(waiter))
@@ -146,19 +146,19 @@
     def acquire_briefly(
         self, wait_limit: float, open_limit: float
     ) -> Deferred[PooledConnection | None]:
-        """Get a connection for a short request of the proxy's own.
+        """Get a connection for a short request of the proxy itself.
 
         Parameters
         ----------
         wait_limit : float
-            Seconds to wait for one that is in use.
+            Seconds to wait for a connection in use.
         open_limit : float
-            Seconds to wait while none is open.
+            Seconds to wait if no connection is open.
 
         Returns
         -------
         Deferred of PooledConnection or None
-            None if none is free in time. What it gives has to be released.
+            The connection, which has to be released; None if none is free in time.
         """
         waiter = next(self._waiter_numbers)
         result: Deferred = Deferred(lambda _: self._cancel(waiter))
@@ -167,21 +167,21 @@
         if not result.called:
             limit = wait_limit if self._connections else open_limit
             result.addTimeout(limit, self._reactor)
-        return result.addErrback(_give_none)
+        return result.addErrback(_return_none)
 
     def release(
         self, connection: PooledConnection, reusable: bool, has_run: bool = True
     ) -> None:
-        """Give a connection back.
+        """Return a connection to the pool.
 
         Parameters
         ----------
         connection : PooledConnection
-            What `acquire` gave.
+            A connection from `acquire`.
         reusable : bool
-            False if its state is in doubt; it is then thrown away.
+            False if its state is uncertain; it is closed then.
         has_run : bool
-            False if what it was lent for did not run; that is not counted here.
+            False if the request did not run on it; ignored here.
         """
         number = self._numbers.get(connection)
         if number is None:
@@ -191,12 +191,12 @@
         self._perform(self._decider.release(number, is_reusable, self._now))
 
     def set_limit(self, limit: int) -> None:
-        """Change how many connections may be open; a surplus closes when free."""
+        """Change how many connections may be open; a surplus closes when idle."""
         if limit != self._decider.limit:
             self._perform(self._decider.set_limit(limit, self._now))
 
     def set_policy(self, policy: PoolPolicy) -> None:
-        """Go by other figures from now on."""
+        """Replace the policy for all later decisions."""
         self._decider.set_policy(policy)
 
     def enforce_limit(self, limit: int) -> None:
@@ -204,32 +204,28 @@
         self._perform(self._decider.enforce_limit(limit))
 
     def observe_reachable(self) -> None:
-        """Take in that the target answers, for example on a control connection.
-
-        Ends a back-off, so that the return of a target is not missed for the
-        rest of it.
-        """
+        """End a back-off at once, as the target answers on another connection."""
         self._perform(self._decider.observe_reachable(self._now))
 
     def break_connections(self) -> None:
-        """Close all connections at once, also those in use: the target is lost."""
+        """Close all connections at once, also those in use, as the target is lost."""
         for connection in tuple(self._connections.values()):
             connection.close()
 
     def retire(self, is_stale: Callable[[PooledConnection], bool]) -> None:
-        """Use some connections no more; those that are lent close when given back.
+        """Retire stale connections; those in use close when they are released.
 
         Parameters
         ----------
         is_stale : callable
-            Says of a connection whether it is one of them. It is asked of each that
-            opens later too: it may have been on its way already.
+            Returns whether a connection is stale. It is also called for each connection
+            that opens later, as its opening may have begun before.
         """
         self._is_stale = is_stale
         self.retire_stale()
 
     def retire_stale(self) -> None:
-        """Look again which connections are used no more."""
+        """Retire the connections that are stale now."""
         for connection in filter(self._is_stale, tuple(self._numbers)):
             self._retire(connection)
 
@@ -238,18 +234,18 @@
         return tuple(self._numbers)
 
     def close_idle(self, connection: PooledConnection) -> None:
-        """Close a connection unless it is lent."""
+        """Close a connection unless it is in use."""
         if self._numbers.get(connection) in self._decider.idle_numbers:
             connection.close()
 
     def _retire(self, connection: PooledConnection) -> None:
-        """Close a connection now or when it is given back."""
+        """Close a connection now, or when it is released."""
         number = self._numbers[connection]
         self._retired.add(number)
         self.close_idle(connection)
 
     def get_running(self) -> list[PooledConnection]:
-        """Return the connections that run something."""
+        """Return the connections on which a request runs."""
         return [
             connection
             for connection in self._connections.values()
@@ -257,14 +253,14 @@
         ]
 
     def drain(self) -> Deferred[None]:
-        """Take no new work; fires when all connections are closed."""
+        """Refuse new requests; fires when all connections are closed."""
         done: Deferred[None] = Deferred()
         self._drained.append(done)
         self._perform(self._decider.drain(self._now))
         return done
 
     def resume(self) -> None:
-        """Take work again after a drain."""
+        """Accept requests again after a drain."""
         self._perform(self._decider.resume(self._now))
 
     def _cancel(self, waiter: int) -> None:
@@ -273,9 +269,9 @@
         self._perform([])
 
     def _perform(self, actions: list[PoolAction]) -> None:
-        """Carry out actions, then set the timer for what is due by time.
+        """Carry out actions, then set the timer.
 
-        A callback may call the pool again; its actions queue behind these.
+        A callback may call the pool again; its actions are appended to the queue.
         """
         self._actions.extend(actions)
         if self._is_performing:
@@ -287,7 +283,7 @@
         finally:
             self._is_performing = False
         self._set_timer()
-        self._tell_listeners()
+        self._notify_listeners()
         if self._decider.is_drained:
             self._finish_drain()
 
@@ -304,11 +300,11 @@
                 if connection is not None:
                     connection.close()
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         """Call the listeners if the use of the limit has changed."""
-        use = (self._decider.open_count, self._decider.is_short)
-        if use != self._told:
-            self._told = use
+        use = (self._decider.open_count, self._decider.is_oversubscribed)
+        if use != self._reported_use:
+            self._reported_use = use
             for callback in self._listeners:
                 callback()
 
@@ -318,7 +314,7 @@
         if waiter is None:
             self._perform(self._decider.release(action.connection, True, self._now))
         elif connection is None:
-            refusal = PoolRefusal(RefusalReason.UNREACHABLE, LEAST_RETRY_AFTER)
+            refusal = PoolRefusal(RefusalReason.UNREACHABLE, MIN_RETRY_AFTER)
             waiter.errback(PoolRefused(refusal))
         else:
             waiter.callback(connection)
@@ -370,7 +366,7 @@
             done.callback(None)
 
     def _set_timer(self) -> None:
-        """Keep one timer, at the earliest time at which something is due."""
+        """Set the single timer to the time at which `_tick` is next due."""
         wakeup = self._decider.get_wakeup(self._now)
         if self._timer is not None and self._timer.active():
             if wakeup is not None and self._timer_at <= wakeup:
@@ -389,11 +385,11 @@
 
 
 def _is_full(failure: Failure) -> bool:
-    """Return whether a target refused a connection for having too many."""
+    """Return whether a target refused a connection at its connection limit."""
     refused = failure.check(ConnectRefused) is not None
     return refused and failure.value.sqlstate == TOO_MANY_CONNECTIONS
 
 
-def _give_none(failure: Failure) -> None:
-    """Return None for a connection that was not free in time."""
+def _return_none(failure: Failure) -> None:
+    """Return None if the pool refused or no connection was free in time."""
     failure.trap(PoolRefused, TimeoutError)
--- a/beryltrack/connections/wait_model.py
+++ b/beryltrack/connections/wait_model.py
@@ -1,4 +1,4 @@
-"""How long a request waits for a connection, by its place in the queue."""
+"""Estimates how long requests wait for a connection, by position in the queue."""
 
 from collections.abc import ValuesView
 from itertools import takewhile
@@ -6,26 +6,26 @@
 
 
 class WaitModel(NamedTuple):
-    """How long requests wait by their place in the queue.
+    """The expected waits by position in the queue.
 
     Parameters
     ----------
     free : int
-        Requests that need not wait for another one to end.
-    at_once : float
-        Seconds that these wait: for a connection to open, if none is idle.
-    step : float
-        Seconds after which a connection comes back, on average.
+        Requests that need not wait for another request to end.
+    open_wait : float
+        Seconds that these requests wait: for a connection to open, if none is idle.
+    release_interval : float
+        Mean seconds between two releases of a connection.
     """
 
     free: int
-    at_once: float
-    step: float
+    open_wait: float
+    release_interval: float
 
-    def get_wait(self, place: int) -> float:
-        """Return the expected wait at a place, seconds."""
-        ahead = place - self.free
-        return self.at_once if ahead < 0 else (ahead + 1) * self.step
+    def get_wait(self, position: int) -> float:
+        """Return the expected wait at a position, seconds."""
+        ahead = position - self.free
+        return self.open_wait if ahead < 0 else (ahead + 1) * self.release_interval
 
 
 def model_waits(
@@ -36,31 +36,31 @@
     stuck_before: float,
     now: float,
 ) -> WaitModel:
-    """Work out the waits from what the connections do now.
+    """Compute the expected waits from the present use of the connections.
 
-    A hold that began before `stuck_before` is not counted on to end soon: one
-    long transaction must not make all others look hopeless, and a target that
-    answers nobody must be seen before the first hold ends.
+    A use that began before `stuck_before` is not expected to end soon. So one long
+    transaction does not have all other requests refused, and a target that stopped
+    answering is noticed before any request on it ends.
 
     Parameters
     ----------
     capacity : int
-        Connections that may be in use at once.
+        Connections that may be in use at the same time.
     started : view of float
-        When each hold that goes on began, oldest first, seconds.
+        When each present use of a connection began, oldest first, seconds.
     open_wait : float
-        Seconds until a connection that nobody holds is there.
+        Seconds until a connection that is not in use is available.
     hold_time : float
-        Expected length of a hold, seconds.
+        Expected length of a use, seconds.
     stuck_before : float
-        Holds that began earlier count as stuck.
+        Uses that began earlier count as stuck.
     now : float
         The current time, seconds.
 
     Returns
     -------
     WaitModel
-        The wait for each place.
+        The wait for each position.
     """
     total = max(1, capacity)
     held = len(started)
@@ -70,6 +70,6 @@
     stuck = sum(1 for _ in takewhile(lambda time: time < stuck_before, started))
     if stuck < total:
         return WaitModel(total - held, open_wait, hold_time / (total - stuck))
-    # All are stuck: what lasts long is expected to last as long again.
+    # All are stuck: each is expected to last as long again as it has lasted.
     newest = next(iter(reversed(started)))
     return WaitModel(total - held, open_wait, (now - newest) / total)
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -139,7 +139,7 @@
             # Whoever used it next would only be told the same.
             self.on_target_unreachable(self._error_frame.startswith(_LEFT))
             self.end_session()
-        self.end_run().callback(end)
+        self.finish_run().callback(end)
 
     def _clear(self) -> None:
         """Expect a new answer."""
--- a/tests/connections/budget_model.py
+++ b/tests/connections/budget_model.py
@@ -17,7 +17,7 @@
 
 KEY = "g/d"
 TOTAL = 7
-PLAN = BudgetPlan(seats=3, most_owners=3)
+PLAN = BudgetPlan(seats=3, max_owners=3)
 
 
 class ModelProxy:
@@ -25,7 +25,7 @@
 
     def __init__(self, site, name):
         self.site, self.name = site, name
-        self.open = self.busy = self.wish = self.limit = self.right = 0
+        self.open = self.busy = self.wish = self.limit = self.hard_limit = 0
         self.paused = False
         self.decider = BudgetDecider(
             name, PLAN, self.read_use, random.Random(name), site.policy
@@ -40,8 +40,8 @@
     def perform(self, actions):
         for action in actions:
             match action:
-                case SetLimit(_, limit, right):
-                    self.limit, self.right = limit, right
+                case SetLimit(_, limit, hard_limit):
+                    self.limit, self.hard_limit = limit, hard_limit
                     self.fit()
                 case SendToHolder(holder, message):
                     self.site.messages.append((self.name, holder, message))
@@ -51,7 +51,7 @@
     def fit(self):
         """Close idle connections beyond the limit, and any beyond the right."""
         self.open = max(min(self.open, self.limit), min(self.open, self.busy))
-        self.open = min(self.open, self.right)
+        self.open = min(self.open, self.hard_limit)
         self.busy = min(self.busy, self.open)
 
     def work(self, wish):
@@ -91,9 +91,9 @@
         self.leaving = set()
 
     @property
-    def right_sum(self):
+    def hard_limit_sum(self):
         proxies = self.proxies.values()
-        return sum(p.decider.get_right(KEY, self.now) for p in proxies)
+        return sum(p.decider.get_hard_limit(KEY, self.now) for p in proxies)
 
     @property
     def running(self):
@@ -113,7 +113,7 @@
         live = frozenset(self.proxies)
         eras = {name: each.decider.era for name, each in self.proxies.items()}
         holders = LiveHolders(live, frozenset(self.leaving), eras)
-        proxy.decider.observe_live(holders, self.now)
+        proxy.decider.observe_live_holders(holders, self.now)
 
     def read_store(self, proxy):
         records = [self.see_seat(seat) for seat in range(PLAN.seats)]
@@ -125,10 +125,13 @@
         written = make_version(written_in, revision) if revision else 0
         return SeatRecord(seat, written, holder, make_version(self.era, revision))
 
-    def tell_peers(self, sender, receiver):
+    def send_seats(self, sender, receiver):
         """Let a proxy tell another what it knows of the seats."""
         receiver.learn(
-            [record._replace(seen=0) for record in sender.decider.seat_records]
+            [
+                record._replace(stored_version=0)
+                for record in sender.decider.seat_records
+            ]
         )
 
     def make_backup(self):
@@ -152,7 +155,7 @@
         """Let a write reach the store; its answer may be lost."""
         name, action = self.writes.pop(index)
         era = get_era(action.if_version)
-        kept = get_revision(self.see_seat(action.seat).seen)
+        kept = get_revision(self.see_seat(action.seat).stored_version)
         # A call of an earlier era is carried out if the revisions match by chance; what
         # it answers is not believed.
         if kept == get_revision(action.if_version):
--- a/tests/connections/test_account_pool.py
+++ b/tests/connections/test_account_pool.py
@@ -15,7 +15,7 @@
 )
 from beryltrack.connections.pool import PoolDecider
 from beryltrack.connections.pool_policy import PoolPolicy
-from beryltrack.connections.room import FULL_TIME
+from beryltrack.connections.target_capacity import FULL_PERIOD
 
 POLICY = PoolPolicy(warm=0, idle_timeout=5.0, open_delay=0.03, max_wait=1.0)
 KEEPING = POLICY._replace(
@@ -208,7 +208,7 @@
     pool.observe_opened(3, 0.54)
     for number in range(4, 8):
         pool.acquire(number, 9.0, 0.55, f"account-{number}")
-    opened = pool.tick(0.51 + FULL_TIME)
+    opened = pool.tick(0.51 + FULL_PERIOD)
     assert opened == [OpenConnection(4, "account-4")]
     # It has taken more than before: there is room again.
     more = pool.observe_opened(4, 0.9)
--- a/tests/connections/test_budget.py
+++ b/tests/connections/test_budget.py
@@ -34,13 +34,13 @@
 def test_each_proxy_gets_a_seat_and_the_shares_add_up():
     site = make_site(3)
     assert all(len(p.decider.held_seats) == 1 for p in site.proxies.values())
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def test_seats_without_a_proxy_are_taken_by_the_others():
     site = make_site(2)
     assert sorted(len(p.decider.held_seats) for p in site.proxies.values()) == [1, 2]
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def test_a_proxy_with_two_seats_gives_one_to_a_newcomer():
@@ -80,7 +80,7 @@
         site.now += 0.5
         for proxy in site.running:
             proxy.tick()
-        assert site.right_sum == TOTAL, step
+        assert site.hard_limit_sum == TOTAL, step
 
 
 def test_the_seat_of_a_dead_proxy_is_taken_after_the_longest_loan():
@@ -88,9 +88,9 @@
     dead = next(p for p in site.proxies.values() if p.decider.held_seats)
     site.crash(dead.name)
     site.settle(5.0)
-    assert site.right_sum < TOTAL
+    assert site.hard_limit_sum < TOTAL
     site.settle(10.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def test_a_leaving_proxy_frees_its_seat_when_its_connections_are_closed():
@@ -105,7 +105,7 @@
     site.settle(1.0)
     assert not proxy.decider.held_seats
     site.settle(5.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def run_faults(site, rng, steps):
@@ -113,7 +113,7 @@
     most = 0
     for _ in range(steps):
         fault_step(site, rng)
-        most = max(most, site.right_sum)
+        most = max(most, site.hard_limit_sum)
     return most
 
 
@@ -149,7 +149,7 @@
     for proxy in site.proxies.values():
         proxy.paused = False
     site.settle(20.0)
-    assert site.right_sum == TOTAL or not site.proxies
+    assert site.hard_limit_sum == TOTAL or not site.proxies
 
 
 def test_the_check_sees_a_lender_that_counts_less_than_its_borrower():
@@ -168,8 +168,8 @@
         if rng.random() < 0.01:
             site.restore()
         if len(site.running) > 1:
-            site.tell_peers(*rng.sample(site.running, 2))
-        most = max(most, site.right_sum)
+            site.send_seats(*rng.sample(site.running, 2))
+        most = max(most, site.hard_limit_sum)
     return most
 
 
@@ -194,15 +194,15 @@
         newcomer.tick()
         while site.writes:
             site.write(0, True)
-        assert site.right_sum <= TOTAL
+        assert site.hard_limit_sum <= TOTAL
     site.settle(8.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
     assert all(site.proxies[name].decider.held_seats == held[name] for name in held)
     assert not newcomer.decider.held_seats
     assert {each.decider.era for each in site.proxies.values()} == {1}
     site.crash("p2")
     site.settle(25.0)
-    assert newcomer.decider.held_seats and site.right_sum == TOTAL
+    assert newcomer.decider.held_seats and site.hard_limit_sum == TOTAL
 
 
 def test_a_seat_that_was_freed_in_the_lost_seconds_is_not_used_again():
@@ -218,9 +218,9 @@
     site.restore()
     for _ in range(200):
         site.settle(0.05)
-        assert site.right_sum <= TOTAL
+        assert site.hard_limit_sum <= TOTAL
     assert taker.decider.held_seats and not leaver.decider.held_seats
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -230,7 +230,7 @@
     for proxy in site.proxies.values():
         proxy.paused = False
     site.settle(25.0)
-    assert site.right_sum == TOTAL or not site.proxies
+    assert site.hard_limit_sum == TOTAL or not site.proxies
 
 
 @pytest.mark.parametrize(["evict_after", "holds"], [(10.0, True), (0.0, False)])
@@ -248,9 +248,9 @@
     most = 0
     for _ in range(400):
         site.settle(0.05)
-        most = max(most, site.right_sum)
+        most = max(most, site.hard_limit_sum)
     assert (most <= TOTAL) is holds
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 class BudgetMachine(RuleBasedStateMachine):
@@ -329,17 +329,17 @@
     @precondition(lambda self: len(self.site.running) > 1)
     @rule(index=proxy, other=proxy)
     def tell(self, index, other):
-        self.site.tell_peers(self.pick(index), self.pick(other))
+        self.site.send_seats(self.pick(index), self.pick(other))
 
     @invariant()
     def rights_stay_within_the_total(self):
-        assert self.site.right_sum <= TOTAL
+        assert self.site.hard_limit_sum <= TOTAL
 
     @invariant()
     def no_running_proxy_exceeds_its_right(self):
         for proxy in self.site.running:
             proxy.tick()
-            assert proxy.open <= proxy.decider.get_right(KEY, self.site.now)
+            assert proxy.open <= proxy.decider.get_hard_limit(KEY, self.site.now)
 
 
 BudgetMachine.TestCase.settings = settings(
--- a/tests/connections/test_resting.py
+++ b/tests/connections/test_resting.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from beryltrack.connections.connection_table import ConnectionTable
+from beryltrack.connections.idle_ranking import MAX_ACCOUNTS, AccountRates, IdleRanking
 from beryltrack.connections.messages import CloseConnection, OpenConnection
 from beryltrack.connections.pool import PoolDecider
 from beryltrack.connections.pool_policy import PoolPolicy
-from beryltrack.connections.resting import MOST_ACCOUNTS, AccountRates, Resting
 from beryltrack.connections.service_estimate import ServiceEstimate
-from beryltrack.connections.stock import ConnectionStock
 
 POLICY = PoolPolicy(
     warm=0, idle_timeout=1.0, retained_fraction=0.5, retained_idle_timeout=20.0
@@ -18,11 +18,11 @@
 
 def make_resting(*accounts, hold=0.02):
     """Return the plan of a pool in which one connection of each account rests."""
-    stock = ConnectionStock()
+    table = ConnectionTable()
     for account in accounts:
-        number = stock.begin(account, 0.0)
-        stock.idle[number] = stock.opening.pop(number)
-    return Resting(stock, ServiceEstimate(hold))
+        number = table.begin_opening(account, 0.0)
+        table.idle[number] = table.opening.pop(number)
+    return IdleRanking(table, ServiceEstimate(hold))
 
 
 def ask(rates, account, gap, until=10.0):
@@ -50,7 +50,7 @@
 
 def test_accounts_that_asked_long_ago_are_forgotten():
     rates = AccountRates()
-    for number in range(MOST_ACCOUNTS + 1):
+    for number in range(MAX_ACCOUNTS + 1):
         rates.observe(f"a{number}", 1.0)
     assert rates.get_rate("a0", 1.0) == 0.0 and rates.get_rate("a1", 1.0) > 0.0
 
--- a/tests/connections/test_seat_store.py
+++ b/tests/connections/test_seat_store.py
@@ -47,7 +47,7 @@
     first = site.write(0, "a", absent)
     assert first == SeatRecord(0, make_version(1, 1), "a", make_version(1, 1))
     copy = site.platform.store.make_backup()
-    site.write(0, "b", first.seen)
+    site.write(0, "b", first.stored_version)
     site.write(1, "c", absent)
     site.platform.restore(copy)
     assert site.read() == (
@@ -61,7 +61,7 @@
     copy = site.platform.store.make_backup()
     lost = site.write(1, "c", make_version(1, 0))
     site.platform.restore(copy)
-    now = site.write(1, "c", lost.seen)
+    now = site.write(1, "c", lost.stored_version)
     assert now == SeatRecord(1, 0, "", make_version(2, 0))
-    again = site.write(1, "c", now.seen)
+    again = site.write(1, "c", now.stored_version)
     assert again == SeatRecord(1, make_version(2, 1), "c", make_version(2, 1))
