--- a/tests/connections/budget_model.py
+++ b/tests/connections/budget_model.py
@@ -1,4 +1,4 @@
-"""Proxies that share one database, with a store, a network and faults."""
+"""A model of proxies that share one database, with a store, a network and faults."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class ModelProxy:
-    """A proxy: its budget and a pool that opens as much as it is let."""
+    """A proxy: its budget, and a pool that opens as much as its limit permits."""
 
     def __init__(self, site, name):
         self.site, self.name = site, name
@@ -49,13 +49,13 @@
                     self.site.writes.append((self.name, action))
 
     def fit(self):
-        """Close idle connections beyond the limit, and any beyond the right."""
+        """Close idle connections beyond the limit, and any beyond the hard limit."""
         self.open = max(min(self.open, self.limit), min(self.open, self.busy))
         self.open = min(self.open, self.hard_limit)
         self.busy = min(self.busy, self.open)
 
     def work(self, wish):
-        """Want some connections; hold and open as many as the limit allows."""
+        """Set the demand; open and hold as many connections as the limit allows."""
         self.wish = wish
         self.busy = min(self.busy, wish)
         room = TOTAL - sum(p.open for p in self.site.proxies.values())
@@ -75,7 +75,7 @@
 
 
 class ModelSite:
-    """All proxies and what is between them."""
+    """All proxies, the messages between them, and the store."""
 
     def __init__(self, policy=BudgetPolicy()):  # noqa: B008
         self.policy = policy
@@ -85,7 +85,7 @@
         self.writes = []
         self.seats = {}
         self.era = 0
-        self.copy = {}, 0
+        self.backup = {}, 0
         self.revision = 0
         self.joined = 0
         self.leaving = set()
@@ -109,7 +109,7 @@
         del self.proxies[name]
 
     def list_live(self, proxy):
-        """Tell a proxy the instance list: it may still show the dead."""
+        """Pass a proxy the instance list."""
         live = frozenset(self.proxies)
         eras = {name: each.decider.era for name, each in self.proxies.items()}
         holders = LiveHolders(live, frozenset(self.leaving), eras)
@@ -120,13 +120,13 @@
         proxy.learn(records, True)
 
     def see_seat(self, seat):
-        """Return a seat as the store shows it in its present era."""
+        """Return a seat as the store has it in its present era."""
         revision, holder, written_in = self.seats.get(seat, (0, "", 0))
         written = make_version(written_in, revision) if revision else 0
         return SeatRecord(seat, written, holder, make_version(self.era, revision))
 
     def send_seats(self, sender, receiver):
-        """Let a proxy tell another what it knows of the seats."""
+        """Send one proxy's seat records to another."""
         receiver.learn(
             [
                 record._replace(stored_version=0)
@@ -135,12 +135,12 @@
         )
 
     def make_backup(self):
-        """Keep a backup from which the store can be restored."""
-        self.copy = dict(self.seats), self.revision
+        """Make the backup from which the store can be restored."""
+        self.backup = dict(self.seats), self.revision
 
     def restore(self):
-        """Let the store be restored from its backup."""
-        self.seats, self.revision = dict(self.copy[0]), self.copy[1]
+        """Restore the store from its backup, in a new era."""
+        self.seats, self.revision = dict(self.backup[0]), self.backup[1]
         self.era += 1
 
     def deliver(self, index, keep=False):
@@ -152,12 +152,12 @@
             proxy.receive(sender, message)
 
     def write(self, index, answered):
-        """Let a write reach the store; its answer may be lost."""
+        """Deliver a write to the store; its answer may be lost."""
         name, action = self.writes.pop(index)
         era = get_era(action.if_version)
         kept = get_revision(self.see_seat(action.seat).stored_version)
-        # A call of an earlier era is carried out if the revisions match by chance; what
-        # it answers is not believed.
+        # A write of an earlier era is carried out if the revisions match by chance; its
+        # answer is ignored.
         if kept == get_revision(action.if_version):
             self.revision += 1
             self.seats[action.seat] = self.revision, action.holder, era
@@ -167,7 +167,7 @@
             proxy.learn([self.see_seat(action.seat)])
 
     def settle(self, seconds, step=0.05):
-        """Let all run without faults for a while."""
+        """Run all proxies without faults for a number of seconds."""
         for _ in range(round(seconds / step)):
             self.now += step
             for proxy in self.running:
--- a/tests/connections/fake_target.py
+++ b/tests/connections/fake_target.py
@@ -1,10 +1,10 @@
-"""A connection without a socket, and a connect that the test completes."""
+"""A fake connection without a socket, and a fake target that opens them."""
 
 from twisted.internet.defer import Deferred
 
 
 class FakeConnection:
-    """Counts as closed as soon as `close` is called."""
+    """A connection that is closed as soon as `close` is called."""
 
     def __init__(self):
         self.broken = False
@@ -16,7 +16,7 @@
 
 
 class FakeTarget:
-    """Opens connections when the test says so, or at once."""
+    """Opens connections at once, or when the test calls `finish_one`."""
 
     def __init__(self, at_once=True):
         self.at_once = at_once
--- a/tests/connections/test_account_pool.py
+++ b/tests/connections/test_account_pool.py
@@ -46,7 +46,7 @@
 
 
 def test_a_connection_that_was_opened_for_an_account_is_given_to_it():
-    """Closed for another one, which came later, it would be opened anew for ever."""
+    """Closed for a later request of another account it would be reopened endlessly."""
     pool = make_pool(limit=1)
     assert pool.acquire(1, 9.0, 0.0, "one") == [OpenConnection(1, "one")]
     pool.acquire(2, 5.0, 0.001, "two")
@@ -57,27 +57,27 @@
 
 
 def fill(pool, *accounts):
-    """Leave one idle connection of each account, the first one idle for longest."""
+    """Leave one idle connection of each account; the first is idle the longest."""
     for number, account in enumerate(accounts, 1):
         pool.acquire(number, 9.0, number / 100, account)
         pool.observe_opened(number, number / 100)
         pool.release(number, True, number / 100)
 
 
-def test_where_none_may_be_opened_the_one_that_rested_longest_goes(pool):
+def test_at_the_limit_the_connection_that_is_idle_the_longest_is_closed(pool):
     fill(pool, "one", "two")
     assert pool.acquire(3, 9.0, 0.5, "three") == [CloseConnection(1)]
     assert pool.observe_closed(1, 0.5) == [OpenConnection(3, "three")]
     assert pool.open_count == 2
 
 
-def test_one_is_closed_for_each_that_waits(pool):
+def test_one_idle_connection_is_closed_for_each_waiting_request(pool):
     fill(pool, "one", "two")
     closed = pool.acquire(3, 9.0, 0.5, "three") + pool.acquire(4, 9.0, 0.5, "four")
     assert closed == [CloseConnection(1), CloseConnection(2)]
 
 
-def test_a_connection_that_comes_back_serves_its_own_account_first(pool):
+def test_a_released_connection_serves_its_own_account_first(pool):
     fill(pool, "one", "two")
     pool.acquire(3, 9.0, 0.5, "one")
     pool.acquire(4, 9.0, 0.5, "two")
@@ -86,8 +86,8 @@
     assert pool.release(1, True, 0.51) == [GiveConnection(6, 1)]
 
 
-def test_an_account_with_more_connections_gives_one_up_to_another(pool):
-    """A busy account takes no connection for ever from those that wait for one."""
+def test_an_account_with_more_connections_cedes_one_to_another(pool):
+    """A busy account does not keep all its connections while other accounts wait."""
     assert pool.acquire(1, 9.0, 0.0, "one") == [OpenConnection(1, "one")]
     pool.observe_opened(1, 0.01)
     pool.acquire(2, 9.0, 0.01, "one")
@@ -100,8 +100,8 @@
     assert pool.observe_opened(3, 0.62) == [GiveConnection(5, 3)]
 
 
-def test_an_account_that_has_none_gets_its_turn(pool):
-    """Two busy accounts with one connection each, and a third that asked before."""
+def test_an_account_without_a_connection_gets_one(pool):
+    """Two busy accounts have one connection each; the third asked before them."""
     pool.acquire(1, 9.0, 0.0, "one")
     pool.observe_opened(1, 0.01)
     pool.acquire(2, 9.0, 0.0, "two")
@@ -113,12 +113,12 @@
     assert pool.release(1, True, 0.2) == [CloseConnection(1)]
 
 
-def test_an_account_without_traffic_holds_no_connection(pool):
+def test_an_account_without_traffic_keeps_no_connection(pool):
     fill(pool, "one", "two")
     assert pool.tick(20.0) == [CloseConnection(1), CloseConnection(2)]
 
 
-def test_a_connection_for_which_nobody_waits_any_more_is_kept(pool):
+def test_a_connection_whose_request_was_cancelled_is_kept(pool):
     pool.acquire(1, 9.0, 0.0, "one")
     pool.cancel(1)
     assert pool.observe_opened(1, 0.01) == []
@@ -126,7 +126,7 @@
 
 
 def use(pool, number, account, now):
-    """Have an account ask and give back at once what it gets."""
+    """Acquire a connection for an account and release it at once."""
     actions = pool.acquire(number, now + 9.0, now, account)
     while actions and not isinstance(actions[-1], GiveConnection):
         match actions[-1]:
@@ -137,8 +137,8 @@
     return pool.release(actions[-1].connection, True, now)
 
 
-def test_the_account_that_asks_least_often_gives_up_its_connection():
-    """Though it has just asked, and the other one rested for longer."""
+def test_the_account_that_asks_least_often_loses_its_connection():
+    """Even if it has just asked and the other connection has been idle for longer."""
     pool = make_pool(2, KEEPING)
     for number in range(10):
         use(pool, number, "often", number / 2)
@@ -146,14 +146,14 @@
     assert pool.acquire(30, 9.0, 5.0, "third") == [CloseConnection(2)]
 
 
-def test_a_part_of_the_limit_rests_for_long():
+def test_a_fraction_of_the_limit_is_retained_for_longer():
     pool = make_pool(2, KEEPING)
     for number in range(10):
         use(pool, number, "often", number / 2)
     use(pool, 20, "seldom", 4.6)
     assert pool.get_wakeup(4.6) == 5.5
     assert pool.tick(5.5) == []
-    # The part is full once the second one has rested for the short time.
+    # The retained fraction is full when the second one has passed the idle timeout.
     assert pool.get_wakeup(5.5) == 5.6
     assert pool.tick(5.6) == [CloseConnection(2)]
     pool.observe_closed(2, 5.6)
@@ -161,7 +161,7 @@
     assert pool.tick(24.5) == [CloseConnection(1)]
 
 
-def test_a_smaller_limit_keeps_fewer():
+def test_a_smaller_limit_retains_fewer():
     pool = make_pool(4, KEEPING)
     for number, account in enumerate(("one", "two")):
         use(pool, number, account, 0.0)
@@ -171,8 +171,8 @@
     assert len(pool.tick(2.0)) == 1 and pool.get_wakeup(2.0) == 20.0
 
 
-def test_after_a_loss_of_all_power_there_is_room():
-    """What rests for long leaves a part of the limit to those that are opened anew."""
+def test_retained_connections_leave_capacity_after_a_loss_of_all_power():
+    """The target still counts the lost connections, so new ones need free capacity."""
     pool = make_pool(9, KEEPING)
     for number in range(9):
         use(pool, number, f"account-{number}", 0.0)
@@ -180,17 +180,17 @@
 
 
 def refuse_second(pool):
-    """Leave one idle connection of one account; the target refuses another one's."""
+    """Leave one account an idle connection; the target refuses another account's."""
     fill(pool, "one")
     assert pool.acquire(2, 9.0, 0.5, "two") == [OpenConnection(2, "two")]
     return pool.observe_open_failed(2, 0.51, is_full=True)
 
 
-def test_accounts_take_turns_with_what_a_full_target_has_taken():
-    """After a loss of power it counted the connections of before for 3 s.
+def test_accounts_share_the_connections_that_a_full_target_has_accepted():
+    """After a loss of power a target counts the former connections for 3 s.
 
-    The few that it took stayed with the accounts that had them first, at rest for most
-    of the time, while the requests of all others waited in vain.
+    Without sharing, the few new ones that it accepts stay with the accounts that had
+    them first, mostly idle, while the requests of all other accounts time out.
     """
     pool = make_pool(limit=5)
     assert refuse_second(pool) == [CloseConnection(1)]
@@ -201,7 +201,7 @@
     assert pool.release(3, True, 0.6) == [CloseConnection(3)]
 
 
-def test_a_full_target_is_asked_for_one_connection_at_a_time_then():
+def test_after_a_refusal_one_connection_is_opened_at_a_time():
     pool = make_pool(limit=5)
     refuse_second(pool)
     pool.observe_closed(1, 0.52)
@@ -210,12 +210,12 @@
         pool.acquire(number, 9.0, 0.55, f"account-{number}")
     opened = pool.tick(0.51 + FULL_PERIOD)
     assert opened == [OpenConnection(4, "account-4")]
-    # It has taken more than before: there is room again.
+    # The target has accepted more than before, so it has capacity again.
     more = pool.observe_opened(4, 0.9)
     assert [type(each) for each in more] == [GiveConnection, *[OpenConnection] * 3]
 
 
-def test_a_full_target_without_accounts_is_left_alone_for_a_while():
+def test_a_refusal_without_accounts_starts_the_back_off():
     pool = make_pool(limit=5)
     pool.acquire(1, 9.0, 0.0)
     pool.observe_opened(1, 0.01)
@@ -225,7 +225,7 @@
     assert pool.tick(0.06) == []
 
 
-def test_a_target_that_takes_none_is_left_alone_for_a_while():
+def test_a_refusal_without_open_connections_refuses_the_requests():
     pool = make_pool(limit=5)
     pool.acquire(1, 9.0, 0.0, "one")
     (refusal,) = pool.observe_open_failed(1, 0.01, is_full=True)
@@ -308,13 +308,13 @@
 
     @invariant()
     def no_request_is_forgotten(self):
-        """Whoever waits is served, refused, or has something that will wake it."""
+        """A waiting request has a connection or a timer that will end its wait."""
         if self.waiting and not (self.opening or self.held or self.closing):
             assert self.pool.get_wakeup(self.now) is not None
 
     @rule()
     def lose_all(self):
-        """The database is lost: what was open is gone."""
+        """The database is lost, and with it all open connections."""
         gone = [*self.held, *self.pool.idle_numbers]
         self.held.clear()
         for number in gone:
@@ -324,28 +324,28 @@
 
 
 class KeepingPool(AccountPool):
-    """The same where some connections rest for long."""
+    """The same with some connections retained for longer."""
 
     POLICY = KEEPING
 
     def __init__(self):
         super().__init__()
-        self.resting = {}
+        self.idle_since = {}
 
     @invariant()
-    def few_rest_for_long(self):
-        """No more than their part, as soon as time has been looked at."""
+    def few_are_retained_for_longer(self):
+        """After a tick no more than the fraction exceed the idle timeout."""
         self.apply(self.pool.tick(self.now))
-        before, self.resting = self.resting, {}
+        before, self.idle_since = self.idle_since, {}
         for number in self.pool.idle_numbers:
-            self.resting[number] = before.get(number, self.now)
-        long = [at for at in self.resting.values() if self.now - at > 1.0]
+            self.idle_since[number] = before.get(number, self.now)
+        long = [at for at in self.idle_since.values() if self.now - at > 1.0]
         assert len(long) <= 1
         assert all(self.now - at < 20.0 for at in long)
 
     @invariant()
-    def the_timer_never_stands_still(self):
-        """After what was due is done, nothing is due at once again."""
+    def the_timer_always_advances(self):
+        """After a tick without actions the next one is not due at once."""
         actions = self.pool.tick(self.now)
         self.apply(actions)
         if not actions and not self.waiting:
--- a/tests/connections/test_budget.py
+++ b/tests/connections/test_budget.py
@@ -1,4 +1,4 @@
-"""Budgets: the sum of rights never exceeds the total, and nothing lies idle."""
+"""Budgets: the sum of hard limits never exceeds the total, and all of it is usable."""
 
 import random
 
@@ -43,7 +43,7 @@
     assert site.hard_limit_sum == TOTAL
 
 
-def test_a_proxy_with_two_seats_gives_one_to_a_newcomer():
+def test_a_proxy_with_two_seats_releases_one_for_a_new_proxy():
     site = make_site(2)
     site.join()
     site.settle(8.0)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_unused_connections_go_to_the_proxy_whose_callers_wait(count):
+def test_unused_connections_are_lent_to_the_proxy_whose_callers_wait(count):
     site = make_site(count)
     proxy = site.proxies[f"p{count}"]
     proxy.work(50)
@@ -61,7 +61,7 @@
     assert proxy.open == TOTAL
 
 
-def test_an_owner_gets_its_share_back_when_it_needs_it():
+def test_a_lender_gets_its_share_back_when_it_needs_it():
     site = make_site(3)
     site.proxies["p1"].work(50)
     site.settle(3.0)
@@ -74,7 +74,7 @@
     assert get_open(site) == TOTAL
 
 
-def test_nothing_lapses_while_the_store_is_away():
+def test_no_seat_expires_while_the_store_is_unavailable():
     site = make_site(3)
     for step in range(200):
         site.now += 0.5
@@ -109,7 +109,7 @@
 
 
 def run_faults(site, rng, steps):
-    """Run random faults and return the highest sum of rights and of openings."""
+    """Run random faults and return the highest sum of hard limits."""
     most = 0
     for _ in range(steps):
         fault_step(site, rng)
@@ -152,10 +152,10 @@
     assert site.hard_limit_sum == TOTAL or not site.proxies
 
 
-def test_the_check_sees_a_lender_that_counts_less_than_its_borrower():
+def test_the_check_detects_loans_that_expire_earlier_at_the_lender():
     policy = BudgetPolicy(loans=LoanPolicy(margin=-1.5))
     most = (run_faults(ModelSite(policy), random.Random(s), 500) for s in range(9))
-    assert any(rights > TOTAL for rights in most)
+    assert any(limit_sum > TOTAL for limit_sum in most)
 
 
 def run_restores(site, rng, steps):
@@ -173,11 +173,11 @@
     return most
 
 
-def test_seats_that_the_store_forgets_are_still_held_by_one_each():
-    """A store that was restored from a backup showed seats as free that were held.
+def test_seats_that_a_restored_store_lost_have_one_holder_each():
+    """A store that was restored from a backup shows held seats as free.
 
-    Whoever held one lost its share at once, a newcomer took the seat, and where the
-    holder heard of the restore later than the newcomer both used it.
+    Without eras the holder loses its share at once and a new proxy claims the seat;
+    both use it if the holder learns of the restore later than the new proxy.
     """
     site = ModelSite()
     site.make_backup()
@@ -205,7 +205,7 @@
     assert newcomer.decider.held_seats and site.hard_limit_sum == TOTAL
 
 
-def test_a_seat_that_was_freed_in_the_lost_seconds_is_not_used_again():
+def test_a_seat_whose_release_the_store_lost_is_not_used_again():
     site = make_site(3)
     site.make_backup()
     leaver = site.proxies["p1"]
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_total_holds_while_the_store_comes_back_from_copies(seed):
+def test_the_total_holds_while_the_store_is_restored_from_backups(seed):
     site = ModelSite()
     assert run_restores(site, random.Random(seed), 1000) <= TOTAL
     for proxy in site.proxies.values():
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize(["evict_after", "holds"], [(10.0, True), (0.0, False)])
-def test_a_seat_is_free_only_when_the_loans_of_its_dead_holder_are_over(
+def test_a_seat_is_freed_only_when_the_loans_of_its_dead_holder_have_ended(
     evict_after, holds
 ):
     site = ModelSite(BudgetPolicy(seats=SeatPolicy(evict_after=evict_after)))
@@ -311,7 +311,7 @@
 
     @precondition(lambda self: self.site.proxies)
     @rule(index=proxy)
-    def pause_or_wake(self, index):
+    def pause_or_resume(self, index):
         names = list(self.site.proxies)
         proxy = self.site.proxies[names[index % len(names)]]
         proxy.paused = not proxy.paused
@@ -328,15 +328,15 @@
 
     @precondition(lambda self: len(self.site.running) > 1)
     @rule(index=proxy, other=proxy)
-    def tell(self, index, other):
+    def send_seats(self, index, other):
         self.site.send_seats(self.pick(index), self.pick(other))
 
     @invariant()
-    def rights_stay_within_the_total(self):
+    def the_total_is_never_exceeded(self):
         assert self.site.hard_limit_sum <= TOTAL
 
     @invariant()
-    def no_running_proxy_exceeds_its_right(self):
+    def no_running_proxy_exceeds_its_hard_limit(self):
         for proxy in self.site.running:
             proxy.tick()
             assert proxy.open <= proxy.decider.get_hard_limit(KEY, self.site.now)
--- a/tests/connections/test_budget_service.py
+++ b/tests/connections/test_budget_service.py
@@ -1,4 +1,4 @@
-"""Budgets of real proxies: peer links on loopback and the stand-in platform."""
+"""Budgets over real peer links on loopback and the stand-in platform."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class Fleet:
-    """Two proxies with budgets over one database that is not there."""
+    """Two proxies with budgets over one fake database."""
 
     def __init__(self):
         self.platform = PlatformServer(reactor, PlatformOptions())
@@ -68,7 +68,7 @@
 
 
 def test_seats_are_claimed_and_connections_are_lent_over_the_peer_link(fleet):
-    # Each has three of the six, and one of them is its control connection.
+    # Each has three of the six connections, one of which is its control connection.
     run(wait_for, lambda: fleet.limits == [2, 2])
     waiting = run(fleet.acquire, 0, 9)
     run(wait_for, lambda: fleet.limits == [4, 0])
--- a/tests/connections/test_budget_task.py
+++ b/tests/connections/test_budget_task.py
@@ -1,4 +1,4 @@
-"""The budget's task: limits reach the pools, and a lapsed share is closed."""
+"""The budget's task: limits reach the pools, and an expired share is closed."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """Two budgets that talk directly, and a store that answers at once."""
+    """Two budgets that exchange messages directly, and a store that answers at once."""
 
     def __init__(self):
         self.clock = Clock()
@@ -57,7 +57,7 @@
         self.clock.pump([0.01] * round(seconds * 100))
 
     def hold(self, name, count):
-        """Acquire connections and return those that were given."""
+        """Acquire connections and return those that the pool gave."""
         given = []
         for _ in range(count):
             deadline = self.clock.seconds() + 60.0
@@ -68,7 +68,7 @@
 
 
 class Link:
-    """One budget's way to the other."""
+    """One budget's link to the other."""
 
     def __init__(self, site, name):
         self.site, self.name = site, name
@@ -105,7 +105,7 @@
     assert site.target.open_count == TOTAL
 
 
-def test_a_leaving_proxy_gives_up_its_seats_when_its_connections_are_closed():
+def test_a_leaving_proxy_releases_its_seats_when_its_connections_are_closed():
     site = Site()
     (connection,) = site.hold("p1", 1)
     site.leaving = frozenset(["p1"])
@@ -120,7 +120,7 @@
     assert site.pools["p2"].load.limit == TOTAL
 
 
-def test_a_seat_is_kept_while_a_loan_of_a_database_that_is_gone_goes_on():
+def test_a_seat_is_held_while_a_loan_of_a_removed_database_lasts():
     site = Site()
     assert len(site.hold("p2", TOTAL)) == TOTAL
     site.is_cut = True
--- a/tests/connections/test_pool.py
+++ b/tests/connections/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool's decisions: order of the queue, early refusals, limits, back-off."""
+"""The pool's decisions: order of the queue, early refusals, limits and back-off."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def make_busy_pool(hold=0.1, **policy):
-    """Return a pool of one connection in use since 0, holds of `hold` seconds."""
+    """Return a pool whose one connection is in use since 0; uses take `hold` s."""
     pool = make_pool(**policy)
     pool.acquire(1, 10.0, -hold)
     pool.observe_opened(1, -hold)
@@ -42,7 +42,7 @@
     assert pool.release(1, True, 0.1) == [GiveConnection(4, 1)]
 
 
-def test_who_cannot_be_done_in_time_is_refused_at_once():
+def test_a_request_that_would_be_late_is_refused_at_once():
     pool = make_busy_pool(hold=0.1)
     (refusal,) = pool.acquire(3, 0.15, 0.0)
     assert refusal.refusal.reason is RefusalReason.TOO_LATE
@@ -51,7 +51,7 @@
     assert pool.acquire(4, 0.5, 0.0) == []
 
 
-def test_an_urgent_request_pushes_out_whom_it_makes_late():
+def test_a_request_that_an_urgent_one_makes_late_is_refused():
     pool = make_busy_pool(hold=0.1)
     assert pool.acquire(3, 0.45, 0.0) == []
     assert pool.acquire(4, 0.46, 0.0) == []
@@ -64,13 +64,13 @@
     assert get_refused(pool.acquire(4, 9.0, 0.0)) == [(4, RefusalReason.QUEUE_FULL)]
 
 
-def test_a_target_that_ends_no_request_is_seen_before_deadlines_pass():
+def test_a_target_that_stopped_answering_is_noticed_before_deadlines_pass():
     pool = make_busy_pool(hold=0.01)
     assert pool.acquire(3, 5.0, 0.0) == []
     assert get_refused(pool.tick(3.0)) == [(3, RefusalReason.TOO_LATE)]
 
 
-def test_one_long_transaction_does_not_make_the_others_look_hopeless():
+def test_one_long_transaction_does_not_have_other_requests_refused():
     pool = make_pool(limit=3)
     for number in (1, 2, 3):
         pool.acquire(number, 1000.0, 0.0)
@@ -82,14 +82,14 @@
     assert pool.acquire(6, 60.2, 60.0) == []
 
 
-def test_a_connection_in_doubt_is_thrown_away_and_replaced():
+def test_a_connection_in_an_uncertain_state_is_closed_and_replaced():
     pool = make_busy_pool()
     pool.acquire(3, 9.0, 0.0)
     assert pool.release(1, False, 0.1) == [CloseConnection(1)]
     assert pool.observe_closed(1, 0.1) == [OpenConnection(2)]
 
 
-def test_a_failed_open_backs_off_and_refuses_meanwhile():
+def test_a_failed_opening_starts_a_back_off_and_refuses_requests():
     pool = make_pool(first_backoff=1.0, max_backoff=1.0)
     assert pool.acquire(1, 9.0, 0.0) == [OpenConnection(1)]
     (refusal,) = pool.observe_open_failed(1, 0.0)
@@ -102,7 +102,7 @@
     assert pool.tick(wakeup) == [OpenConnection(2)]
 
 
-def test_opens_that_fail_together_count_once():
+def test_openings_that_fail_together_count_once():
     pool = make_pool(limit=4, first_backoff=0.1, max_backoff=60.0)
     for number in range(1, 5):
         pool.acquire(number, 9.0, 0.0)
@@ -113,7 +113,7 @@
     assert len(pool.tick(0.2)) <= 1
 
 
-def test_a_target_that_answers_elsewhere_ends_the_back_off():
+def test_an_answer_on_another_connection_ends_the_back_off():
     pool = make_pool(first_backoff=9.0, max_backoff=9.0)
     pool.acquire(1, 99.0, 0.0)
     pool.observe_open_failed(1, 0.0)
@@ -131,7 +131,7 @@
     assert pool.release(2, True, 0.2) == [CloseConnection(2)]
 
 
-def test_a_lapsed_share_closes_connections_in_use():
+def test_an_expired_share_closes_connections_in_use():
     pool = make_busy_pool()
     assert pool.enforce_limit(0) == [CloseConnection(1)]
 
@@ -156,7 +156,7 @@
     assert pool.get_wakeup(9.0) is None
 
 
-def test_a_draining_pool_gives_nothing_and_ends_when_all_came_back():
+def test_a_draining_pool_refuses_and_ends_when_all_connections_are_released():
     pool = make_busy_pool()
     pool.acquire(3, 9.0, 0.0)
     assert get_refused(pool.drain(0.0)) == [(3, RefusalReason.LEAVING)]
@@ -169,7 +169,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Any order of events: one holder a connection, one answer a waiter."""
+    """Any order of events: one holder per connection, one answer per waiter."""
 
     def __init__(self):
         super().__init__()
@@ -250,7 +250,7 @@
         assert load.waiting == len(self.waiting)
 
     @invariant()
-    def nobody_waits_beside_an_idle_connection(self):
+    def no_request_waits_beside_an_idle_connection(self):
         assert not (self.idle and self.waiting)
 
 
@@ -260,7 +260,7 @@
 TestPoolMachine = PoolMachine.TestCase
 
 
-def test_one_hold_beyond_all_deadlines_does_not_refuse_for_ever():
+def test_one_very_long_use_does_not_have_all_requests_refused():
     pool = make_pool()
     pool.acquire(1, 100.0, 0.0)
     pool.observe_opened(1, 0.0)
@@ -294,7 +294,7 @@
     assert pool.acquire(1, 10.0, 0.0) == [OpenConnection(1)]
 
 
-def test_a_short_request_of_the_proxy_takes_a_free_connection_and_tells_nothing():
+def test_a_short_request_of_the_proxy_does_not_change_the_hold_time():
     pool = make_pool(limit=1)
     pool.acquire(1, 10.0, 0.0)
     pool.observe_opened(1, 0.0)
@@ -314,14 +314,14 @@
     assert pool.release(1, True, 0.2) == [GiveConnection(3, 1)]
 
 
-def test_a_short_request_that_is_given_up_gets_nothing():
+def test_a_cancelled_short_request_gets_no_connection():
     pool = make_busy_pool()
     pool.acquire_briefly(3, 0.0)
     pool.cancel(3)
     assert pool.release(1, True, 0.1) == []
 
 
-def test_a_policy_that_changes_holds_for_the_next_request():
+def test_a_changed_policy_applies_to_the_next_request():
     pool = make_pool(limit=2, open_delay=0.03)
     pool.acquire(1, 10.0, 0.0)
     pool.observe_opened(1, 0.0)
@@ -330,7 +330,7 @@
     assert pool.acquire(3, 10.0, 1.0) == [OpenConnection(2)]
 
 
-def test_without_the_order_of_deadlines_who_came_first_is_served_first():
+def test_without_deadline_order_the_first_request_is_served_first():
     pool = make_busy_pool(by_deadline=False)
     pool.acquire(3, 9.0, 0.0)
     pool.acquire(4, 5.0, 0.0)
@@ -340,7 +340,7 @@
     assert [each.waiter for each in given] == [3]
 
 
-def test_without_early_refusals_a_request_waits_until_its_time_is_over():
+def test_without_early_refusals_a_request_waits_until_its_deadline():
     for refuses_early, refused_at_once in ((True, True), (False, False)):
         pool = make_busy_pool(hold=1.0, refuses_early=refuses_early)
         refused = get_refused(pool.acquire(3, 0.4, 0.0))
@@ -349,8 +349,8 @@
     assert get_refused(pool.tick(0.5)) == [(3, RefusalReason.TOO_LATE)]
 
 
-def test_a_slow_open_is_no_full_queue():
-    """Nobody waits, nothing is lent: one is opened, however long that takes."""
+def test_a_slow_opening_is_not_a_full_queue():
+    """An opening that takes longer than `max_wait` refuses no request."""
     pool = PoolDecider(PoolPolicy(warm=0, max_wait=0.25), 9, random.Random(1))
     for number, now in ((1, 0.0), (2, 10.0)):
         assert pool.acquire(number, now + 9.0, now) == [OpenConnection(number)]
--- a/tests/connections/test_resting.py
+++ b/tests/connections/test_resting.py
@@ -1,4 +1,4 @@
-"""What a connection that rests is worth."""
+"""The ranking of idle connections by the openings that they save."""
 
 import random
 
@@ -16,8 +16,8 @@
 )
 
 
-def make_resting(*accounts, hold=0.02):
-    """Return the plan of a pool in which one connection of each account rests."""
+def make_ranking(*accounts, hold=0.02):
+    """Return the ranking of a pool with one idle connection for each account given."""
     table = ConnectionTable()
     for account in accounts:
         number = table.begin_opening(account, 0.0)
@@ -36,7 +36,7 @@
     assert rates.get_rate("often", 10.0) == pytest.approx(10.0, rel=0.1)
 
 
-def test_an_account_that_is_silent_is_expected_less_and_less():
+def test_the_rate_of_a_silent_account_declines():
     rates = AccountRates()
     ask(rates, "gone", 0.1)
     ask(rates, "there", 2.0)
@@ -44,37 +44,37 @@
     assert rates.get_rate("gone", 14.0) == pytest.approx(0.25)
 
 
-def test_an_account_that_never_asked_is_worth_nothing():
+def test_the_rate_of_an_unknown_account_is_zero():
     assert AccountRates().get_rate("none", 1.0) == 0.0
 
 
-def test_accounts_that_asked_long_ago_are_forgotten():
+def test_the_accounts_that_asked_longest_ago_are_removed():
     rates = AccountRates()
     for number in range(MAX_ACCOUNTS + 1):
         rates.observe(f"a{number}", 1.0)
     assert rates.get_rate("a0", 1.0) == 0.0 and rates.get_rate("a1", 1.0) > 0.0
 
 
-def test_a_second_connection_is_worth_less_than_another_accounts_first():
-    """Few operations of an account come while another one of it runs."""
-    resting = make_resting("often", "often", "seldom")
-    ask(resting.rates, "often", 0.5)
-    ask(resting.rates, "seldom", 2.0)
-    # The older one of an account counts as its further one.
-    assert resting.rank(POLICY, 10.0) == [1, 3, 2]
+def test_a_second_connection_ranks_below_the_first_of_another_account():
+    """Few operations of an account arrive while another one of it runs."""
+    ranking = make_ranking("often", "often", "seldom")
+    ask(ranking.rates, "often", 0.5)
+    ask(ranking.rates, "seldom", 2.0)
+    # Of an account's two connections the one idle for longer counts as the second.
+    assert ranking.rank(POLICY, 10.0) == [1, 3, 2]
 
 
-def test_a_second_connection_of_a_busy_account_is_worth_a_place():
-    resting = make_resting("busy", "busy", "seldom")
-    ask(resting.rates, "busy", 0.02)
-    ask(resting.rates, "seldom", 2.0)
-    assert resting.rank(POLICY, 10.0)[0] == 3
+def test_a_second_connection_of_a_busy_account_can_rank_above_a_first():
+    ranking = make_ranking("busy", "busy", "seldom")
+    ask(ranking.rates, "busy", 0.02)
+    ask(ranking.rates, "seldom", 2.0)
+    assert ranking.rank(POLICY, 10.0)[0] == 3
 
 
-def test_without_a_part_that_is_kept_the_one_that_rested_longest_goes_first():
-    resting = make_resting("seldom", "often", "seldom")
-    ask(resting.rates, "seldom", 2.0)
-    assert resting.rank(POLICY._replace(retained_fraction=0.0), 10.0) == [1, 2, 3]
+def test_without_a_retained_fraction_the_longest_idle_is_first():
+    ranking = make_ranking("seldom", "often", "seldom")
+    ask(ranking.rates, "seldom", 2.0)
+    assert ranking.rank(POLICY._replace(retained_fraction=0.0), 10.0) == [1, 2, 3]
 
 
 def count_opened(policy, seed=3):
@@ -99,6 +99,6 @@
     return opened
 
 
-def test_fewer_connections_are_opened_than_by_the_time_of_rest():
+def test_fewer_connections_are_opened_than_in_the_order_of_idle_time():
     standing = POLICY._replace(retained_fraction=0.0)
     assert count_opened(POLICY) < 0.8 * count_opened(standing)
--- a/tests/connections/test_seat_store.py
+++ b/tests/connections/test_seat_store.py
@@ -40,7 +40,7 @@
         return self.run(self.seats.write_seat(WriteSeat(seat, holder, if_version)))
 
 
-def test_a_seat_that_a_copy_brings_back_is_no_later_write():
+def test_a_seat_that_a_restore_brings_back_is_no_later_write():
     site = Site()
     absent = make_version(1, 0)
     assert site.read() == (SeatRecord(0, 0, "", absent), SeatRecord(1, 0, "", absent))
@@ -56,7 +56,7 @@
     )
 
 
-def test_a_write_on_what_an_earlier_era_had_gives_the_seat_as_it_is():
+def test_a_write_based_on_an_earlier_era_returns_the_present_seat():
     site = Site()
     copy = site.platform.store.make_backup()
     lost = site.write(1, "c", make_version(1, 0))
--- a/tests/connections/test_target.py
+++ b/tests/connections/test_target.py
@@ -1,4 +1,4 @@
-"""A connection to a target, without sockets."""
+"""A PostgreSQL connection to a target, without sockets."""
 
 import pytest
 from pygwire import messages as m
@@ -25,7 +25,7 @@
 
 
 class Sink:
-    """Keeps what is written; full if the test says so."""
+    """Keeps the data that is written; pauses its producer if `is_full`."""
 
     def __init__(self, is_full=False):
         self.data = b""
@@ -61,7 +61,7 @@
 
 
 def open_cancel(connection):
-    """Cancel what runs; return the protocol that carries the request."""
+    """Cancel the running request; return the protocol that sends the cancel request."""
     connection.cancel()
     (attempt,) = connection._reactor.tcpClients
     protocol = attempt[2].buildProtocol(None)
@@ -79,7 +79,7 @@
     return failures[0].value
 
 
-def test_the_position_at_the_log_on_is_kept():
+def test_the_position_at_the_log_on_is_recorded():
     assert log_on().position == LogPosition(1, 2)
 
 
@@ -112,7 +112,7 @@
     "message",
     [m.AuthenticationCleartextPassword(), m.AuthenticationMD5Password(b"salt")],
 )
-def test_no_password_is_given_away(message):
+def test_no_password_is_sent_in_clear_text_or_as_an_md5_hash(message):
     connection = connect(message, password="secret")
     assert connection.broken
     assert b"secret" not in connection.transport.value()
@@ -138,7 +138,7 @@
     assert sink.data == ANSWER[0].to_wire()
 
 
-def test_an_answer_that_nobody_waits_for_breaks_the_connection():
+def test_cancelling_an_answer_closes_the_connection():
     connection = log_on()
     sink = Sink()
     answer = connection.run(QUERY, sink)
@@ -164,7 +164,7 @@
     assert connection.transport.producerState == "producing"
 
 
-def test_a_plan_that_does_not_fit_is_prepared_anew():
+def test_a_statement_with_an_invalid_plan_is_prepared_again():
     connection = log_on()
     connection.prepared.touch("name")
     connection.run(QUERY, Sink())
@@ -185,7 +185,7 @@
     assert answer.result.tail == ANSWER[1].to_wire()
 
 
-def test_a_cancel_request_without_end_breaks_the_connection():
+def test_a_cancel_request_that_times_out_closes_the_connection():
     connection = log_on()
     answer = connection.run(QUERY, Sink())
     open_cancel(connection)
--- a/tests/connections/test_task.py
+++ b/tests/connections/test_task.py
@@ -1,4 +1,4 @@
-"""The pool's task: Deferreds, timers and connections that break."""
+"""The pool's task: Deferreds, timers and broken connections."""
 
 import random
 
@@ -31,7 +31,7 @@
     return results[0] if results else None
 
 
-def test_a_connection_goes_from_one_request_to_the_next(site):
+def test_a_released_connection_serves_the_next_request(site):
     _, target, pool = site
     first = get_result(pool.acquire(10.0))
     second = pool.acquire(10.0)
@@ -40,7 +40,7 @@
     assert second.called and len(target.connections) == 1
 
 
-def test_a_broken_connection_is_not_given_again(site):
+def test_a_broken_connection_is_not_reused(site):
     _, target, pool = site
     first = get_result(pool.acquire(10.0))
     first.broken = True
@@ -87,7 +87,7 @@
     assert get_result(pool.acquire(10.0)) is target.connections[0]
 
 
-def test_a_drained_pool_says_when_it_is_empty(site):
+def test_a_drain_fires_when_all_connections_are_closed(site):
     clock, target, pool = site
     first = get_result(pool.acquire(10.0))
     done = pool.drain()
@@ -106,7 +106,7 @@
     assert get_result(pool.acquire(10.0)) is target.connections[1]
 
 
-def test_a_lent_connection_that_is_retired_closes_when_it_is_given_back(site):
+def test_a_retired_connection_in_use_closes_when_it_is_released(site):
     _, _, pool = site
     first = get_result(pool.acquire(10.0))
     pool.retire(lambda connection: connection is first)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(("sqlstate", "closes"), [("53300", True), ("57P03", False)])
-def test_a_connection_that_rests_makes_room_where_the_target_is_full(sqlstate, closes):
+def test_an_idle_connection_is_closed_if_the_target_is_full(sqlstate, closes):
     clock, target = Clock(), FakeTarget()
     pool = PoolTask(clock, DATABASE, target.connect, limit=5, rng=random.Random(1))
     first = get_result(pool.acquire(10.0, Demand(account="one")))
