--- a/beryltrack/connections/seats.py
+++ b/beryltrack/connections/seats.py
@@ -118,7 +118,7 @@
 
     @property
     def era(self) -> int:
-        """The store's latest era if held seats are confirmed in it, else 0.
+        """The store's latest era if the held seats are confirmed in it, else 0.
 
         Also 0 until all seats have been read in that era.
         """
@@ -195,8 +195,8 @@
         if not seatless or self._get_free() or self._releasing or self._get_unfreed():
             return
         live_counts = [(counts[name], name) for name in self._staying if name in counts]
-        most, giver = max(live_counts, default=(0, ""))
-        if most >= 2 and giver == self._holder:
+        max_count, holder = max(live_counts, default=(0, ""))
+        if max_count >= 2 and holder == self._holder:
             self._releasing.add(max(self.held))
 
     def tick(self, can_release: Callable[[], bool], now: float) -> list[WriteSeat]:
