--- a/tests/connections/test_budget.py
+++ b/tests/connections/test_budget.py
@@ -1,4 +1,4 @@
-"""Budgets: the sum of rights never exceeds the total, and nothing lies idle."""
+"""Budgets: the sum of hard limits never exceeds the total, and all of it is usable."""
 
 import random
 
@@ -34,16 +34,16 @@
 def test_each_proxy_gets_a_seat_and_the_shares_add_up():
     site = make_site(3)
     assert all(len(p.decider.held_seats) == 1 for p in site.proxies.values())
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def test_seats_without_a_proxy_are_taken_by_the_others():
     site = make_site(2)
     assert sorted(len(p.decider.held_seats) for p in site.proxies.values()) == [1, 2]
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
-def test_a_proxy_with_two_seats_gives_one_to_a_newcomer():
+def test_a_proxy_with_two_seats_releases_one_for_a_new_proxy():
     site = make_site(2)
     site.join()
     site.settle(8.0)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_unused_connections_go_to_the_proxy_whose_callers_wait(count):
+def test_unused_connections_are_lent_to_the_proxy_whose_callers_wait(count):
     site = make_site(count)
     proxy = site.proxies[f"p{count}"]
     proxy.work(50)
@@ -61,7 +61,7 @@
     assert proxy.open == TOTAL
 
 
-def test_an_owner_gets_its_share_back_when_it_needs_it():
+def test_a_lender_gets_its_share_back_when_it_needs_it():
     site = make_site(3)
     site.proxies["p1"].work(50)
     site.settle(3.0)
@@ -74,13 +74,13 @@
     assert get_open(site) == TOTAL
 
 
-def test_nothing_lapses_while_the_store_is_away():
+def test_no_seat_expires_while_the_store_is_unavailable():
     site = make_site(3)
     for step in range(200):
         site.now += 0.5
         for proxy in site.running:
             proxy.tick()
-        assert site.right_sum == TOTAL, step
+        assert site.hard_limit_sum == TOTAL, step
 
 
 def test_the_seat_of_a_dead_proxy_is_taken_after_the_longest_loan():
@@ -88,9 +88,9 @@
     dead = next(p for p in site.proxies.values() if p.decider.held_seats)
     site.crash(dead.name)
     site.settle(5.0)
-    assert site.right_sum < TOTAL
+    assert site.hard_limit_sum < TOTAL
     site.settle(10.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def test_a_leaving_proxy_frees_its_seat_when_its_connections_are_closed():
@@ -105,15 +105,15 @@
     site.settle(1.0)
     assert not proxy.decider.held_seats
     site.settle(5.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 def run_faults(site, rng, steps):
-    """Run random faults and return the highest sum of rights and of openings."""
+    """Run random faults and return the highest sum of hard limits."""
     most = 0
     for _ in range(steps):
         fault_step(site, rng)
-        most = max(most, site.right_sum)
+        most = max(most, site.hard_limit_sum)
     return most
 
 
@@ -149,13 +149,13 @@
     for proxy in site.proxies.values():
         proxy.paused = False
     site.settle(20.0)
-    assert site.right_sum == TOTAL or not site.proxies
+    assert site.hard_limit_sum == TOTAL or not site.proxies
 
 
-def test_the_check_sees_a_lender_that_counts_less_than_its_borrower():
+def test_the_check_detects_loans_that_expire_earlier_at_the_lender():
     policy = BudgetPolicy(loans=LoanPolicy(margin=-1.5))
     most = (run_faults(ModelSite(policy), random.Random(s), 500) for s in range(9))
-    assert any(rights > TOTAL for rights in most)
+    assert any(limit_sum > TOTAL for limit_sum in most)
 
 
 def run_restores(site, rng, steps):
@@ -168,16 +168,16 @@
         if rng.random() < 0.01:
             site.restore()
         if len(site.running) > 1:
-            site.tell_peers(*rng.sample(site.running, 2))
-        most = max(most, site.right_sum)
+            site.send_seats(*rng.sample(site.running, 2))
+        most = max(most, site.hard_limit_sum)
     return most
 
 
-def test_seats_that_the_store_forgets_are_still_held_by_one_each():
-    """A store that was restored from a backup showed seats as free that were held.
+def test_seats_that_a_restored_store_lost_have_one_holder_each():
+    """A store that was restored from a backup shows held seats as free.
 
-    Whoever held one lost its share at once, a newcomer took the seat, and where the
-    holder heard of the restore later than the newcomer both used it.
+    Without eras the holder loses its share at once and a new proxy claims the seat;
+    both use it if the holder learns of the restore later than the new proxy.
     """
     site = ModelSite()
     site.make_backup()
@@ -194,18 +194,18 @@
         newcomer.tick()
         while site.writes:
             site.write(0, True)
-        assert site.right_sum <= TOTAL
+        assert site.hard_limit_sum <= TOTAL
     site.settle(8.0)
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
     assert all(site.proxies[name].decider.held_seats == held[name] for name in held)
     assert not newcomer.decider.held_seats
     assert {each.decider.era for each in site.proxies.values()} == {1}
     site.crash("p2")
     site.settle(25.0)
-    assert newcomer.decider.held_seats and site.right_sum == TOTAL
+    assert newcomer.decider.held_seats and site.hard_limit_sum == TOTAL
 
 
-def test_a_seat_that_was_freed_in_the_lost_seconds_is_not_used_again():
+def test_a_seat_whose_release_the_store_lost_is_not_used_again():
     site = make_site(3)
     site.make_backup()
     leaver = site.proxies["p1"]
@@ -218,23 +218,23 @@
     site.restore()
     for _ in range(200):
         site.settle(0.05)
-        assert site.right_sum <= TOTAL
+        assert site.hard_limit_sum <= TOTAL
     assert taker.decider.held_seats and not leaver.decider.held_seats
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_total_holds_while_the_store_comes_back_from_copies(seed):
+def test_the_total_holds_while_the_store_is_restored_from_backups(seed):
     site = ModelSite()
     assert run_restores(site, random.Random(seed), 1000) <= TOTAL
     for proxy in site.proxies.values():
         proxy.paused = False
     site.settle(25.0)
-    assert site.right_sum == TOTAL or not site.proxies
+    assert site.hard_limit_sum == TOTAL or not site.proxies
 
 
 @pytest.mark.parametrize(["evict_after", "holds"], [(10.0, True), (0.0, False)])
-def test_a_seat_is_free_only_when_the_loans_of_its_dead_holder_are_over(
+def test_a_seat_is_freed_only_when_the_loans_of_its_dead_holder_have_ended(
     evict_after, holds
 ):
     site = ModelSite(BudgetPolicy(seats=SeatPolicy(evict_after=evict_after)))
@@ -248,9 +248,9 @@
     most = 0
     for _ in range(400):
         site.settle(0.05)
-        most = max(most, site.right_sum)
+        most = max(most, site.hard_limit_sum)
     assert (most <= TOTAL) is holds
-    assert site.right_sum == TOTAL
+    assert site.hard_limit_sum == TOTAL
 
 
 class BudgetMachine(RuleBasedStateMachine):
@@ -311,7 +311,7 @@
 
     @precondition(lambda self: self.site.proxies)
     @rule(index=proxy)
-    def pause_or_wake(self, index):
+    def pause_or_resume(self, index):
         names = list(self.site.proxies)
         proxy = self.site.proxies[names[index % len(names)]]
         proxy.paused = not proxy.paused
@@ -328,18 +328,18 @@
 
     @precondition(lambda self: len(self.site.running) > 1)
     @rule(index=proxy, other=proxy)
-    def tell(self, index, other):
-        self.site.tell_peers(self.pick(index), self.pick(other))
+    def send_seats(self, index, other):
+        self.site.send_seats(self.pick(index), self.pick(other))
 
     @invariant()
-    def rights_stay_within_the_total(self):
-        assert self.site.right_sum <= TOTAL
+    def the_total_is_never_exceeded(self):
+        assert self.site.hard_limit_sum <= TOTAL
 
     @invariant()
-    def no_running_proxy_exceeds_its_right(self):
+    def no_running_proxy_exceeds_its_hard_limit(self):
         for proxy in self.site.running:
             proxy.tick()
-            assert proxy.open <= proxy.decider.get_right(KEY, self.site.now)
+            assert proxy.open <= proxy.decider.get_hard_limit(KEY, self.site.now)
 
 
 BudgetMachine.TestCase.settings = settings(
--- a/tests/connections/test_seat_store.py
+++ b/tests/connections/test_seat_store.py
@@ -40,14 +40,14 @@
         return self.run(self.seats.write_seat(WriteSeat(seat, holder, if_version)))
 
 
-def test_a_seat_that_a_copy_brings_back_is_no_later_write():
+def test_a_seat_that_a_restore_brings_back_is_no_later_write():
     site = Site()
     absent = make_version(1, 0)
     assert site.read() == (SeatRecord(0, 0, "", absent), SeatRecord(1, 0, "", absent))
     first = site.write(0, "a", absent)
     assert first == SeatRecord(0, make_version(1, 1), "a", make_version(1, 1))
     copy = site.platform.store.make_backup()
-    site.write(0, "b", first.seen)
+    site.write(0, "b", first.stored_version)
     site.write(1, "c", absent)
     site.platform.restore(copy)
     assert site.read() == (
@@ -56,12 +56,12 @@
     )
 
 
-def test_a_write_on_what_an_earlier_era_had_gives_the_seat_as_it_is():
+def test_a_write_based_on_an_earlier_era_returns_the_present_seat():
     site = Site()
     copy = site.platform.store.make_backup()
     lost = site.write(1, "c", make_version(1, 0))
     site.platform.restore(copy)
-    now = site.write(1, "c", lost.seen)
+    now = site.write(1, "c", lost.stored_version)
     assert now == SeatRecord(1, 0, "", make_version(2, 0))
-    again = site.write(1, "c", now.seen)
+    again = site.write(1, "c", now.stored_version)
     assert again == SeatRecord(1, make_version(2, 1), "c", make_version(2, 1))
