--- a/beryltrack/callers/batches.py
+++ b/beryltrack/callers/batches.py
@@ -1,4 +1,4 @@
-"""What planning a batch of the extended protocol gives; see `extended`."""
+"""Plans of extended-protocol batches and what they consist of; see `extended`."""
 
 from typing import NamedTuple, Protocol
 
@@ -7,39 +7,40 @@
 from beryltrack.wire.messages import Edit
 
 
-class TargetNames(Protocol):
-    """The statements that exist on one target connection."""
+class TargetStatements(Protocol):
+    """The prepared statements that exist on one target connection."""
 
     def __contains__(self, name: str) -> bool:
         """Return whether the statement exists."""
 
     def touch(self, name: str) -> None:
-        """Note that the statement exists and is used now."""
+        """Record that the statement exists and has just been used."""
 
     def remove(self, name: str) -> None:
-        """Note that the statement does not exist."""
+        """Record that the statement does not exist."""
 
     def is_stale(self, name: str) -> bool:
-        """Return whether the statement exists but must be prepared anew."""
+        """Return whether the statement exists but must be prepared again."""
 
     def get_excess(self, coming: int) -> tuple[str, ...]:
-        """Return the names to close before `coming` more are prepared."""
+        """Return the statements to close before `coming` more are prepared."""
 
 
 class Effect(NamedTuple):
-    """What the completion of one Parse or Close means.
+    """The state change that the completion of one Parse or Close causes.
 
     Parameters
     ----------
     edit : Edit
-        What becomes of the target's answer.
+        How the target's response is changed on its way to the caller.
     added, closed : str
-        Name that exists on the target from then on, or does not; empty for
+        Statement name that the target then has, or no longer has; empty for
         none.
     name : str or None
-        The caller's name that changes; None for none.
+        Statement name that changes in the caller's table; None for none.
     statement : PreparedStatement or None
-        What the caller's name means then; None if it is dropped.
+        The statement that the caller's name then stands for; None if the name is
+        dropped.
     """
 
     edit: Edit
@@ -50,18 +51,18 @@
 
 
 class PlannedStep(NamedTuple):
-    """One frame of a batch, with the names that targets know.
+    """One frame of a batch, with the statement names of the targets.
 
     Parameters
     ----------
     wire : bytes
         The frame.
     effect : Effect or None
-        What its completion means; None if the target does not answer it with
+        What its completion changes; None if the target does not respond to it with
         ParseComplete or CloseComplete.
     prepared : PreparedStatement or None
-        The statement that it prepares under its shared name; such a frame is
-        sent only to connections that lack the statement.
+        The statement that it prepares under its shared name. Such a frame is sent
+        only to connections that lack the statement.
     """
 
     wire: bytes
@@ -70,16 +71,16 @@
 
 
 class BuiltRequest(NamedTuple):
-    """A batch as it goes to one target connection.
+    """A batch as it is sent to one target connection.
 
     Parameters
     ----------
     wire : bytes
         The frames to send.
     effects : tuple of Effect
-        One for each ParseComplete or CloseComplete to come, in order.
+        One for each expected ParseComplete or CloseComplete, in order.
     edits : tuple of Edit
-        The edits of the effects, for the reader of the answer.
+        The edits of the effects, for the reader of the response.
     """
 
     wire: bytes
@@ -88,31 +89,31 @@
 
 
 class ExtendedPlan(NamedTuple):
-    """What a batch does.
+    """A batch with its statements resolved, before a target connection is chosen.
 
     Parameters
     ----------
     steps : tuple of PlannedStep
         All frames.
-    common : BuiltRequest or None
-        The batch as each connection takes it that has all `needed`; None if
-        that depends on the connection.
-    needed : tuple of PreparedStatement
-        Statements from earlier units that a connection must know by name.
+    prebuilt : BuiltRequest or None
+        The batch for every connection that has all `required` statements; None if
+        the batch depends on the connection.
+    required : tuple of PreparedStatement
+        Named statements of earlier units that must exist on the connection.
     used : tuple of str
         Texts of the statements that it parses, binds or describes.
     executed : tuple of str
-        Texts of the statements that it runs, in order. A portal from an
-        earlier unit counts as well.
+        Texts of the statements that it runs, in order, including portals of earlier
+        units.
     parsed : tuple of str
         Texts of the statements that it parses, in order.
     error : SqlError or None
-        Why the batch cannot be run at all.
+        Why the batch cannot be run; None if it can.
     """
 
     steps: tuple[PlannedStep, ...]
-    common: BuiltRequest | None
-    needed: tuple[PreparedStatement, ...]
+    prebuilt: BuiltRequest | None
+    required: tuple[PreparedStatement, ...]
     used: tuple[str, ...]
     executed: tuple[str, ...]
     parsed: tuple[str, ...]
--- a/beryltrack/callers/caller.py
+++ b/beryltrack/callers/caller.py
@@ -1,4 +1,8 @@
-"""One logged-on caller, as the handler of its requests sees it."""
+"""One logged-on caller, as the request handler sees it.
+
+`Caller` sends responses with back-pressure (Twisted's push producer interface) and
+holds the caller's session settings and prepared statements.
+"""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -18,9 +22,9 @@
 from beryltrack.wire.messages import Producer, TransactionStatus
 from beryltrack.wire.responses import ResponseReader
 
-# Seconds that a caller may leave an answer unread before it is cut off: it
-# holds a target connection all that time.
-STALL_LIMIT = 30.0
+# Seconds that a caller may leave a response unread before its connection is aborted.
+# It holds a target connection all that time.
+STALL_TIMEOUT = 30.0
 
 _READY_WIRES = {
     status: ReadyForQuery(WireStatus(status.value)).to_wire()
@@ -29,16 +33,16 @@
 
 
 class CallerIdentity(NamedTuple):
-    """Who a caller is.
+    """Identity of a caller.
 
     Parameters
     ----------
     user : str
         Name of the user.
     database : str
-        The group that it asked for.
+        Name of the group that it requested.
     address : str
-        Address that it connects from, for the log.
+        Remote address, for the log.
     """
 
     user: str
@@ -48,19 +52,19 @@
 
 @implementer(IPushProducer)
 class Caller:
-    """One logged-on caller; the sink of its answers.
+    """One logged-on caller; the sink of its responses.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Measures how long answers stay unread.
+        Source of timers.
     transport : ITransport
         The caller's connection.
     identity : CallerIdentity
-        Who it is.
+        User, group and address.
     settings : dict of str to str
-        Session settings from its start-up packet. The handler changes them at
-        SET; `start_settings` keeps the first values for RESET.
+        Session settings from its start-up packet. The handler changes them on SET;
+        `start_settings` keeps the initial values for RESET.
     """
 
     def __init__(
@@ -78,12 +82,12 @@
         self._reactor = reactor
         self._transport = transport
         self._producer: Producer | None = None
-        self._full = False
+        self._is_full = False
         self._stall_call = None
         self._on_cancel: Callable[[], object] | None = None
-        self._on_gone: Callable[[], object] | None = None
+        self._on_close: Callable[[], object] | None = None
         self._on_drained: Callable[[], object] | None = None
-        self._flushed: ResponseReader | None = None
+        self._flush_reader: ResponseReader | None = None
 
     @property
     def user(self) -> str:
@@ -92,13 +96,13 @@
 
     @property
     def database(self) -> str:
-        """The group that the caller asked for."""
+        """Name of the group that the caller requested."""
         return self.identity.database
 
     @property
     def is_full(self) -> bool:
-        """True while the caller has not read what was sent to it."""
-        return self._full
+        """True while the send buffer is full because the caller does not read."""
+        return self._is_full
 
     @property
     def in_transaction(self) -> bool:
@@ -106,9 +110,9 @@
         return self.status is not TransactionStatus.IDLE
 
     def write(self, data: bytes) -> None:
-        """Send frames to the caller; dropped when it is gone."""
-        if self._flushed is not None:
-            self._flushed.feed(data, _discard)
+        """Send frames to the caller; drop them if it has disconnected."""
+        if self._flush_reader is not None:
+            self._flush_reader.feed(data, _ignore_data)
         if not self.is_closed:
             self._transport.write(data)
 
@@ -117,66 +121,68 @@
         self.write(encode_error(error))
 
     def send_ready(self, status: TransactionStatus) -> None:
-        """Say that the unit is answered, and how its transaction stands."""
+        """End the response to a unit with the transaction status (ReadyForQuery)."""
         self.status = status
         if status is TransactionStatus.IDLE:
             self.statements.end_transaction()
-        if self._flushed is None:
+        if self._flush_reader is None:
             self.write(_READY_WIRES[status])
 
-    def begin_flushed(self) -> None:
-        """Answer the next unit without ReadyForQuery, as after a Flush."""
-        self._flushed = ResponseReader()
-        self._flushed.start(())
+    def begin_flushed_unit(self) -> None:
+        """Start a response without ReadyForQuery, as after a Flush."""
+        self._flush_reader = ResponseReader()
+        self._flush_reader.start(())
 
-    def end_flushed(self) -> bool:
-        """Return whether the answer to a flushed unit has an error in it."""
-        reader, self._flushed = self._flushed, None
+    def end_flushed_unit(self) -> bool:
+        """End the response to a flushed unit; return whether it contains an error."""
+        reader, self._flush_reader = self._flush_reader, None
         if reader is None:
             return False
-        end = reader.feed(_READY_WIRES[TransactionStatus.IDLE], _discard)
+        end = reader.feed(_READY_WIRES[TransactionStatus.IDLE], _ignore_data)
         return end is None or end.error is not None
 
     def set_cancel_callback(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` when the caller asks to cancel what runs now."""
+        """Set the function to call when the caller cancels the running unit."""
         self._on_cancel = callback
 
     def set_close_callback(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` when the caller disconnects; at once if it has."""
-        self._on_gone = callback
+        """Set the function to call on disconnect; call it now if that has happened."""
+        self._on_close = callback
         if self.is_closed and callback is not None:
             callback()
 
     def set_drain_callback(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` each time that the caller has read what was sent."""
+        """Set the function to call each time that the send buffer has drained."""
         self._on_drained = callback
 
     def cancel(self) -> None:
-        """Cancel what runs now, if the handler can."""
+        """Cancel the running unit, if the handler supports it."""
         if self._on_cancel is not None:
             self._on_cancel()
 
     def attach(self, producer: Producer) -> None:
         """Pause `producer` while the caller is slow; see `ResponseSink`."""
         self._producer = producer
-        if self._full:
+        if self._is_full:
             producer.pauseProducing()
 
     def detach(self) -> None:
-        """Forget the producer."""
+        """Stop pausing and resuming the producer."""
         self._producer = None
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Told by the caller's transport that its buffer is full."""
-        self._full = True
+        """Pause the producer: the transport's send buffer is full."""
+        self._is_full = True
         if self._producer is not None:
             self._producer.pauseProducing()
         if self._stall_call is None:
-            self._stall_call = self._reactor.callLater(STALL_LIMIT, self._cut_off)
+            self._stall_call = self._reactor.callLater(
+                STALL_TIMEOUT, self._abort_stalled
+            )
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Told by the caller's transport that its buffer has drained."""
-        self._full = False
+        """Resume the producer: the transport's send buffer has drained."""
+        self._is_full = False
         self._end_stall()
         if self._producer is not None:
             self._producer.resumeProducing()
@@ -184,56 +190,56 @@
             self._on_drained()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Told by the caller's transport that it is closed."""
+        """Do nothing; the protocol reports the closed transport."""
 
     def disconnect(self) -> None:
-        """Note that the caller is gone and tell the handler."""
+        """Mark the caller as disconnected and call the close callback."""
         if self.is_closed:
             return
         self.is_closed = True
         self._on_drained = None
         self.resumeProducing()
-        callback, self._on_gone = self._on_gone, None
+        callback, self._on_close = self._on_close, None
         if callback is not None:
             callback()
 
-    def _cut_off(self) -> None:
-        """End the connection of a caller that does not read."""
+    def _abort_stalled(self) -> None:
+        """Abort the connection of a caller that has not read for too long."""
         self._stall_call = None
         self._transport.abortConnection()
 
     def _end_stall(self) -> None:
-        """Stop counting the time that the caller does not read."""
+        """Cancel the stall timer, if it is running."""
         call, self._stall_call = self._stall_call, None
         if call is not None:
             call.cancel()
 
 
 class RequestHandler(Protocol):
-    """What runs the requests of callers."""
+    """Runs the units of callers."""
 
     def check_session(self, caller: Caller) -> SqlError | None:
-        """Check the settings of a new caller; an error refuses it."""
+        """Validate the settings of a new caller; a returned error refuses it."""
 
     def handle(self, unit: Request, caller: Caller) -> "Deferred[None]":
-        """Run one unit; ends after `caller.send_ready`, never earlier.
+        """Run one unit; fires only after `caller.send_ready`.
 
-        While it runs, no other unit of the caller is given out.
+        Meanwhile the handler gets no other unit of the caller.
         """
 
     def drop_session(self, caller: Caller) -> None:
-        """Give up all that is kept for a caller that is gone.
+        """Release the state kept for a caller that has disconnected.
 
-        Called once, after the last unit has ended.
+        Called once, after the caller's last unit has ended.
         """
 
 
-def _discard(data: bytes) -> None:
-    """Take bytes that have been sent already."""
+def _ignore_data(data: bytes) -> None:
+    """Ignore frames that have already been sent."""
 
 
 def encode_error(error: SqlError) -> bytes:
-    """Return the frame of an error."""
+    """Encode an error as an ErrorResponse frame."""
     fields = {
         "S": error.severity,
         "V": error.severity,
--- a/beryltrack/callers/extended.py
+++ b/beryltrack/callers/extended.py
@@ -1,10 +1,10 @@
-"""Rewriting batches of the extended protocol for pooled target connections.
+"""Rewriting extended-protocol batches for pooled target connections.
 
-A batch is planned once: which statements it uses and runs. For each target
-connection that it is tried on it is then built: statements that the connection
-lacks are prepared first, names are exchanged, and a list of edits tells how
-the answers to Parse and Close are matched to what the caller sent. What the
-target really completed is applied to the tables afterwards.
+`plan_extended` resolves once which statements a batch uses and runs. `build_extended`
+then builds the batch for each target connection that is tried: it prepares statements
+that the connection lacks, replaces the caller's statement names by the shared ones, and
+lists the edits that match the responses to Parse and Close with the caller's frames.
+`apply_effects` afterwards records what the target completed.
 """
 
 import struct
@@ -17,7 +17,7 @@
     Effect,
     ExtendedPlan,
     PlannedStep,
-    TargetNames,
+    TargetStatements,
 )
 from beryltrack.callers.messages import (
     BindFrame,
@@ -33,7 +33,7 @@
     PreparedStatement,
     StatementTable,
     encode_parse,
-    make_full_error,
+    make_limit_error,
     make_statement,
 )
 from beryltrack.wire.framing import LENGTH_SIZE
@@ -43,47 +43,47 @@
 
 STATEMENT = "S"
 
-# A name that no statement has: closing it always succeeds and does nothing. Its
-# CloseComplete stands in for the answer to a Parse or Close that the target
-# need not see.
+# A name that no statement has: closing it always succeeds and has no effect. Its
+# CloseComplete replaces the response to a Parse or Close that the target need not
+# receive.
 _NO_STATEMENT = "beryltrack_none"
-_CLOSE_NOTHING = Close(STATEMENT, _NO_STATEMENT).to_wire()
+_NOOP_CLOSE = Close(STATEMENT, _NO_STATEMENT).to_wire()
 
 
 def plan_extended(request: ExtendedRequest, table: StatementTable) -> ExtendedPlan:
-    """Return what a batch does.
+    """Plan a batch.
 
     Parameters
     ----------
     request : ExtendedRequest
         The batch.
     table : StatementTable
-        The caller's statements and portals; portals made by the batch are
+        The caller's statements and portals; the portals that the batch creates are
         added to it.
 
     Returns
     -------
     ExtendedPlan
-        The plan. It holds for this caller only.
+        The plan, valid for this caller only.
     """
     planner = _Planner(table)
     steps = planner.plan(request.messages)
     return ExtendedPlan(
         steps,
         None if planner.has_named_parse else _join_steps(steps),
-        tuple(planner.needed.values()),
+        tuple(planner.required.values()),
         planner.used,
         tuple(planner.executed),
         tuple(planner.parsed),
-        make_full_error() if planner.parsed and table.is_full else None,
+        make_limit_error() if planner.parsed and table.is_full else None,
     )
 
 
 class _Planner:
-    """Follows the names of a batch, frame by frame."""
+    """Resolves the statement names of a batch, frame by frame."""
 
     def __init__(self, table: StatementTable):
-        self.needed: dict[str, PreparedStatement] = {}
+        self.required: dict[str, PreparedStatement] = {}
         self.executed: list[str] = []
         self.parsed: list[str] = []
         self.has_named_parse = False
@@ -94,13 +94,13 @@
     @property
     def used(self) -> tuple[str, ...]:
         """Texts of the statements that the batch parses, binds or describes."""
-        texts = [*self.parsed, *(entry.text for entry in self.needed.values())]
+        texts = [*self.parsed, *(entry.text for entry in self.required.values())]
         if self._unnamed is not None:
             texts.append(self._unnamed.text)
         return tuple(texts)
 
     def plan(self, frames: tuple[Frame, ...]) -> tuple[PlannedStep, ...]:
-        """Return the steps of a batch."""
+        """Return the steps for the frames of a batch."""
         steps = [_PLANNERS[type(frame)](self, frame) for frame in frames]
         if self._unnamed is not None:
             wire = encode_parse("", self._unnamed)
@@ -108,7 +108,7 @@
         return tuple(steps)
 
     def _plan_parse(self, frame: ParseFrame) -> PlannedStep:
-        """Plan a Parse; a named statement gets its shared name."""
+        """Plan a Parse; a named statement is prepared under its shared name."""
         statement = make_statement(frame.text, frame.types)
         self._parsed_names[frame.name] = statement
         self.parsed.append(frame.text)
@@ -121,8 +121,8 @@
         return PlannedStep(wire, added, statement)
 
     def _plan_bind(self, frame: BindFrame) -> PlannedStep:
-        """Plan a Bind; a named statement is called by its shared name."""
-        statement = self._use(frame.statement)
+        """Plan a Bind; a named statement is bound by its shared name."""
+        statement = self._require(frame.statement)
         if statement is None:
             return PlannedStep(frame.wire)
         self._table.set_portal(frame.portal, statement)
@@ -131,24 +131,24 @@
         return PlannedStep(_rename_bind(frame, statement.target_name))
 
     def _plan_describe(self, frame: DescribeFrame) -> PlannedStep:
-        """Plan a Describe; a named statement is called by its shared name."""
-        statement = self._use(frame.name) if frame.kind == STATEMENT else None
+        """Plan a Describe; a named statement is described by its shared name."""
+        statement = self._require(frame.name) if frame.kind == STATEMENT else None
         if statement is None or not frame.name:
             return PlannedStep(frame.wire)
         return PlannedStep(Describe(STATEMENT, statement.target_name).to_wire())
 
     def _plan_execute(self, frame: ExecuteFrame) -> PlannedStep:
-        """Plan an Execute and note what it runs."""
+        """Plan an Execute and record the statement that it runs."""
         statement = self._table.get_portal(frame.portal)
         if statement is not None:
             self.executed.append(statement.text)
         return PlannedStep(frame.wire)
 
     def _plan_close(self, frame: CloseFrame) -> PlannedStep:
-        """Plan a Close; a shared statement stays on the connection."""
+        """Plan a Close; a shared statement stays prepared on the connection."""
         if frame.kind == STATEMENT:
             self._parsed_names[frame.name] = None
-            return PlannedStep(_CLOSE_NOTHING, Effect(Edit.PASS, name=frame.name))
+            return PlannedStep(_NOOP_CLOSE, Effect(Edit.PASS, name=frame.name))
         self._table.drop_portal(frame.name)
         return PlannedStep(frame.wire, Effect(Edit.PASS))
 
@@ -156,15 +156,15 @@
         """Plan a Sync."""
         return PlannedStep(frame.wire)
 
-    def _use(self, name: str) -> PreparedStatement | None:
-        """Return the statement of a name and note that it has to be there."""
+    def _require(self, name: str) -> PreparedStatement | None:
+        """Return the statement of a name; record that the target must have it."""
         if name in self._parsed_names:
             return self._parsed_names[name]
         statement = self._table.get(name)
         if statement is None:
             return None
         if name:
-            self.needed[statement.target_name] = statement
+            self.required[statement.target_name] = statement
         else:
             self._unnamed = statement
         return statement
@@ -180,8 +180,8 @@
 }
 
 
-def build_extended(plan: ExtendedPlan, names: TargetNames) -> BuiltRequest:
-    """Return a planned batch as one target connection needs it.
+def build_extended(plan: ExtendedPlan, names: TargetStatements) -> BuiltRequest:
+    """Build a planned batch for one target connection.
 
     Parameters
     ----------
@@ -193,19 +193,19 @@
     Returns
     -------
     BuiltRequest
-        What to send and what its completion means.
+        The frames to send and the effects of their completion.
     """
-    missing = [entry for entry in plan.needed if not _touch(entry, names)]
-    if plan.common is not None and not missing:
-        return plan.common
+    missing = [entry for entry in plan.required if not _touch_if_present(entry, names)]
+    if plan.prebuilt is not None and not missing:
+        return plan.prebuilt
     prepared = [*missing, *(step.prepared for step in plan.steps if step.prepared)]
-    present = {entry.target_name for entry in plan.needed}
+    present = {entry.target_name for entry in plan.required}
     excess = [name for name in names.get_excess(len(prepared)) if name not in present]
     stale = (entry.target_name for entry in prepared if _is_stale(entry, names))
     closed = dict.fromkeys(chain(excess, stale))
     steps = chain(
-        map(_close, closed),
-        map(_prepare_missing, missing),
+        map(_make_close_step, closed),
+        map(_make_parse_step, missing),
         (_choose_step(step, names, present, closed) for step in plan.steps),
     )
     return _join_steps(tuple(steps))
@@ -214,17 +214,17 @@
 def apply_effects(
     effects: tuple[Effect, ...],
     completed: int,
-    names: TargetNames,
+    names: TargetStatements,
     table: StatementTable,
 ) -> None:
-    """Apply what a target completed to its names and the caller's table.
+    """Update a target's statements and a caller's table after a batch.
 
     Parameters
     ----------
     effects : tuple of Effect
         The effects of the built batch.
     completed : int
-        How many of them the target completed, see `ResponseEnd`.
+        Number of effects that the target completed; see `ResponseEnd`.
     names : TargetNames
         The statements on the connection.
     table : StatementTable
@@ -240,7 +240,7 @@
 
 
 def apply_plan(plan: ExtendedPlan, table: StatementTable) -> None:
-    """Apply a batch that the proxy answered itself to the caller's table."""
+    """Update the caller's table after a batch that the proxy answered itself."""
     for step in plan.steps:
         if step.effect is not None and step.effect.name is not None:
             _apply_to_table(step.effect, table)
@@ -254,34 +254,37 @@
         table.set(effect.name, effect.statement)
 
 
-def _touch(statement: PreparedStatement, names: TargetNames) -> bool:
-    """Return whether a statement exists; if so, note that it is used now."""
+def _touch_if_present(statement: PreparedStatement, names: TargetStatements) -> bool:
+    """Return whether a statement exists; if so, mark it as just used."""
     if statement.target_name not in names:
         return False
     names.touch(statement.target_name)
     return True
 
 
-def _is_stale(statement: PreparedStatement, names: TargetNames) -> bool:
-    """Return whether a statement must be closed before it is prepared."""
+def _is_stale(statement: PreparedStatement, names: TargetStatements) -> bool:
+    """Return whether a statement must be closed before it is prepared again."""
     return names.is_stale(statement.target_name)
 
 
-def _close(name: str) -> PlannedStep:
-    """Close a statement on the connection."""
+def _make_close_step(name: str) -> PlannedStep:
+    """Return the step that closes a statement on the connection."""
     return PlannedStep(Close(STATEMENT, name).to_wire(), Effect(Edit.DROP, closed=name))
 
 
-def _prepare_missing(statement: PreparedStatement) -> PlannedStep:
-    """Prepare a statement of an earlier unit on the connection."""
+def _make_parse_step(statement: PreparedStatement) -> PlannedStep:
+    """Return the step that prepares a statement of an earlier unit."""
     name = statement.target_name
     return PlannedStep(encode_parse(name, statement), Effect(Edit.DROP, added=name))
 
 
 def _choose_step(
-    step: PlannedStep, names: TargetNames, present: set[str], closed: dict[str, None]
+    step: PlannedStep,
+    names: TargetStatements,
+    present: set[str],
+    closed: dict[str, None],
 ) -> PlannedStep:
-    """Return a step, or what stands in for a Parse that is not needed."""
+    """Return a step, or the replacement of a Parse that is not needed."""
     if step.prepared is None:
         return step
     name = step.prepared.target_name
@@ -290,18 +293,18 @@
     if not exists:
         return step
     effect = step.effect._replace(edit=Edit.AS_PARSE_COMPLETE)
-    return PlannedStep(_CLOSE_NOTHING, effect)
+    return PlannedStep(_NOOP_CLOSE, effect)
 
 
 def _join_steps(steps: tuple[PlannedStep, ...]) -> BuiltRequest:
-    """Return the request that steps make up."""
+    """Combine steps into one request."""
     effects = tuple([step.effect for step in steps if step.effect is not None])
     edits = tuple([effect.edit for effect in effects])
     return BuiltRequest(b"".join([step.wire for step in steps]), effects, edits)
 
 
 def _rename_bind(frame: BindFrame, name: str) -> bytes:
-    """Return a Bind with another statement name and the same bytes else."""
+    """Return a Bind with another statement name and otherwise the same contents."""
     names = b"%b\x00%b\x00" % (frame.portal.encode(), name.encode())
     values = frame.wire[frame.values_offset :]
     length = LENGTH_SIZE + len(names) + len(values)
--- a/beryltrack/callers/factory.py
+++ b/beryltrack/callers/factory.py
@@ -1,4 +1,4 @@
-"""What the connections of callers share: settings, cancel keys and leaving."""
+"""Shared state of the callers' connections: settings, cancel keys and shutdown."""
 
 import hmac
 import logging
@@ -11,7 +11,7 @@
 
 from beryltrack.callers.authentication import MockSecrets
 from beryltrack.callers.caller import Caller, RequestHandler
-from beryltrack.callers.limits import STARTUP_TIMEOUT, TRANSACTION_IDLE_LIMIT
+from beryltrack.callers.limits import STARTUP_TIMEOUT, TRANSACTION_IDLE_TIMEOUT
 from beryltrack.callers.logon import CallerLogon
 from beryltrack.callers.protocol import CallerProtocol
 from beryltrack.callers.reader import UNIT_LIMIT
@@ -27,12 +27,14 @@
 
 log = logging.getLogger(__name__)
 
-# Callers that one proxy accepts.
+# Maximum number of callers of one proxy.
 MAX_CALLERS = 10_000
 
-# Connections beyond the limit are told so; beyond this multiple they are closed.
+# Connections beyond the limit get an error; beyond this multiple of it they are closed
+# without one.
 _HARD_LIMIT_FACTOR = 2
 
+# Cancel keys are random numbers below this bound, with secrets of this many bytes.
 _KEY_RANGE = 1 << 31
 _SECRET_SIZE = 4
 
@@ -43,39 +45,39 @@
     Parameters
     ----------
     startup_timeout : float
-        Seconds from the connection to the end of the log-on.
+        Seconds from the TCP connection to the end of the log-on.
     unit_limit : int
-        Most bytes of one unit.
+        Maximum bytes of one unit.
     max_callers : int
-        Most callers at a time.
-    transaction_idle_limit : float
-        Seconds that a caller may leave an open transaction alone.
+        Maximum number of connected callers.
+    transaction_idle_timeout : float
+        Seconds that a caller may stay idle in an open transaction.
     """
 
     startup_timeout: float = STARTUP_TIMEOUT
     unit_limit: int = UNIT_LIMIT
     max_callers: int = MAX_CALLERS
-    transaction_idle_limit: float = TRANSACTION_IDLE_LIMIT
+    transaction_idle_timeout: float = TRANSACTION_IDLE_TIMEOUT
 
 
-class _Cancellable(NamedTuple):
-    """A caller and the secret that cancels what it runs."""
+class _CancelKey(NamedTuple):
+    """A caller and the secret that authorises cancelling its running unit."""
 
     caller: Caller
     secret: bytes
 
 
 class CallerFactory(ServerFactory):
-    """Makes the connections of callers.
+    """Creates the connections of callers.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     handler : RequestHandler
-        Runs the requests.
+        Runs the callers' units.
     get_settings : callable
-        Returns the settings in force.
+        Returns the current settings.
     tls_context : object or None
         Twisted's context factory for TLS; None offers no TLS.
     options : CallerOptions
@@ -96,12 +98,12 @@
         self.handler = handler
         self.tls_context = tls_context
         self.options = options
-        self.mocks = MockSecrets()
+        self.mock_secrets = MockSecrets()
         self.leaving = False
         self._get_settings = get_settings
         self._connections: set[CallerProtocol] = set()
-        self._keys: dict[int, _Cancellable] = {}
-        self._waiting: list[Deferred[None]] = []
+        self._keys: dict[int, _CancelKey] = {}
+        self._leave_waiters: list[Deferred[None]] = []
 
     @property
     def count(self) -> int:
@@ -117,12 +119,14 @@
     def buildProtocol(self, addr) -> CallerProtocol | None:  # noqa: N802
         """Return the protocol of a new connection; None closes it."""
         if len(self._connections) >= _HARD_LIMIT_FACTOR * self.options.max_callers:
-            log.warning("callers: closed a connection unanswered: too many")
+            log.warning(
+                "callers: closed a new connection without an error: too many are open"
+            )
             return None
         return CallerProtocol(self)
 
     def get_refusal(self) -> SqlError | None:
-        """Return why no further caller is let in."""
+        """Return the error that refuses further callers; None if there is room."""
         if self.leaving:
             return make_fatal_error(CANNOT_CONNECT_NOW, "the proxy is shutting down")
         if len(self._connections) > self.options.max_callers:
@@ -132,21 +136,21 @@
         return None
 
     def add(self, connection: CallerProtocol) -> None:
-        """Count a new connection."""
+        """Register a new connection."""
         self._connections.add(connection)
 
     def remove(self, connection: CallerProtocol) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._connections.discard(connection)
-        self._check_gone()
+        self._notify_if_empty()
 
     def find_user(self, name: str) -> UserSettings | None:
-        """Return the settings of a user."""
+        """Return the settings of a user; None if the user does not exist."""
         users = self._get_settings().users
         return next((user for user in users if user.name == name), None)
 
     def check_database(self, name: str, user: UserSettings) -> SqlError | None:
-        """Return why a user may not use a database."""
+        """Return the error if a user may not use a database, else None."""
         groups = self._get_settings().groups
         if any(group.name == name and group.team == user.team for group in groups):
             return None
@@ -155,60 +159,62 @@
         )
 
     def make_logon(self) -> CallerLogon:
-        """Return the log-on of a new connection."""
-        return CallerLogon(self.find_user, self.mocks, self.tls_context is not None)
+        """Create the log-on of a new connection."""
+        return CallerLogon(
+            self.find_user, self.mock_secrets, self.tls_context is not None
+        )
 
     def get_parameters(self, request: StartupRequest) -> dict[str, str]:
-        """Return the parameters to report to a new caller."""
+        """Return the server parameters to report to a new caller."""
         name = request.settings.get("application_name", "")
         own = {"application_name": name, "session_authorization": request.user}
         return REPORTED_PARAMETERS | own
 
     def register(self, caller: Caller) -> tuple[int, bytes]:
-        """Return the key and the secret that cancel what a caller runs."""
+        """Issue the key and secret with which a caller can cancel its running unit."""
         key = secrets.randbelow(_KEY_RANGE)
         while key in self._keys:
             key = secrets.randbelow(_KEY_RANGE)
         secret = secrets.token_bytes(_SECRET_SIZE)
-        self._keys[key] = _Cancellable(caller, secret)
+        self._keys[key] = _CancelKey(caller, secret)
         return key, secret
 
     def unregister(self, key: int) -> None:
-        """Forget the key of a caller that is gone."""
+        """Remove the cancel key of a caller that has disconnected."""
         self._keys.pop(key, None)
 
     def cancel(self, key: int, secret: bytes) -> None:
-        """Cancel what the caller with this key and secret runs, if there is one."""
+        """Cancel the running unit of the caller with this key and secret, if any."""
         entry = self._keys.get(key)
         if entry is not None and hmac.compare_digest(entry.secret, secret):
             entry.caller.cancel()
         else:
-            log.info("callers: ignored a cancel request with an unknown key")
+            log.info("callers: ignored a cancel request: unknown key or wrong secret")
 
     def leave(self) -> "Deferred[None]":
-        """End all connections, each between two transactions.
+        """Close each connection as soon as no transaction is open on it.
 
         Returns
         -------
         Deferred of None
-            Fires when all connections have ended.
+            Fires when all connections are closed.
         """
         self.leaving = True
         waiting: Deferred[None] = Deferred()
-        self._waiting.append(waiting)
+        self._leave_waiters.append(waiting)
         for connection in tuple(self._connections):
             connection.leave()
-        self._check_gone()
+        self._notify_if_empty()
         return waiting
 
     def abort(self) -> None:
-        """Cut off all connections that are left."""
+        """Abort all remaining connections."""
         for connection in tuple(self._connections):
             connection.transport.abortConnection()
 
-    def _check_gone(self) -> None:
-        """Tell who waits when no connection is left."""
+    def _notify_if_empty(self) -> None:
+        """Fire the deferreds of `leave` once no connection is left."""
         if self.leaving and not self._connections:
-            waiting, self._waiting = self._waiting, []
+            waiting, self._leave_waiters = self._leave_waiters, []
             for deferred in waiting:
                 deferred.callback(None)
--- a/beryltrack/callers/local.py
+++ b/beryltrack/callers/local.py
@@ -1,8 +1,7 @@
-"""Answers that the proxy gives itself, without a target.
+"""Responses to statements that the proxy answers itself, without a target.
 
-Statements such as ``SHOW beryltrack.session`` or ``SET beryltrack.max_age``
-concern the proxy alone. Their answers must look the same in the simple and in
-the extended protocol.
+Examples are ``SHOW beryltrack.session`` and ``SET beryltrack.max_age``. Their results
+are encoded for the simple and for the extended protocol.
 """
 
 from typing import NamedTuple
@@ -34,14 +33,14 @@
 
 
 class LocalResult(NamedTuple):
-    """A result made by the proxy; all columns are text.
+    """A result that the proxy produces; all columns are of type text.
 
     Parameters
     ----------
     tag : str
         The command tag, for example ``SET``.
     columns : tuple of str
-        Names of the columns; empty if there are no rows.
+        Column names; empty if the statement returns no rows.
     rows : tuple of tuple of str
         The rows.
     """
@@ -52,18 +51,18 @@
 
 
 def encode_simple_response(result: LocalResult) -> bytes:
-    """Return the answer to a simple query, without ReadyForQuery."""
+    """Encode the response to a simple query, without ReadyForQuery."""
     description = _encode_columns(result) if result.columns else b""
     return description + _encode_rows(result)
 
 
 def encode_extended_response(request: ExtendedRequest, result: LocalResult) -> bytes:
-    """Return the answer to a batch about one statement, without ReadyForQuery."""
+    """Encode the response to a batch with one statement, without ReadyForQuery."""
     return b"".join(_encode_frame(frame, result) for frame in request.messages)
 
 
 def _encode_frame(frame: Frame, result: LocalResult) -> bytes:
-    """Return the answer to one frame of a batch."""
+    """Encode the response to one frame of a batch."""
     match frame:
         case ParseFrame():
             return ParseComplete().to_wire()
@@ -82,12 +81,12 @@
 
 
 def _encode_description(result: LocalResult) -> bytes:
-    """Return the description of the result, or that there are no rows."""
+    """Encode the RowDescription, or NoData if there are no columns."""
     return _encode_columns(result) if result.columns else NoData().to_wire()
 
 
 def _encode_columns(result: LocalResult) -> bytes:
-    """Return the RowDescription."""
+    """Encode the RowDescription."""
     fields = [
         FieldDescription(name, 0, 0, _TEXT_TYPE, _VARIABLE_SIZE, -1, 0)
         for name in result.columns
@@ -96,7 +95,7 @@
 
 
 def _encode_rows(result: LocalResult) -> bytes:
-    """Return the rows and the CommandComplete."""
+    """Encode the rows and the CommandComplete."""
     rows = (DataRow([value.encode() for value in row]) for row in result.rows)
     frames = [*rows, CommandComplete(result.tag)]
     return b"".join(frame.to_wire() for frame in frames)
--- a/beryltrack/callers/logon.py
+++ b/beryltrack/callers/logon.py
@@ -1,7 +1,7 @@
-"""The log-on of a caller, from the first byte to ReadyForQuery; sans-I/O.
+"""The log-on of a caller, from the first byte to ReadyForQuery (sans-I/O).
 
-It reads bytes and yields steps that the connection carries out, so that it
-can be tested without sockets.
+`CallerLogon` reads bytes and yields the steps that the connection performs, so that
+it can be tested without sockets.
 """
 
 from collections.abc import Callable, Iterator
@@ -50,37 +50,37 @@
 
 
 class StartTls(NamedTuple):
-    """Send the answer to SSLRequest, then begin TLS."""
+    """Send the response to SSLRequest, then start TLS."""
 
     wire: bytes
 
 
 class CancelOther(NamedTuple):
-    """Cancel what another connection runs, then close this one."""
+    """Cancel the running unit of another connection, then close this one."""
 
     key: int
     secret: bytes
 
 
 class RefuseLogon(NamedTuple):
-    """Close the connection with an error."""
+    """Refuse the caller: close the connection with an error."""
 
     error: SqlError
 
 
 class QuitLogon(NamedTuple):
-    """Close the connection; the caller gave up."""
+    """Close the connection: the caller has sent Terminate."""
 
 
 class AcceptLogon(NamedTuple):
-    """The caller is who it says.
+    """The caller is authenticated.
 
     Parameters
     ----------
     request : StartupRequest
-        What it asked for.
+        Contents of the start-up packet.
     user : UserSettings
-        The user.
+        Settings of the user.
     """
 
     request: StartupRequest
@@ -91,35 +91,35 @@
 
 
 class CallerLogon:
-    """Reads the log-on of one caller.
+    """State machine of one caller's log-on.
 
     Parameters
     ----------
     find_user : callable
-        Returns the settings of a user by name, or None.
-    mocks : MockSecrets
-        Secrets for users that are not there.
+        Returns the settings of a user by name, or None if the user does not exist.
+    mock_secrets : MockSecrets
+        Secrets for unknown users.
     offers_tls : bool
-        Whether the connection can begin TLS.
+        Whether the connection can start TLS.
     """
 
     def __init__(
         self,
         find_user: Callable[[str], UserSettings | None],
-        mocks: MockSecrets,
+        mock_secrets: MockSecrets,
         offers_tls: bool,
     ):
         self._wire = BackendConnection()
         self._wire._decoder = BoundedFrontendDecoder()
         self._find_user = find_user
-        self._mocks = mocks
+        self._mocks = mock_secrets
         self._offers_tls = offers_tls
         self._request: StartupRequest | None = None
         self._user: UserSettings | None = None
         self._scram: ScramExchange | None = None
 
     def feed(self, data: bytes) -> Iterator[LogonStep]:
-        """Take bytes of the caller and yield what to do.
+        """Process received bytes and yield the steps to perform.
 
         Raises
         ------
@@ -127,16 +127,16 @@
             If the input is malformed.
         """
         for message in self._wire.receive(data):
-            yield from self._take(message)
+            yield from self._handle_message(message)
 
     def take_undecoded(self) -> bytes:
-        """Return what came after the log-on."""
+        """Return the bytes received after the end of the log-on."""
         return self._wire._decoder.take_undecoded()
 
     def encode_welcome(
         self, parameters: dict[str, str], key: int, secret: bytes
     ) -> bytes:
-        """Return the messages from AuthenticationOk to ReadyForQuery."""
+        """Encode the messages from AuthenticationOk to ReadyForQuery."""
         messages = [
             AuthenticationOk(),
             *(ParameterStatus(name, value) for name, value in parameters.items()),
@@ -145,21 +145,21 @@
         ]
         return b"".join(self._wire.send(message) for message in messages)
 
-    def _take(self, message: PGMessage) -> Iterator[LogonStep]:
+    def _handle_message(self, message: PGMessage) -> Iterator[LogonStep]:
         """Handle one message."""
         match message:
             case SSLRequest():
-                yield self._answer_ssl()
+                yield self._respond_to_ssl()
             case GSSEncRequest():
                 yield self._send(GSSResponse(False))
             case CancelRequest(process_id=key, secret_key=secret):
                 yield CancelOther(key, secret)
             case StartupMessage():
-                yield from self._begin(message)
+                yield from self._handle_startup(message)
             case SASLInitialResponse(mechanism=mechanism, data=data):
                 yield self._begin_scram(mechanism, data)
             case SASLResponse(data=data):
-                yield from self._end_scram(data)
+                yield from self._finish_scram(data)
             case Terminate():
                 yield QuitLogon()
             case _:
@@ -169,20 +169,20 @@
         """Return the step that sends a message."""
         return SendBytes(self._wire.send(message))
 
-    def _answer_ssl(self) -> LogonStep:
-        """Begin TLS if that is offered."""
+    def _respond_to_ssl(self) -> LogonStep:
+        """Return the step that starts TLS, or that declines it."""
         if not self._offers_tls:
             return self._send(SSLResponse(False))
         if self._wire._decoder.buffered:
-            # It could pass for what was sent under the protection of TLS.
-            raise ProtocolError("unencrypted data after the request for TLS")
+            # An attacker could inject bytes that would then count as sent over TLS.
+            raise ProtocolError("unencrypted data after SSLRequest")
         self._offers_tls = False
         return StartTls(self._wire.send(SSLResponse(True)))
 
-    def _begin(self, message: StartupMessage) -> Iterator[LogonStep]:
-        """Take the start-up packet."""
+    def _handle_startup(self, message: StartupMessage) -> Iterator[LogonStep]:
+        """Handle the start-up packet."""
         if self._request is not None:
-            raise ProtocolError("a second start-up packet")
+            raise ProtocolError("unexpected second start-up packet")
         self._request, error = parse_startup(message)
         if error is not None:
             yield RefuseLogon(error)
@@ -197,20 +197,22 @@
             yield self._send(AuthenticationSASL([SCRAM_MECHANISM]))
 
     def _begin_scram(self, mechanism: str, data: bytes) -> LogonStep:
-        """Take the first message of the password exchange."""
+        """Handle the first message of the SCRAM exchange."""
         if mechanism != SCRAM_MECHANISM:
-            raise ProtocolError("unknown authentication mechanism")
+            raise ProtocolError(
+                "unsupported authentication mechanism; use SCRAM-SHA-256"
+            )
         self._scram = ScramExchange(self._request.user, self._user, self._mocks)
-        answer = self._scram.get_first_answer(data)
-        if isinstance(answer, SqlError):
-            return RefuseLogon(answer)
-        return self._send(AuthenticationSASLContinue(answer))
-
-    def _end_scram(self, data: bytes) -> Iterator[LogonStep]:
-        """Take the last message of the password exchange."""
-        answer = self._scram.get_final_answer(data)
-        if isinstance(answer, SqlError):
-            yield RefuseLogon(answer)
+        response = self._scram.get_server_first(data)
+        if isinstance(response, SqlError):
+            return RefuseLogon(response)
+        return self._send(AuthenticationSASLContinue(response))
+
+    def _finish_scram(self, data: bytes) -> Iterator[LogonStep]:
+        """Handle the last message of the SCRAM exchange."""
+        response = self._scram.get_server_final(data)
+        if isinstance(response, SqlError):
+            yield RefuseLogon(response)
             return
-        yield self._send(AuthenticationSASLFinal(answer))
+        yield self._send(AuthenticationSASLFinal(response))
         yield AcceptLogon(self._request, self._user)
--- a/beryltrack/callers/messages.py
+++ b/beryltrack/callers/messages.py
@@ -1,7 +1,7 @@
-"""What a caller asks for: frames of the extended protocol, and units of work.
+"""A caller's requests: frames of the extended protocol, and units of work.
 
-A unit is what PostgreSQL answers with one ReadyForQuery. The frames keep the
-bytes they came in, so that what needs no change is sent on as it is.
+A unit is the input that PostgreSQL answers with one ReadyForQuery. Frames keep the
+bytes that they were decoded from, so that unchanged frames are forwarded as received.
 """
 
 from typing import NamedTuple
@@ -13,13 +13,13 @@
     Parameters
     ----------
     name : str
-        The caller's name for it; empty for the unnamed statement.
+        Statement name chosen by the caller; empty for the unnamed statement.
     text : str
         The statement.
     types : tuple of int
-        Type numbers of its parameters, as far as they are given.
+        Type OIDs of its parameters, as far as they are given.
     wire : bytes
-        The frame as it came.
+        The frame as received.
     """
 
     name: str
@@ -29,7 +29,7 @@
 
 
 class BindFrame(NamedTuple):
-    """Makes a portal of a statement and parameters.
+    """Creates a portal from a statement and parameters.
 
     Parameters
     ----------
@@ -38,9 +38,9 @@
     statement : str
         Name of the statement; empty for the unnamed one.
     values_offset : int
-        Where in `wire` the parameters begin.
+        Offset in `wire` at which the parameters begin, bytes.
     wire : bytes
-        The frame as it came.
+        The frame as received.
     """
 
     portal: str
@@ -50,7 +50,7 @@
 
 
 class DescribeFrame(NamedTuple):
-    """Asks for the columns of a statement (kind ``S``) or portal (kind ``P``)."""
+    """Requests the columns of a statement (kind ``S``) or portal (kind ``P``)."""
 
     kind: str
     name: str
@@ -89,7 +89,7 @@
     text : str
         One or more statements.
     wire : bytes
-        The frame as it came.
+        The frame as received.
     """
 
     text: str
@@ -102,10 +102,10 @@
     Parameters
     ----------
     messages : tuple of Frame
-        All frames up to and with Sync.
+        All frames up to and including Sync.
     is_flushed : bool
-        True if the caller sent Flush where the Sync stands: it wants the
-        answers, but no ReadyForQuery.
+        True if the caller sent Flush in place of the Sync: it expects the responses
+        but no ReadyForQuery.
     """
 
     messages: tuple[Frame, ...]
@@ -113,19 +113,19 @@
 
 
 class RefusedRequest(NamedTuple):
-    """Input that the proxy does not run, though the connection can go on.
+    """A unit that the proxy refuses to run; the connection stays usable.
 
     Parameters
     ----------
     message : str
-        Why it is refused.
+        Message of the error that refuses it.
     """
 
     message: str
 
 
 class TerminateRequest(NamedTuple):
-    """The caller says good-bye. Having no fields, it counts as false."""
+    """The caller ends the connection. Having no fields, it is false as a boolean."""
 
 
 Request = SimpleRequest | ExtendedRequest
--- a/beryltrack/callers/reader.py
+++ b/beryltrack/callers/reader.py
@@ -1,7 +1,7 @@
-"""Cutting the input of a logged-on caller into units of work; sans-I/O.
+"""Splitting the input of a logged-on caller into units (sans-I/O).
 
-Frames are cut out by length. Only names and statement texts are decoded; what
-a Bind carries stays bytes.
+Frames are split off by their length field. Only names and statement texts are decoded;
+the parameters of a Bind stay bytes.
 """
 
 import struct
@@ -27,15 +27,16 @@
 )
 from beryltrack.wire.framing import HEADER_SIZE, LENGTH_SIZE
 
-# Most bytes of one unit; a larger one is refused by closing the connection.
+# Maximum bytes of one unit; a larger one closes the connection.
 UNIT_LIMIT = 16 << 20
 
-# Most frames in one batch.
+# Maximum number of frames in one batch.
 BATCH_LIMIT = 10_000
 
-# Decoded frames that are kept of each kind, and the longest of them, bytes.
+# Decoded frames that are cached of each kind, and the maximum length of a cached frame
+# in bytes.
 _CACHED_FRAMES = 1024
-_CACHED_LENGTH = 1024
+_MAX_CACHED_LENGTH = 1024
 
 _HEADER = struct.Struct("!BI")
 _SYNC_FRAME = SyncFrame(Sync().to_wire())
@@ -45,18 +46,18 @@
 _FLUSH = ord("H")
 _TERMINATE = ord("X")
 _FUNCTION_CALL = ord("F")
-_COPY = frozenset(b"dcf")
+_COPY_FRAMES = frozenset(b"dcf")
 
-FUNCTION_CALL_TEXT = "the function call protocol is not supported; use SELECT"
+FUNCTION_CALL_UNSUPPORTED = "the function call protocol is not supported; use SELECT"
 
 
 class RequestReader:
-    """Cuts a caller's input into units.
+    """Splits a caller's input into units.
 
     Parameters
     ----------
     unit_limit : int
-        Most bytes of one unit.
+        Maximum bytes of one unit.
     """
 
     __slots__ = (
@@ -78,17 +79,17 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that are not yet part of a unit."""
+        """Number of received bytes that are not yet part of a unit."""
         return len(self._buffer) + self._batch_size
 
     @property
     def is_flush_pending(self) -> bool:
-        """True if the caller may wait for the answers to an unfinished batch."""
+        """True if the caller may be waiting for responses to an unfinished batch."""
         return self._flush_pending
 
     @property
     def has_portals(self) -> bool:
-        """True if the unfinished batch makes or runs portals."""
+        """True if the unfinished batch creates or runs portals."""
         return any(isinstance(x, BindFrame | ExecuteFrame) for x in self._frames)
 
     def end_batch(self, is_flushed: bool) -> ExtendedRequest:
@@ -98,16 +99,16 @@
         return request
 
     def drop_batch(self) -> None:
-        """Drop the unfinished batch and all up to its Sync."""
+        """Drop the unfinished batch and all input up to its Sync."""
         self._clear_batch()
         self.skip_to_sync()
 
     def skip_to_sync(self) -> None:
-        """Drop what comes before the next Sync, as PostgreSQL does after errors."""
+        """Drop input up to the next Sync, as PostgreSQL does after an error."""
         self._skipping = True
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the caller."""
+        """Buffer bytes received from the caller."""
         self._buffer += data
 
     def read_unit(self) -> Unit | None:
@@ -116,8 +117,8 @@
         Raises
         ------
         ProtocolError
-            If the input is malformed or too large. The connection is of no
-            use then.
+            If the input is malformed or too large. The connection must then be
+            closed.
         """
         buffer = self._buffer
         size = len(buffer)
@@ -132,7 +133,7 @@
                 break
             wire = bytes(buffer[pos:stop])
             pos = stop
-            decoders = _CACHED_DECODERS if length <= _CACHED_LENGTH else _DECODERS
+            decoders = _CACHED_DECODERS if length <= _MAX_CACHED_LENGTH else _DECODERS
             if kind in decoders and not self._skipping:
                 if len(self._frames) >= BATCH_LIMIT:
                     raise FramingError(f"more than {BATCH_LIMIT} messages in a batch")
@@ -140,23 +141,23 @@
                 self._flush_pending = False
                 self._batch_size += 1 + length
             else:
-                unit = self._take(kind, wire)
+                unit = self._handle_frame(kind, wire)
         if pos:
             del buffer[:pos]
         return unit
 
-    def _take(self, kind: int, wire: bytes) -> Unit | None:
-        """Handle a frame that is not part of a batch; return a unit that ends."""
+    def _handle_frame(self, kind: int, wire: bytes) -> Unit | None:
+        """Handle a frame that is not part of a batch; return the unit it ends."""
         if self._skipping:
-            return self._skip(kind)
+            return self._skip_frame(kind)
         if kind == _QUERY:
             self._check_no_batch()
             return SimpleRequest(_decode_text(wire, HEADER_SIZE), wire)
         if kind == _SYNC:
             return self.end_batch(False)
-        return self._take_other(kind)
+        return self._handle_other_frame(kind)
 
-    def _take_other(self, kind: int) -> Unit | None:
+    def _handle_other_frame(self, kind: int) -> Unit | None:
         """Handle a frame that is neither a query nor part of a batch."""
         if kind == _TERMINATE:
             return TerminateRequest()
@@ -165,14 +166,14 @@
             return None
         if kind == _FUNCTION_CALL:
             self._check_no_batch()
-            return RefusedRequest(FUNCTION_CALL_TEXT)
-        if kind in _COPY:
-            # PostgreSQL, too, ignores what is left of a copy that failed.
+            return RefusedRequest(FUNCTION_CALL_UNSUPPORTED)
+        if kind in _COPY_FRAMES:
+            # Like PostgreSQL, ignore the remaining data of a failed COPY.
             return None
         raise FramingError(f"unknown message {chr(kind)!r}")
 
-    def _skip(self, kind: int) -> Unit | None:
-        """Drop input up to a Sync, which is a unit that does nothing."""
+    def _skip_frame(self, kind: int) -> Unit | None:
+        """Drop a frame; the Sync that ends skipping becomes an empty unit."""
         if kind == _TERMINATE:
             return TerminateRequest()
         if kind != _SYNC:
@@ -181,13 +182,13 @@
         return ExtendedRequest((_SYNC_FRAME,))
 
     def _clear_batch(self) -> None:
-        """Begin a new batch."""
+        """Start a new batch."""
         self._frames = []
         self._batch_size = 0
         self._flush_pending = False
 
     def _check_no_batch(self) -> None:
-        """Refuse a simple query in the middle of a batch."""
+        """Raise if an unfinished batch precedes a simple query or function call."""
         if self._frames:
             raise FramingError("a batch must end with Sync before a simple query")
 
@@ -238,11 +239,11 @@
 def _check_kind(wire: bytes) -> None:
     """Raise if a Describe or Close names neither a statement nor a portal."""
     if wire[HEADER_SIZE : HEADER_SIZE + 1] not in (b"S", b"P"):
-        raise DecodingError("neither a statement nor a portal")
+        raise DecodingError("Describe or Close names neither a statement nor a portal")
 
 
 def _decode_text(wire: bytes, start: int) -> str:
-    """Return the string that begins at `start`."""
+    """Decode the zero-terminated string that begins at `start`."""
     end = wire.find(b"\x00", start)
     if end < 0:
         raise DecodingError("unterminated string")
@@ -259,7 +260,7 @@
     ord("E"): _decode_execute,
     ord("C"): _decode_close,
 }
-# Drivers send the same short frames often, but seldom the same parameters.
+# Drivers often repeat the same short frames, but seldom with the same parameters.
 _CACHED_DECODERS = {
     kind: decode if decode is _decode_bind else lru_cache(_CACHED_FRAMES)(decode)
     for kind, decode in _DECODERS.items()
--- a/beryltrack/callers/sequence.py
+++ b/beryltrack/callers/sequence.py
@@ -1,8 +1,8 @@
-"""A caller's connection that runs one message after the other.
+"""Base classes of connections that run their messages one after the other.
 
-What protocols of this kind share stands here: the order of messages, bounds on
-what may wait, back-pressure, time limits, and leaving between two transactions.
-How bytes are cut into messages and what a message asks for is the protocol's part.
+They implement message order, a bound on pending messages, back-pressure, timeouts and
+shutdown between two transactions. A subclass splits bytes into messages and handles
+each message.
 """
 
 import logging
@@ -24,10 +24,11 @@
 
 
 class CallerLimits(Interface):
-    """What bounds a caller's connection; all in seconds or messages.
+    """Limits of a caller's connection.
 
-    `stall` is how long an answer may stay unread, `waiting` how many statements
-    may wait, `transaction_idle` how long a transaction may rest, 0 for ever.
+    `stall_timeout` is how long a response may stay unread, seconds; `max_pending` how
+    many messages may be pending; `get_idle_timeout` returns how long a transaction may
+    stay idle, seconds, with 0 for no limit.
     """
 
     stall_timeout: float
@@ -37,33 +38,33 @@
 
 
 class SessionHandler(Interface):
-    """What keeps something for the callers of a factory."""
+    """Keeps session state for the callers of a factory."""
 
     def drop_session(self, caller: "SequentialCaller") -> None:
-        """Give up all that is kept for a caller that is gone."""
+        """Release the state kept for a caller that has disconnected."""
 
 
 @implementer(IPushProducer)
 class SequentialCaller(Protocol):
-    """One caller's connection; a protocol adds how it reads and answers.
+    """One caller's connection; subclasses split and handle its messages.
 
     Parameters
     ----------
     factory : SequentialFactory
-        What all callers share.
+        Shared state of the callers.
     """
 
     def __init__(self, factory: "SequentialFactory"):
         self.status = TransactionStatus.IDLE
         self.is_closed = False
         self._factory = factory
-        self._waiting: deque[bytes] = deque()
+        self._pending: deque[bytes] = deque()
         self._is_running = False
         self._is_leaving = False
         self._is_finishing = False
         self._is_full = False
         self._producer: Producer | None = None
-        self._on_gone: Callable[[], object] | None = None
+        self._on_close: Callable[[], object] | None = None
         self._timer = None
 
     @property
@@ -72,171 +73,181 @@
         return self.status is not TransactionStatus.IDLE
 
     def split_messages(self, data: bytes) -> list[bytes]:
-        """Return the messages that are complete now.
+        """Buffer bytes and return the complete messages.
 
         Raises
         ------
         MalformedMessage
-            If the bytes are none.
+            If the bytes are not valid messages.
         """
         raise NotImplementedError
 
     def handle_message(self, message: bytes) -> "Deferred[None] | None":
-        """Take one message; return its run if it is not answered at once."""
+        """Handle one message.
+
+        Returns
+        -------
+        Deferred of None or None
+            Fires when the message has been answered; None if it already has been.
+        """
         raise NotImplementedError
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take a new caller."""
+        """Register the caller and its socket options."""
         tune_socket(self.transport, self._factory.limits.sockets)
         self.transport.registerProducer(self, True)
         self._factory.callers.add(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take messages; the next one is run when the one before is answered."""
+        """Queue messages; each is run when the previous one has been answered."""
         try:
-            self._waiting.extend(self.split_messages(data))
+            self._pending.extend(self.split_messages(data))
         except MalformedMessage:
             self.transport.abortConnection()
             return
-        if len(self._waiting) > self._factory.limits.max_pending:
+        if len(self._pending) > self._factory.limits.max_pending:
             self.transport.abortConnection()
             return
-        self._go_on()
+        self._run_next()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Note that the caller is gone."""
+        """Drop pending messages and, when none is running, the session."""
         self.is_closed = True
         self._stop_timer()
-        self._waiting.clear()
+        self._pending.clear()
         self._factory.callers.discard(self)
         if self._producer is not None:
             self._producer.resumeProducing()
-        callback, self._on_gone = self._on_gone, None
+        callback, self._on_close = self._on_close, None
         if callback is not None:
             callback()
         if not self._is_running:
             self._factory.handler.drop_session(self)
-        self._factory.note_gone()
+        self._factory.notify_if_empty()
 
     def leave(self) -> None:
-        """End the connection as soon as no transaction is open."""
+        """Close the connection as soon as no transaction is open."""
         self._is_leaving = True
-        self._end_if_idle()
+        self._close_if_idle()
 
     def finish(self) -> None:
-        """End the connection as soon as what runs is answered.
+        """Close the connection as soon as the running message is answered.
 
         A transaction that is open between two statements is rolled back.
         """
         self._is_finishing = True
-        self._end_if_idle()
+        self._close_if_idle()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self.transport.abortConnection()
 
     def write(self, data: bytes) -> None:
-        """Send messages; dropped when the caller is gone."""
+        """Send bytes to the caller; drop them if it has disconnected."""
         if not self.is_closed:
             self.transport.write(data)
 
     def set_close_callback(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` when the caller disconnects; at once if it has."""
-        self._on_gone = callback
+        """Set the function to call on disconnect; call it now if that has happened."""
+        self._on_close = callback
         if self.is_closed and callback is not None:
             callback()
 
     def attach(self, producer: Producer) -> None:
-        """Pause `producer` while the caller is slow."""
+        """Pause `producer` while the caller reads too slowly."""
         self._producer = producer
         if self._is_full:
             producer.pauseProducing()
 
     def detach(self) -> None:
-        """Forget the producer."""
+        """Stop pausing and resuming the producer."""
         self._producer = None
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Told by the transport that its buffer is full."""
+        """Pause the producer: the transport's send buffer is full."""
         self._is_full = True
         if self._producer is not None:
             self._producer.pauseProducing()
         self._start_timer(self._factory.limits.stall_timeout)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Told by the transport that its buffer has drained."""
+        """Resume the producer: the transport's send buffer has drained."""
         self._is_full = False
         self._stop_timer()
         if self._producer is not None:
             self._producer.resumeProducing()
-        self._go_on()
+        self._run_next()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Told by the transport that it is closed."""
+        """Do nothing; `connectionLost` reports the closed transport."""
 
-    def _go_on(self) -> None:
-        """Take the next message if none is being answered."""
-        while self._waiting and not (
+    def _run_next(self) -> None:
+        """Run pending messages until one is still running."""
+        while self._pending and not (
             self._is_running or self._is_full or self.is_closed
         ):
             self._stop_timer()
             self._is_running = True
-            running = self.handle_message(self._waiting.popleft())
+            running = self.handle_message(self._pending.popleft())
             if running is None:
                 self._is_running = False
                 continue
-            running.addErrback(self._fail)
-            running.addCallback(lambda _: self._finish())
-
-    def _fail(self, failure: Failure) -> None:
-        """End the connection after a defect: what its statement did is not known."""
-        log.error("callers: A statement met a defect: %s", failure.getTraceback())
+            running.addErrback(self._handle_failure)
+            running.addCallback(lambda _: self._finish_message())
+
+    def _handle_failure(self, failure: Failure) -> None:
+        """Abort the connection after an internal error; the outcome is unknown."""
+        log.error(
+            "callers: statement failed with an internal error; outcome unknown, "
+            "connection aborted: %s",
+            failure.getTraceback(),
+        )
         self.transport.abortConnection()
 
-    def _finish(self) -> None:
-        """Go on after a statement."""
+    def _finish_message(self) -> None:
+        """Continue after a message, or drop the session of a closed connection."""
         self._is_running = False
         if self.is_closed:
             self._factory.handler.drop_session(self)
             return
         if self.in_transaction:
             self._start_timer(self._factory.limits.get_idle_timeout())
-        self._end_if_idle()
-        self._go_on()
+        self._close_if_idle()
+        self._run_next()
 
-    def _end_if_idle(self) -> None:
-        """End a caller that is to leave, between two transactions or statements."""
+    def _close_if_idle(self) -> None:
+        """Close a leaving or finishing connection if nothing on it is running."""
         if self.is_closed or self._is_running:
             return
-        is_idle = not (self.in_transaction or self._waiting)
+        is_idle = not (self.in_transaction or self._pending)
         if self._is_finishing or (self._is_leaving and is_idle):
             self.transport.loseConnection()
 
     def _start_timer(self, delay: float) -> None:
-        """End the connection after a time, unless it goes on before."""
+        """Abort the connection after `delay` seconds; zero sets no timer."""
         self._stop_timer()
         if delay:
             reactor = self._factory.reactor
             self._timer = reactor.callLater(delay, self.transport.abortConnection)
 
     def _stop_timer(self) -> None:
-        """Do not end the connection."""
+        """Cancel the active timer, if any."""
         timer, self._timer = self._timer, None
         if timer is not None and timer.active():
             timer.cancel()
 
 
 class SequentialFactory(Factory):
-    """Takes callers' connections.
+    """Accepts callers' connections.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     handler : SessionOwner
-        Runs the statements.
+        Keeps the callers' sessions and runs their statements.
     limits : CallerLimits
-        What bounds each connection.
+        Limits of each connection.
     """
 
     noisy = False
@@ -248,7 +259,7 @@
         self.limits = limits
         self.callers: set[SequentialCaller] = set()
         self.is_finishing = False
-        self._left: Deferred[None] | None = None
+        self._all_closed: Deferred[None] | None = None
 
     @property
     def transaction_count(self) -> int:
@@ -256,33 +267,35 @@
         return sum(caller.in_transaction for caller in self.callers)
 
     def buildProtocol(self, addr) -> SequentialCaller:  # noqa: N802
-        """Return the connection of one more caller."""
+        """Create the connection of a new caller."""
         return self.protocol(self)
 
     def leave(self) -> "Deferred[None]":
-        """End all callers between two transactions; fires when all are gone.
+        """Close each connection between two transactions; fires when all are closed.
 
-        Those that connect later are served until `finish`: the balancer still sends
-        some where most instances of a zone leave.
+        New connections are served until `finish`, because the load balancer still sends
+        some where most instances of an availability zone are leaving.
         """
-        self._left = Deferred()
+        self._all_closed = Deferred()
         for caller in tuple(self.callers):
             caller.leave()
-        self.note_gone()
-        return self._left
+        self.notify_if_empty()
+        return self._all_closed
 
     def finish(self) -> None:
-        """End all callers as soon as what they have sent is answered; take no more."""
+        """Close each connection after its running message; accept no new sessions."""
         self.is_finishing = True
         for caller in tuple(self.callers):
             caller.finish()
 
     def abort(self) -> None:
-        """End all callers at once."""
+        """Abort all connections."""
         for caller in tuple(self.callers):
             caller.abort()
 
-    def note_gone(self) -> None:
-        """Tell who waits once the last caller is gone."""
-        if self._left is not None and not (self.callers or self._left.called):
-            self._left.callback(None)
+    def notify_if_empty(self) -> None:
+        """Fire the deferred of `leave` once the last connection is closed."""
+        if self._all_closed is not None and not (
+            self.callers or self._all_closed.called
+        ):
+            self._all_closed.callback(None)
--- a/beryltrack/callers/startup.py
+++ b/beryltrack/callers/startup.py
@@ -1,4 +1,4 @@
-"""The start-up packet of a caller: options, settings and reported parameters."""
+"""Parsing of a caller's start-up packet, and the parameters reported in response."""
 
 import re
 import shlex
@@ -15,8 +15,8 @@
     make_fatal_error,
 )
 
-# What drivers read at start-up. The targets' values may differ in the version
-# only; the others are what the proxy asks its targets for.
+# Server parameters that drivers read at start-up. The targets' values may differ only
+# in the version; the proxy requests the other values from its targets.
 REPORTED_PARAMETERS = {
     "server_version": "16.0",
     "server_encoding": "UTF8",
@@ -32,13 +32,13 @@
 
 _ENCODINGS = frozenset({"utf8", "unicode"})
 _OWN_KEYS = frozenset({"user", "database", "options", "replication"})
-# Protocol extensions; callers offer them and go on without them.
+# Protocol extensions are optional: callers continue if the proxy declines them.
 _EXTENSION_PREFIX = "_pq_."
 _SETTING = re.compile(r"(?P<name>[\w.\-]+)=(?P<value>.*)", re.DOTALL)
 
 
 class StartupRequest(NamedTuple):
-    """What a start-up packet asks for.
+    """Contents of a start-up packet.
 
     Parameters
     ----------
@@ -47,9 +47,9 @@
     database : str
         Name of the database; the user's name if none is given.
     settings : dict of str to str
-        Session settings by their names in lower case.
+        Session settings by lower-case name.
     extensions : tuple of str
-        Protocol extensions that the proxy does not know.
+        Requested protocol extensions, none of which the proxy supports.
     """
 
     user: str
@@ -59,7 +59,7 @@
 
 
 def parse_startup(message: StartupMessage) -> tuple[StartupRequest, SqlError | None]:
-    """Return what a start-up packet asks for, and what is wrong with it."""
+    """Parse a start-up packet; return its contents and the first error, if any."""
     params = message.params
     user = params.get("user", "")
     options, error = parse_options(params.get("options", ""))
@@ -76,7 +76,7 @@
 
 
 def _check(request: StartupRequest, params: dict[str, str]) -> SqlError | None:
-    """Return what is wrong with the values of a start-up packet."""
+    """Return the error in the values of a start-up packet, or None."""
     if not request.user:
         return make_fatal_error(
             INVALID_AUTHORIZATION, "no user name in the start-up packet"
@@ -93,47 +93,47 @@
 
 
 def parse_options(text: str) -> tuple[dict[str, str], SqlError | None]:
-    """Return the settings in the start-up parameter ``options``.
+    """Parse the start-up parameter ``options``.
 
     Parameters
     ----------
     text : str
-        Words ``-c name=value``, ``-cname=value`` or ``--name=value``; a
-        backslash takes the next character as it is.
+        Arguments ``-c name=value``, ``-cname=value`` or ``--name=value``; a backslash
+        escapes the next character.
 
     Returns
     -------
     settings : dict of str to str
-        The settings by their names in lower case.
+        The settings by lower-case name.
     error : SqlError or None
-        The first fault.
+        The first error, if any.
     """
     lexer = shlex.shlex(text, posix=True)
     lexer.whitespace_split = True
     lexer.quotes = lexer.commenters = ""
     try:
-        words = list(lexer)
+        arguments = list(lexer)
     except ValueError as fault:
         return {}, make_fatal_error(PROTOCOL_VIOLATION, f"malformed options: {fault}")
     settings: dict[str, str] = {}
-    while words:
-        word = words.pop(0)
-        if word == "-c" and words:
-            word = words.pop(0)
-        elif word.startswith("--"):
-            word = word[2:]
-        elif word.startswith("-c"):
-            word = word[2:]
+    while arguments:
+        argument = arguments.pop(0)
+        if argument == "-c" and arguments:
+            argument = arguments.pop(0)
+        elif argument.startswith("--"):
+            argument = argument[2:]
+        elif argument.startswith("-c"):
+            argument = argument[2:]
         else:
-            return settings, _make_option_error(word)
-        match = _SETTING.fullmatch(word)
+            return settings, _make_option_error(argument)
+        match = _SETTING.fullmatch(argument)
         if match is None:
-            return settings, _make_option_error(word)
+            return settings, _make_option_error(argument)
         settings[match["name"].replace("-", "_").lower()] = match["value"]
     return settings, None
 
 
-def _make_option_error(word: str) -> SqlError:
-    """Return the error of a word that sets nothing."""
-    text = f"invalid command-line argument for server process: {word[:80]}"
+def _make_option_error(argument: str) -> SqlError:
+    """Return the error of an argument that is no valid setting."""
+    text = f"invalid command-line argument for server process: {argument[:80]}"
     return make_fatal_error(PROTOCOL_VIOLATION, text)
--- a/beryltrack/callers/statements.py
+++ b/beryltrack/callers/statements.py
@@ -1,9 +1,9 @@
 """The prepared statements and portals of one caller.
 
-A caller's statements live at the proxy: target connections are pooled per
-transaction, so the next unit may meet a connection that has never seen them.
-On targets they have names made from text and parameter types, which callers
-with the same statement share.
+The proxy keeps a caller's statements because target connections are pooled per
+transaction: the next unit may run on a connection on which they are not prepared. On
+targets a statement's name is a hash of its text and parameter types, so that callers
+with the same statement share it.
 """
 
 import re
@@ -21,7 +21,7 @@
     SqlError,
 )
 
-# Statements that one caller may keep prepared.
+# Maximum number of prepared statements of one caller.
 MAX_STATEMENTS = 1000
 
 TARGET_NAME_PREFIX = "beryltrack_"
@@ -34,8 +34,8 @@
     re.IGNORECASE | re.VERBOSE,
 )
 
-# What drivers' pools send before they give a connection to somebody else.
-_RESET = re.compile(
+# Statements that drivers' pools send before they reuse a connection.
+_SESSION_RESET = re.compile(
     r"""(?:\s*(?:SELECT\s+pg_advisory_unlock_all\(\)|CLOSE\s+ALL|UNLISTEN\s+\*
     |RESET\s+ALL)\s*(?:;|\Z))+\s*""",
     re.IGNORECASE | re.VERBOSE,
@@ -43,14 +43,14 @@
 
 
 class PreparedStatement(NamedTuple):
-    """One statement that a caller has prepared.
+    """One prepared statement.
 
     Parameters
     ----------
     text : str
         The statement.
     types : tuple of int
-        Type numbers of its parameters, as far as they are given.
+        Type OIDs of its parameters, as far as they are given.
     target_name : str
         Its name on target connections.
     """
@@ -62,14 +62,14 @@
 
 @lru_cache(_CACHE_SIZE)
 def make_statement(text: str, types: tuple[int, ...]) -> PreparedStatement:
-    """Return the statement of a text and parameter types."""
+    """Return the statement with a text and parameter types."""
     seed = struct.pack(f"!{len(types)}I", *types) + text.encode()
     return PreparedStatement(text, types, TARGET_NAME_PREFIX + xxh3_128_hexdigest(seed))
 
 
 @lru_cache(_CACHE_SIZE)
 def encode_parse(name: str, statement: PreparedStatement) -> bytes:
-    """Return the Parse frame that prepares a statement under `name`."""
+    """Encode the Parse frame that prepares a statement under `name`."""
     return Parse(name, statement.text, list(statement.types)).to_wire()
 
 
@@ -79,7 +79,7 @@
     Parameters
     ----------
     limit : int
-        Most statements to keep.
+        Maximum number of statements.
     """
 
     def __init__(self, limit: int = MAX_STATEMENTS):
@@ -89,62 +89,62 @@
 
     @property
     def is_full(self) -> bool:
-        """True if no further statement can be kept."""
+        """True if the maximum number of statements is reached."""
         return len(self._statements) >= self._limit
 
     def get(self, name: str) -> PreparedStatement | None:
-        """Return the statement of a name."""
+        """Return the statement of a name, or None."""
         return self._statements.get(name)
 
     def set(self, name: str, statement: PreparedStatement) -> None:
-        """Keep a statement that a target has accepted."""
+        """Store a statement that a target has accepted."""
         self._statements[name] = statement
 
     def drop(self, name: str) -> None:
-        """Forget a statement."""
+        """Remove a statement."""
         self._statements.pop(name, None)
 
     def clear(self) -> None:
-        """Forget all statements."""
+        """Remove all statements."""
         self._statements.clear()
 
     def get_portal(self, name: str) -> PreparedStatement | None:
-        """Return the statement that a portal was made of."""
+        """Return the statement that a portal was created from, or None."""
         return self._portals.get(name)
 
     def set_portal(self, name: str, statement: PreparedStatement) -> None:
-        """Remember what a portal was made of."""
+        """Store the statement that a portal was created from."""
         self._portals[name] = statement
 
     def drop_portal(self, name: str) -> None:
-        """Forget a portal."""
+        """Remove a portal."""
         self._portals.pop(name, None)
 
     def end_transaction(self) -> None:
-        """Forget the portals: none outlives its transaction."""
+        """Remove all portals: none outlives its transaction."""
         if self._portals:
             self._portals.clear()
 
 
-def make_full_error(limit: int = MAX_STATEMENTS) -> SqlError:
-    """Return the error of a caller that prepares too many statements."""
+def make_limit_error(limit: int = MAX_STATEMENTS) -> SqlError:
+    """Return the error for too many prepared statements on a connection."""
     return SqlError(
         PROGRAM_LIMIT_EXCEEDED, f"more than {limit} prepared statements on a connection"
     )
 
 
 def is_session_reset(text: str) -> bool:
-    """Return whether a text does nothing but put a session back to its start.
+    """Return whether a text only resets a session to its initial state.
 
-    asyncpg's pool, for one, sends such a text each time that a connection comes
-    back. Outside of a transaction a caller has no cursors and no advisory locks,
-    and LISTEN is refused, so that its settings are all there is to reset.
+    asyncpg's pool sends such a text whenever a connection is returned to it. Outside
+    of a transaction a caller has neither cursors nor advisory locks, and LISTEN is
+    refused, so only its settings need a reset.
     """
-    return _RESET.fullmatch(text) is not None
+    return _SESSION_RESET.fullmatch(text) is not None
 
 
 def run_deallocate(text: str, table: StatementTable) -> LocalResult | SqlError | None:
-    """Carry out DEALLOCATE, DISCARD ALL or DISCARD PLANS at the proxy.
+    """Run DEALLOCATE, DISCARD ALL or DISCARD PLANS at the proxy.
 
     Parameters
     ----------
@@ -156,7 +156,7 @@
     Returns
     -------
     LocalResult or SqlError or None
-        The answer; None if the text is another statement.
+        The result or error; None if the text is any other statement.
     """
     match = _DEALLOCATE.fullmatch(text)
     if match is None:
@@ -175,7 +175,7 @@
 
 
 def _discard(command: str, table: StatementTable) -> LocalResult:
-    """Carry out DISCARD."""
+    """Run DISCARD ALL or DISCARD PLANS."""
     tag = " ".join(command.upper().split())
     if tag == "DISCARD ALL":
         table.clear()
@@ -183,7 +183,7 @@
 
 
 def _unquote(name: str) -> str:
-    """Return the name that an SQL identifier stands for."""
+    """Return the name denoted by a quoted or unquoted SQL identifier."""
     if name.startswith('"'):
         return name[1:-1].replace('""', '"')
     return name.lower()
--- a/beryltrack/callers/tls.py
+++ b/beryltrack/callers/tls.py
@@ -1,14 +1,14 @@
-"""The TLS context for callers, from the certificate that settings name."""
+"""The TLS context for callers' connections."""
 
 from twisted.internet.ssl import CertificateOptions, PrivateCertificate
 
-# Drivers of PostgreSQL 17 and later offer this protocol in the handshake. A
+# Drivers of PostgreSQL 17 and later offer this ALPN protocol in the handshake; a
 # context without it would refuse them.
 _ALPN = [b"postgresql"]
 
 
 def make_tls_context(pem: bytes) -> CertificateOptions:
-    """Return Twisted's context factory for a certificate and its key.
+    """Create Twisted's context factory for a certificate and its private key.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
     Raises
     ------
     OpenSSL.crypto.Error
-        If there is no certificate or no key in it.
+        If `pem` lacks a certificate or a private key.
     """
     certificate = PrivateCertificate.loadPEM(pem)
     return CertificateOptions(
--- a/tests/callers/test_protocol_faults.py
+++ b/tests/callers/test_protocol_faults.py
@@ -8,14 +8,14 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from beryltrack.callers.caller import STALL_LIMIT
+from beryltrack.callers.caller import STALL_TIMEOUT
 from beryltrack.callers.factory import CallerFactory, CallerOptions
 from beryltrack.callers.limits import (
-    FLUSH_WAIT,
+    FLUSH_SYNC_TIMEOUT,
     INPUT_LIMIT,
-    LINGER,
+    LINGER_TIMEOUT,
     STARTUP_TIMEOUT,
-    TRANSACTION_IDLE_LIMIT,
+    TRANSACTION_IDLE_TIMEOUT,
 )
 from beryltrack.errors import SqlError
 from beryltrack.wire.messages import TransactionStatus
@@ -110,9 +110,9 @@
     bench.advance(STARTUP_TIMEOUT)
     assert bench.get_error() == "08P01"
     assert bench.transport.half_closed
-    bench.advance(LINGER)
+    bench.advance(LINGER_TIMEOUT)
     assert bench.transport.disconnecting
-    bench.advance(STALL_LIMIT)
+    bench.advance(STALL_TIMEOUT)
     assert bench.transport.disconnected
 
 
@@ -146,7 +146,7 @@
 def test_a_caller_that_never_reads_is_cut_off(bench):
     bench.log_on()
     bench.transport.producer.pauseProducing()
-    bench.advance(STALL_LIMIT)
+    bench.advance(STALL_TIMEOUT)
     assert bench.transport.disconnected
 
 
@@ -188,13 +188,13 @@
     bench.log_on()
     bench.protocol.dataReceived(SELECT)
     bench.handler.end(TransactionStatus.IN_TRANSACTION)
-    bench.advance(TRANSACTION_IDLE_LIMIT - 1)
+    bench.advance(TRANSACTION_IDLE_TIMEOUT - 1)
     bench.protocol.dataReceived(SELECT)
-    bench.advance(TRANSACTION_IDLE_LIMIT)
+    bench.advance(TRANSACTION_IDLE_TIMEOUT)
     bench.handler.end(TransactionStatus.IN_TRANSACTION)
     bench.protocol.dataReceived(SELECT[:3])
     assert not any(isinstance(x, m.ErrorResponse) for x in bench.read())
-    bench.advance(TRANSACTION_IDLE_LIMIT)
+    bench.advance(TRANSACTION_IDLE_TIMEOUT)
     assert bench.get_error() == "25P03"
     bench.lose()
     assert bench.handler.forgotten
@@ -204,7 +204,7 @@
     bench.log_on()
     bench.protocol.dataReceived(SELECT)
     bench.handler.end()
-    bench.advance(10 * TRANSACTION_IDLE_LIMIT)
+    bench.advance(10 * TRANSACTION_IDLE_TIMEOUT)
     assert not bench.transport.half_closed
 
 
@@ -268,7 +268,7 @@
 def test_a_flush_after_bind_is_refused_up_to_sync(bench):
     bench.log_on()
     bench.protocol.dataReceived(BIND)
-    bench.advance(FLUSH_WAIT)
+    bench.advance(FLUSH_SYNC_TIMEOUT)
     assert bench.get_error() == "0A000"
     bench.protocol.dataReceived(PARSE + SYNC)
     assert bench.read() == [m.ReadyForQuery()]
@@ -279,7 +279,7 @@
     bench.log_on()
     bench.protocol.dataReceived(PARSE + BIND)
     bench.protocol.dataReceived(SYNC)
-    bench.advance(FLUSH_WAIT)
+    bench.advance(FLUSH_SYNC_TIMEOUT)
     (unit,) = bench.handler.units
     assert len(unit.messages) == 4
     assert not unit.is_flushed
