--- a/tests/callers/echo_target.py
+++ b/tests/callers/echo_target.py
@@ -1,10 +1,10 @@
-"""A tiny target for the protocol's tests: it answers with what it was asked.
+"""A minimal target that echoes statements, for tests of the callers' protocol.
 
-A row names the connection it came over, the statement and its parameters, so
-that a mixed-up answer shows. Statements: ``rows COUNT SIZE`` gives that many
-rows, ``write`` reports a position, ``fail`` is an error, ``hang`` is answered
-never or by a cancel, ``lost`` cuts the connection, ``BEGIN`` and ``COMMIT``
-change the status. All else is echoed.
+A row contains the number of its connection, the statement and the parameters, so that a
+test detects a response that was sent to the wrong request. ``rows COUNT SIZE`` returns
+that many rows, ``write`` reports a position, ``fail`` returns an error, ``hang`` ends
+only when cancelled, ``lost`` aborts the connection, and ``BEGIN``, ``COMMIT`` and
+``ROLLBACK`` change the transaction status. Any other statement is echoed.
 """
 
 from itertools import count
@@ -28,7 +28,7 @@
 
 
 def describe(text, values):
-    """Describe the row that a statement gives."""
+    """Return the description of the rows of a statement."""
     return make_description(1 if text.startswith("rows") else 2 + len(values))
 
 
@@ -52,13 +52,13 @@
 
     def dataReceived(self, data):
         for message in self.wire.receive(data):
-            self.factory.seen.append(message)
-            self.take(message)
+            self.factory.received.append(message)
+            self.handle_message(message)
 
     def send(self, *messages):
         self.transport.write(b"".join(self.wire.send(x) for x in messages))
 
-    def take(self, message):
+    def handle_message(self, message):
         if self.failed and not isinstance(message, m.Sync):
             return
         match message:
@@ -109,11 +109,11 @@
         self.send(m.ReadyForQuery(self.status))
 
     def fail(self, code, text="failed"):
-        self.failed = not isinstance(self.factory.seen[-1], m.Query)
+        self.failed = not isinstance(self.factory.received[-1], m.Query)
         self.send(m.ErrorResponse({"S": "ERROR", "C": code, "M": text}))
 
     def run(self, text, values, described):
-        """Run one statement; return whether it is answered."""
+        """Run one statement; return whether it has been answered."""
         match text.split():
             case ["hang"]:
                 return False
@@ -146,14 +146,14 @@
 
 
 class EchoFactory(Factory):
-    """Makes connections and remembers what they were sent."""
+    """Creates connections and records the messages that they receive."""
 
     noisy = False
 
     def __init__(self):
         self.numbers = count(1)
         self.connections = {}
-        self.seen = []
+        self.received = []
 
     def buildProtocol(self, addr):
         return EchoTarget(self)
--- a/tests/callers/glue.py
+++ b/tests/callers/harness.py
@@ -1,4 +1,7 @@
-"""Callers glued to pooled connections of an echo target, with nothing between."""
+"""A listening `CallerFactory` in front of a pool of connections to an echo target.
+
+Units go to the connections directly, without routing or admission.
+"""
 
 import contextlib
 
@@ -32,13 +35,13 @@
     return SiteSettings(1, (group,), (), (UserSettings("app", "team", secret),))
 
 
-class GlueHandler:
-    """Runs units on pooled connections, one transaction on one connection."""
+class PooledHandler:
+    """Runs units on pooled connections; a transaction keeps its connection."""
 
     def __init__(self):
         self.pool = DeferredQueue()
         self.pinned = {}
-        self.forgotten = []
+        self.dropped = []
         self.ends = []
 
     def check_session(self, caller):
@@ -47,7 +50,7 @@
         return None
 
     def drop_session(self, caller):
-        self.forgotten.append(caller)
+        self.dropped.append(caller)
 
     def handle(self, unit, caller):
         return Deferred.fromCoroutine(self.run(unit, caller))
@@ -85,12 +88,12 @@
         return end
 
 
-class Glue:
-    """A listening proxy side, its handler and its target."""
+class ProxyHarness:
+    """A listening caller factory, its handler and its target."""
 
     def __init__(self, settings, tls_context, options):
         self.target = EchoFactory()
-        self.handler = GlueHandler()
+        self.handler = PooledHandler()
         self.factory = CallerFactory(
             reactor, self.handler, lambda: settings, tls_context, options
         )
@@ -115,7 +118,7 @@
         await self.target_port.stopListening()
 
     def connect(self, **options):
-        """Return a psycopg connection to the proxy side."""
+        """Return a psycopg connection to the caller factory."""
         return psycopg.connect(
             host=HOST,
             port=self.number,
@@ -128,11 +131,13 @@
 
 
 @contextlib.contextmanager
-def run_glue(connections=1, settings=None, tls_context=None, options=None):
-    """Run a glue in the reactor's thread."""
-    glue = Glue(settings or make_settings(), tls_context, options or CallerOptions())
-    run(glue.start, connections)
+def run_harness(connections=1, settings=None, tls_context=None, options=None):
+    """Run a harness in the reactor's thread."""
+    harness = ProxyHarness(
+        settings or make_settings(), tls_context, options or CallerOptions()
+    )
+    run(harness.start, connections)
     try:
-        yield glue
+        yield harness
     finally:
-        run(glue.stop)
+        run(harness.stop)
--- a/tests/callers/test_extended.py
+++ b/tests/callers/test_extended.py
@@ -1,4 +1,4 @@
-"""Batches of the extended protocol, rewritten for pooled connections."""
+"""Rewriting of extended-protocol batches for pooled target connections."""
 
 from pygwire import messages as m
 
@@ -30,7 +30,7 @@
 
 
 def run(messages, table, names, completed=None):
-    """Build a batch, let a target complete it; return what went to the target."""
+    """Build a batch and apply its completion; return the plan and built batch."""
     reader = RequestReader()
     reader.feed(b"".join(x.to_wire() for x in [*messages, m.Sync()]))
     plan = plan_extended(reader.read_unit(), table)
@@ -54,7 +54,7 @@
     assert table.get("s") == STATEMENT
 
 
-def test_a_statement_of_an_earlier_unit_is_prepared_where_it_lacks():
+def test_a_statement_of_an_earlier_unit_is_prepared_where_missing():
     names = PreparedNames()
     _, built = run([BIND, EXECUTE], make_table(s=STATEMENT), names)
     assert built.wire == join(m.Parse(NAME, TEXT, [25]), RENAMED, EXECUTE)
@@ -89,7 +89,7 @@
     assert built.edits == (Edit.DROP,)
 
 
-def test_an_unknown_statement_is_left_to_the_target():
+def test_an_unknown_statement_is_forwarded_unchanged():
     plan, built = run([BIND, EXECUTE], StatementTable(), PreparedNames())
     assert built.wire == join(BIND, EXECUTE)
     assert plan.executed == ()
--- a/tests/callers/test_logon.py
+++ b/tests/callers/test_logon.py
@@ -1,4 +1,4 @@
-"""The log-on of a caller, without sockets."""
+"""The log-on of a caller, driven without sockets."""
 
 import pytest
 from hypothesis import given, settings
@@ -33,7 +33,7 @@
 
 
 def log_on(user, password):
-    """Go through the password exchange; return the last step."""
+    """Run the SCRAM exchange; return the last step."""
     logon = make_logon()
     client = ScramClient(["SCRAM-SHA-256"], user, password)
     list(logon.feed(m.StartupMessage({"user": user}).to_wire()))
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     "user, password", [("app", "wrong"), ("nobody", "secret"), ("broken", "secret")]
 )
-def test_refused_passwords_look_alike(user, password):
+def test_a_refused_password_does_not_reveal_the_cause(user, password):
     error = log_on(user, password).error
     assert error.sqlstate == "28P01"
     assert error.message == f'password authentication failed for user "{user}"'
@@ -72,14 +72,14 @@
     assert step == SendBytes(b"N")
 
 
-def test_without_tls_the_caller_goes_on_in_plain():
+def test_without_tls_the_caller_continues_unencrypted():
     requests = m.SSLRequest().to_wire() + m.GSSEncRequest().to_wire() + START
     steps = list(make_logon().feed(requests))
     assert steps[:2] == [SendBytes(b"N")] * 2
     assert isinstance(steps[2], AcceptLogon)
 
 
-def test_a_cancel_request():
+def test_a_cancel_request_yields_its_key_and_secret():
     (step,) = make_logon().feed(m.CancelRequest(7, b"abcd").to_wire())
     assert step == CancelOther(7, b"abcd")
 
@@ -91,7 +91,7 @@
     assert isinstance(accepted, AcceptLogon)
 
 
-def test_options():
+def test_options_are_parsed():
     text = r"-c beryltrack.session=a\ b --max-age=3 -cx=' "
     settings_, error = parse_options(text)
     assert error is None
--- a/tests/callers/test_protocol_sockets.py
+++ b/tests/callers/test_protocol_sockets.py
@@ -1,4 +1,4 @@
-"""Faults and loads over real sockets, with psycopg and bare sockets."""
+"""Faults, load and TLS over real sockets, with psycopg and bare sockets."""
 
 import datetime
 import socket
@@ -15,7 +15,7 @@
 
 from beryltrack.callers.authentication import format_secret
 from beryltrack.callers.tls import make_tls_context
-from tests.callers.glue import HOST, make_settings, run_glue
+from tests.callers.harness import HOST, make_settings, run_harness
 from tests.reactor_thread import run
 
 START = m.StartupMessage({"user": "app", "database": "main"}).to_wire()
@@ -37,20 +37,20 @@
     return make_tls_context(secret + certificate.public_bytes(pem))
 
 
-def open_socket(glue, data=START):
-    """Return a bare socket that has sent `data`."""
-    bare = socket.create_connection((HOST, glue.number), timeout=5)
+def open_socket(harness, data=START):
+    """Return a connected socket after sending `data` on it."""
+    bare = socket.create_connection((HOST, harness.number), timeout=5)
     bare.sendall(data)
     return bare
 
 
 def read_to_end(bare):
-    """Return all that comes until the proxy closes."""
+    """Return all bytes up to the end of the connection."""
     return b"".join(iter(lambda: bare.recv(65536), b""))
 
 
 def wait_until(condition):
-    """Wait in turns of the reactor until `condition()` holds."""
+    """Poll in the reactor's thread until `condition()` is true."""
 
     async def poll():
         while not condition():
@@ -61,32 +61,33 @@
 
 def test_tls_and_password_together():
     settings = make_settings(format_secret("secret"))
-    with run_glue(settings=settings, tls_context=make_context()) as glue:
+    with run_harness(settings=settings, tls_context=make_context()) as harness:
         options = {"sslmode": "require", "password": "secret"}
-        with glue.connect(**options) as connection:
+        with harness.connect(**options) as connection:
             assert connection.pgconn.ssl_in_use
             row = connection.execute("rows 20 20000").fetchall()
             assert len(row) == 20
 
 
 def test_plain_bytes_after_the_request_for_tls_are_refused():
-    with run_glue(tls_context=make_context()) as glue:
-        with open_socket(glue, m.SSLRequest().to_wire() + START) as bare:
+    with run_harness(tls_context=make_context()) as harness:
+        with open_socket(harness, m.SSLRequest().to_wire() + START) as bare:
             assert b"08P01" in read_to_end(bare)
 
 
-def test_a_peer_that_is_gone_is_noticed_by_the_kernel():
-    with run_glue() as glue, glue.connect():
-        caller = next(iter(glue.factory._connections))
-        for connection in (caller, glue.targets[0]):
+def test_both_sides_set_keepalive_and_nodelay():
+    with run_harness() as harness, harness.connect():
+        caller = next(iter(harness.factory._connections))
+        for connection in (caller, harness.targets[0]):
             handle = connection.transport.getHandle()
             for option in (socket.TCP_KEEPIDLE, socket.TCP_NODELAY):
                 assert 0 < handle.getsockopt(socket.IPPROTO_TCP, option) < 30
 
 
 def test_cancel_reaches_the_target():
-    with run_glue() as glue, glue.connect() as connection:
-        # The older cancel() would hold the interpreter and so the proxy itself.
+    with run_harness() as harness, harness.connect() as connection:
+        # The older cancel() keeps the interpreter lock and would block the proxy, which
+        # runs in the same process.
         timer = threading.Timer(0.05, connection.cancel_safe)
         timer.start()
         with pytest.raises(psycopg.errors.QueryCanceled):
@@ -96,24 +97,24 @@
 
 
 def test_a_cancel_request_with_a_wrong_secret_is_ignored():
-    with run_glue() as glue, glue.connect() as connection:
+    with run_harness() as harness, harness.connect() as connection:
         key = connection.pgconn.backend_pid
-        with open_socket(glue, m.CancelRequest(key, b"1234").to_wire()) as bare:
+        with open_socket(harness, m.CancelRequest(key, b"1234").to_wire()) as bare:
             assert read_to_end(bare) == b""
         assert connection.execute("SELECT 1").fetchone()[1] == "SELECT 1"
 
 
-def test_a_lost_target_is_told_as_unknown_outcome():
-    with run_glue(connections=2) as glue, glue.connect() as connection:
+def test_a_lost_target_is_reported_as_unknown_outcome():
+    with run_harness(connections=2) as harness, harness.connect() as connection:
         with pytest.raises(psycopg.errors.TransactionResolutionUnknown):
             connection.execute("lost")
-        assert glue.targets[0].broken
+        assert harness.targets[0].broken
         assert connection.execute("SELECT 1").fetchone() == ("2", "SELECT 1")
 
 
-def test_many_callers_at_once_get_their_own_answers():
+def test_concurrent_callers_get_their_own_responses():
     def talk(name):
-        with glue.connect() as connection:
+        with harness.connect() as connection:
             for number in range(15):
                 value = f"{name}-{number}"
                 row = connection.execute("SELECT %s", [value]).fetchone()
@@ -123,7 +124,7 @@
         done.append(name)
 
     wrong, done = [], []
-    with run_glue(connections=3) as glue:
+    with run_harness(connections=3) as harness:
         threads = [threading.Thread(target=talk, args=(n,)) for n in range(8)]
         [thread.start() for thread in threads]
         [thread.join() for thread in threads]
@@ -131,27 +132,27 @@
     assert len(done) == 8
 
 
-def test_a_slow_caller_holds_back_the_target():
-    with run_glue() as glue, open_socket(glue) as bare:
+def test_a_slow_caller_applies_back_pressure_to_the_target():
+    with run_harness() as harness, open_socket(harness) as bare:
         bare.sendall(m.Query("rows 30000 1000").to_wire())
-        wait_until(lambda: glue.target.connections[1].transport.dataBuffer)
-        caller = run(lambda: next(iter(glue.factory._connections)).caller)
+        wait_until(lambda: harness.target.connections[1].transport.dataBuffer)
+        caller = run(lambda: next(iter(harness.factory._connections)).caller)
         wait_until(lambda: caller.is_full)
-        held = sum(len(x) for x in caller._transport._tempDataBuffer)
-        assert held + len(caller._transport.dataBuffer) < 1 << 20
+        buffered = sum(len(x) for x in caller._transport._tempDataBuffer)
+        assert buffered + len(caller._transport.dataBuffer) < 1 << 20
         received = 0
         while received < 30_000 * 1000:
             received += len(bare.recv(1 << 20))
-        wait_until(lambda: glue.handler.ends)
+        wait_until(lambda: harness.handler.ends)
 
 
-def test_a_caller_that_leaves_in_mid_answer_harms_nobody():
-    with run_glue() as glue:
-        with open_socket(glue) as bare:
+def test_a_disconnect_during_a_response_does_not_affect_others():
+    with run_harness() as harness:
+        with open_socket(harness) as bare:
             bare.sendall(m.Query("rows 30000 1000").to_wire())
             assert bare.recv(1000)
-        wait_until(lambda: glue.handler.forgotten)
-        with glue.connect() as connection:
+        wait_until(lambda: harness.handler.dropped)
+        with harness.connect() as connection:
             assert connection.execute("SELECT 1").fetchone() == ("1", "SELECT 1")
 
 
@@ -171,7 +172,7 @@
     ],
 )
 def test_malformed_input_closes_its_connection_only(data):
-    with run_glue() as glue, glue.connect() as connection:
-        with open_socket(glue, data) as bare:
+    with run_harness() as harness, harness.connect() as connection:
+        with open_socket(harness, data) as bare:
             assert b"08P01" in read_to_end(bare)
         assert connection.execute("SELECT 1").fetchone() == ("1", "SELECT 1")
--- a/tests/callers/test_reader.py
+++ b/tests/callers/test_reader.py
@@ -1,4 +1,4 @@
-"""Units cut out of a caller's input."""
+"""Splitting a caller's input into units."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/callers/test_sequence.py
+++ b/tests/callers/test_sequence.py
@@ -1,4 +1,4 @@
-"""Connections that run one message after the other, driven without sockets."""
+"""Connections that run their messages one after the other, without sockets."""
 
 from types import SimpleNamespace
 
@@ -22,12 +22,12 @@
 )
 
 
-class Letters(SequentialCaller):
-    """Each byte is a message; small letters run, others are answered at once."""
+class LetterCaller(SequentialCaller):
+    """Takes each byte as a message; only lower-case letters are answered later."""
 
     def __init__(self, factory):
         super().__init__(factory)
-        self.taken = []
+        self.handled = []
 
     def split_messages(self, data):
         if b"!" in data:
@@ -35,7 +35,7 @@
         return [bytes((each,)) for each in data]
 
     def handle_message(self, message):
-        self.taken.append(message)
+        self.handled.append(message)
         if message.isupper():
             return None
         self.run = Deferred()
@@ -43,31 +43,31 @@
 
 
 def open_caller():
-    clock, forgotten = Clock(), []
-    handler = SimpleNamespace(drop_session=forgotten.append)
+    clock, dropped = Clock(), []
+    handler = SimpleNamespace(drop_session=dropped.append)
     factory = SequentialFactory(clock, handler, LIMITS)
-    factory.protocol = Letters
+    factory.protocol = LetterCaller
     caller = factory.buildProtocol(None)
     caller.makeConnection(StringTransport())
-    return clock, factory, caller, forgotten
+    return clock, factory, caller, dropped
 
 
 def test_messages_run_in_order_one_at_a_time():
     _, _, caller, _ = open_caller()
     caller.dataReceived(b"Aab")
-    assert caller.taken == [b"A", b"a"]
+    assert caller.handled == [b"A", b"a"]
     caller.run.callback(None)
-    assert caller.taken == [b"A", b"a", b"b"]
+    assert caller.handled == [b"A", b"a", b"b"]
 
 
-def test_a_caller_that_sends_too_much_ahead_or_nonsense_is_cut_off():
+def test_too_many_pending_messages_or_malformed_input_abort_the_connection():
     for data in (b"abcdefg", b"!"):
         _, _, caller, _ = open_caller()
         caller.dataReceived(data)
         assert caller.transport.disconnected
 
 
-def test_a_transaction_that_rests_too_long_is_cut_off():
+def test_a_transaction_idle_too_long_is_aborted():
     clock, _, caller, _ = open_caller()
     caller.dataReceived(b"a")
     caller.status = TransactionStatus.IN_TRANSACTION
@@ -78,7 +78,7 @@
     assert caller.transport.disconnected
 
 
-def test_a_caller_that_leaves_ends_after_what_runs():
+def test_leaving_closes_after_the_running_message():
     _, factory, caller, _ = open_caller()
     caller.dataReceived(b"a")
     left = []
@@ -90,23 +90,23 @@
     assert left == [None]
 
 
-def test_what_a_gone_caller_leaves_is_forgotten_after_its_run():
-    _, _, caller, forgotten = open_caller()
+def test_the_session_of_a_closed_connection_is_dropped_after_its_message():
+    _, _, caller, dropped = open_caller()
     caller.dataReceived(b"ab")
     caller.connectionLost()
-    assert forgotten == []
+    assert dropped == []
     caller.run.callback(None)
-    assert forgotten == [caller] and caller.taken == [b"a"]
+    assert dropped == [caller] and caller.handled == [b"a"]
 
 
-def test_a_defect_of_a_run_ends_the_connection():
+def test_an_internal_error_aborts_the_connection():
     _, _, caller, _ = open_caller()
     caller.dataReceived(b"a")
     caller.run.errback(RuntimeError("defect"))
     assert caller.transport.disconnected
 
 
-def test_at_the_end_a_transaction_is_ended_between_two_statements():
+def test_finish_closes_between_two_statements_of_a_transaction():
     _, factory, caller, _ = open_caller()
     caller.status = TransactionStatus.IN_TRANSACTION
     factory.leave()
@@ -115,7 +115,7 @@
     assert caller.transport.disconnecting
 
 
-def test_at_the_end_a_statement_that_runs_is_answered_first():
+def test_finish_waits_for_the_running_statement():
     _, factory, caller, _ = open_caller()
     caller.status = TransactionStatus.IN_TRANSACTION
     caller.dataReceived(b"a")
