--- a/beryltrack/callers/batches.py
+++ b/beryltrack/callers/batches.py
@@ -1,4 +1,4 @@
-"""Plans of extended-protocol batches and what they consist of; see `extended`."""
+"""Data types of planned and built extended-protocol batches; see `extended`."""
 
 from typing import NamedTuple, Protocol
 
--- a/beryltrack/callers/factory.py
+++ b/beryltrack/callers/factory.py
@@ -102,7 +102,7 @@
         self.leaving = False
         self._get_settings = get_settings
         self._connections: set[CallerProtocol] = set()
-        self._keys: dict[int, _CancelKey] = {}
+        self._cancel_keys: dict[int, _CancelKey] = {}
         self._leave_waiters: list[Deferred[None]] = []
 
     @property
@@ -170,22 +170,22 @@
         own = {"application_name": name, "session_authorization": request.user}
         return REPORTED_PARAMETERS | own
 
-    def register(self, caller: Caller) -> tuple[int, bytes]:
+    def issue_cancel_key(self, caller: Caller) -> tuple[int, bytes]:
         """Issue the key and secret with which a caller can cancel its running unit."""
         key = secrets.randbelow(_KEY_RANGE)
-        while key in self._keys:
+        while key in self._cancel_keys:
             key = secrets.randbelow(_KEY_RANGE)
         secret = secrets.token_bytes(_SECRET_SIZE)
-        self._keys[key] = _CancelKey(caller, secret)
+        self._cancel_keys[key] = _CancelKey(caller, secret)
         return key, secret
 
-    def unregister(self, key: int) -> None:
+    def revoke_cancel_key(self, key: int) -> None:
         """Remove the cancel key of a caller that has disconnected."""
-        self._keys.pop(key, None)
+        self._cancel_keys.pop(key, None)
 
     def cancel(self, key: int, secret: bytes) -> None:
         """Cancel the running unit of the caller with this key and secret, if any."""
-        entry = self._keys.get(key)
+        entry = self._cancel_keys.get(key)
         if entry is not None and hmac.compare_digest(entry.secret, secret):
             entry.caller.cancel()
         else:
--- a/beryltrack/callers/logon.py
+++ b/beryltrack/callers/logon.py
@@ -112,7 +112,7 @@
         self._wire = BackendConnection()
         self._wire._decoder = BoundedFrontendDecoder()
         self._find_user = find_user
-        self._mocks = mock_secrets
+        self._mock_secrets = mock_secrets
         self._offers_tls = offers_tls
         self._request: StartupRequest | None = None
         self._user: UserSettings | None = None
@@ -133,7 +133,7 @@
         """Return the bytes received after the end of the log-on."""
         return self._wire._decoder.take_undecoded()
 
-    def encode_welcome(
+    def encode_logon_response(
         self, parameters: dict[str, str], key: int, secret: bytes
     ) -> bytes:
         """Encode the messages from AuthenticationOk to ReadyForQuery."""
@@ -202,7 +202,7 @@
             raise ProtocolError(
                 "unsupported authentication mechanism; use SCRAM-SHA-256"
             )
-        self._scram = ScramExchange(self._request.user, self._user, self._mocks)
+        self._scram = ScramExchange(self._request.user, self._user, self._mock_secrets)
         response = self._scram.get_server_first(data)
         if isinstance(response, SqlError):
             return RefuseLogon(response)
--- a/beryltrack/callers/protocol.py
+++ b/beryltrack/callers/protocol.py
@@ -83,7 +83,7 @@
         self.phase = Phase.LOGON
         self._logon: CallerLogon | None = factory.make_logon()
         self._reader = RequestReader(factory.options.unit_limit)
-        self._key: int | None = None
+        self._cancel_key: int | None = None
         self._is_input_paused = False
         self._timer = None
         self._is_tls = False
@@ -176,10 +176,12 @@
             self._refuse(error._replace(severity=FATAL))
             return
         self._stop_timer()
-        self._key, secret = self.factory.register(self.caller)
+        self._cancel_key, secret = self.factory.issue_cancel_key(self.caller)
         parameters = self.factory.get_parameters(request)
-        welcome = self._logon.encode_welcome(parameters, self._key, secret)
-        self.transport.write(welcome)
+        response = self._logon.encode_logon_response(
+            parameters, self._cancel_key, secret
+        )
+        self.transport.write(response)
         self.transport.registerProducer(self.caller, True)
         self.caller.set_drain_callback(self._resume_units)
         self.phase = Phase.READY
@@ -403,7 +405,7 @@
 
     def _drop_session(self) -> None:
         """Release the state kept for the caller."""
-        if self._key is not None:
-            self.factory.unregister(self._key)
+        if self._cancel_key is not None:
+            self.factory.revoke_cancel_key(self._cancel_key)
             self.factory.handler.drop_session(self.caller)
         self.factory.remove(self)
