--- a/tests/callers/test_protocol_sockets.py
+++ b/tests/callers/test_protocol_sockets.py
@@ -76,6 +76,7 @@
 
 
 def test_both_sides_set_keepalive_and_nodelay():
+    """Without keepalive the kernel would not detect a peer that has vanished."""
     with run_harness() as harness, harness.connect():
         caller = next(iter(harness.factory._connections))
         for connection in (caller, harness.targets[0]):
