--- a/beryltrack/failover/__init__.py
+++ b/beryltrack/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover: detection of a lost primary, grants, promotion, hand-over."""
+"""Failover: loss detection, elections by grants, promotion, planned hand-over."""
--- a/beryltrack/failover/authority.py
+++ b/beryltrack/failover/authority.py
@@ -1,12 +1,13 @@
-"""Who may promote: a permit with a fencing token, kept in the object store.
-
-Where databases themselves arbitrate by terms no permit is needed. Where an
-outside authority carries out promotions, it refuses a call whose token is lower
-than one it has seen, so that a call that is carried out late cannot undo a newer
-promotion. The permit is taken before it is needed and has no end: it passes on
-when another instance takes it with the next token. So it costs no call while
-nothing happens, and a primary can be replaced while the store is down. An authority
-that refuses nothing needs other permits: see `failover.unfenced_authority`.
+"""Permits to promote databases of a group, as fencing tokens in the object store.
+
+A permit is the right to promote databases of one group; it carries a fencing token.
+Databases that arbitrate by terms themselves need none. Where an external service
+carries out promotions, it refuses a call whose token is lower than one it has seen, so
+that a delayed call cannot undo a newer promotion. An instance takes the permit in
+advance and it does not expire: it passes on when another instance takes it with the
+next token. It thus costs no calls while nothing changes, and a primary can be replaced
+while the store is down. For a service that checks no tokens see
+`failover.unfenced_authority`.
 """
 
 import logging
@@ -23,7 +24,7 @@
 PATH_PREFIX = "permits/"
 
 MAX_TAKE_ATTEMPTS = 3
-"""Attempts to take a permit; each one that fails has met another's."""
+"""Attempts to write a permit; a failed one usually lost a race to another instance."""
 
 
 class Permit(NamedTuple):
@@ -34,9 +35,9 @@
     holder : str
         Name of the instance that holds it.
     token : int
-        Fencing token: the version of the write by which the permit was taken. No
-        version is given to two writes, also where the store was restored from a backup
-        and has forgotten the last ones, or a write of before is carried out late.
+        Fencing token: the version of the write that took the permit. The store gives
+        no version to two writes, even if a restore from a backup lost the last ones or
+        a write from before the restore is carried out late.
     """
 
     holder: str
@@ -44,9 +45,10 @@
 
 
 class PromotionAuthority(Protocol):
-    """Gives the permit under which an instance promotes.
+    """Issues the permit under which an instance promotes.
 
-    `keeps_permits` is True if a permit is taken before it is needed, and kept.
+    `keeps_permits` is True if a permit is taken in advance and held until another
+    instance takes it.
     """
 
     keeps_permits: bool
@@ -58,14 +60,14 @@
         """Return a permit; with a new token if `renew`."""
 
     def drop(self, group: str) -> None:
-        """Note that another instance's permit has overtaken this one's."""
+        """Discard this instance's permit: another instance has taken a newer one."""
 
     async def prepare(self, group: str) -> None:
-        """Do beforehand what can be done for a change of primary that is due."""
+        """Do in advance what the permit for a coming promotion needs."""
 
 
 class StoreAuthority:
-    """Permits as objects that are changed on condition.
+    """Permits as objects in the store, taken by compare-and-set; none expires.
 
     Parameters
     ----------
@@ -92,11 +94,11 @@
         return group in self._permits
 
     def drop(self, group: str) -> None:
-        """Note that another instance's permit has overtaken this one's."""
+        """Discard this instance's permit: another instance has taken a newer one."""
         self._permits.pop(group, None)
 
     async def prepare(self, group: str) -> None:
-        """Do nothing: the first in rank holds the permit already."""
+        """Do nothing: the instance that is first in rank already holds the permit."""
 
     async def acquire(self, group: str, renew: bool) -> Result[Permit, PlatformError]:
         """Return a permit of a group.
@@ -106,14 +108,14 @@
         group : str
             The group.
         renew : bool
-            True to take it anew with the next token, so that calls under the
-            one before are fenced off.
+            True to take it again with the next token, so that calls under the
+            previous token are fenced off.
 
         Returns
         -------
         Result of Permit or PlatformError
-            The permit that this instance held before is given if the store
-            cannot be asked for another.
+            The permit that this instance already holds if the store refuses the
+            calls for another (`ErrorKind.REFUSED`).
         """
         held = self._permits.get(group)
         if held is not None and not renew:
@@ -123,28 +125,37 @@
             self._permits[group] = result.unwrap()
             return result
         if held is not None and result.failure().kind is ErrorKind.REFUSED:
-            log.warning("failover: The permit of %s stays, no store.", group)
+            log.warning(
+                "failover: %s: store issued no new permit; keeping token %d.",
+                group,
+                held.token,
+            )
             return Success(held)
         return result
 
     async def _take(self, group: str) -> Result[Permit, PlatformError]:
         """Write the permit with the next token."""
         path = PATH_PREFIX + group
-        failure: Result = Failure(PlatformError(ErrorKind.CONFLICT, "taken by others"))
+        failure: Result = Failure(
+            PlatformError(ErrorKind.CONFLICT, "other instances took it first")
+        )
         for _ in range(MAX_TAKE_ATTEMPTS):
             found = await self._client.get(path)
             if not isinstance(found, Success):
                 return found
-            kept, era = found.unwrap(), self._eras.era
-            version = 0 if kept is None else kept.version
+            stored, era = found.unwrap(), self._eras.era
+            version = 0 if stored is None else stored.version
             value = make_permit_value(self._holder, version)
             written = await self._client.put(path, value, version)
             if self._eras.era != era:
-                # What was read may not have been what the write replaced.
+                # After a restore the write may have replaced another version than
+                # the one that was read.
                 continue
             if isinstance(written, Success):
                 permit = Permit(self._holder, written.unwrap())
-                log.info("failover: %s: permit with token %d.", group, permit.token)
+                log.info(
+                    "failover: %s: took permit with token %d.", group, permit.token
+                )
                 return Success(permit)
             failure = written
             if written.failure().kind is ErrorKind.INVALID:
@@ -155,7 +166,7 @@
 def make_permit_value(holder: str, after: int) -> dict[str, object]:
     """Return the stored form of a permit.
 
-    It names the version that it follows, as a write that changes nothing would be
-    given no version of its own.
+    It contains the version that it replaces, because the store assigns no new version
+    to a write that leaves the value unchanged.
     """
     return {"holder": holder, "after": after}
--- a/beryltrack/failover/decider.py
+++ b/beryltrack/failover/decider.py
@@ -1,7 +1,8 @@
-"""When a node starts to change a group's primary, and to whom.
+"""Decides when an instance starts an election for a group, and who is elected.
 
-Terms that the databases grant make races harmless, so all of this is only
-about time: to act soon after a loss, never without one, and seldom two at once.
+As in Raft, the databases grant terms, which makes concurrent elections safe. The
+decisions here concern timing alone: an election starts soon after a loss, never without
+one, and instances seldom compete.
 """
 
 import math
@@ -37,61 +38,64 @@
     is_deposed,
 )
 
-# Longer than any control request takes.
+# Seconds; longer than any control request takes.
 MAX_GRANT_TIMEOUT = 2.0
 
 
 class FailoverPolicy(NamedTuple):
-    """Times of the failover, all in seconds.
+    """Timing and quorum rules of failover; all times in seconds.
 
     Parameters
     ----------
     stagger : float
-        Between the attempts of two nodes that are next in rank: two round
+        Delay between the attempts of instances adjacent in rank: two round
         trips of a grant and a promotion.
     settle_time : float
-        How long somebody else's attempt, seen by its term, is left alone.
+        How long this instance waits after another one's attempt raised the term.
     max_status_age : float
         Answers to requests sent longer ago do not count as a loss.
     initial_backoff : float
-        Mean pause after the first attempt that failed; it doubles each time.
+        Mean back-off after the first failed attempt; it doubles each time.
     max_backoff : float
-        The longest mean pause.
+        Upper bound of the mean back-off.
     reclaim_after : float
         How long a database must have refused its primary before the primary
         takes a higher term.
     suspicion_period : float
-        How long after its loss a replica makes nodes expect a new primary.
+        How long after its loss a replica makes instances expect a new primary.
     hand_over_stagger : float
-        Between two nodes that order a hand-over; longer than one takes.
+        Delay between the hand-overs of instances adjacent in rank; longer than
+        one takes.
     hand_over_timeout : float
-        How long the replica may take to catch up before the hand-over is
-        given up; less than a primary that stopped writes waits by itself.
+        How long the successor may take to catch up before the hand-over is
+        aborted; less than the time after which a primary that stopped writes
+        resumes them by itself.
     hand_over_initial_backoff : float
-        Mean pause after the first hand-over that was given up; it doubles each
-        time. The next one may choose another successor, and a leaving primary
-        has to be relieved within a few seconds.
+        Mean back-off after the first aborted hand-over; it doubles each time.
+        The next one may choose another successor, and a leaving primary must be
+        replaced within a few seconds.
     hand_over_max_backoff : float
-        The longest mean pause after a hand-over that was given up: each one
+        Upper bound of the mean back-off after an aborted hand-over: each one
         stops the writes for a while.
     grant_timeout : float
         How long a candidate waits for a majority; it doubles after each
-        failure, so that slow databases can be asked too.
+        failure, so that slow databases can grant too.
     non_holder_delay : float
-        How long an instance without the permit leaves a loss to its holder.
+        How long an instance without the permit waits for its holder to act on a loss.
     rotates_ranks : bool
-        True if another instance is first in rank in each term. False where a
-        permit is held, which is to change hands seldom.
+        True if the ranks of the instances change with each term. False where one
+        instance holds the permit, which should seldom pass on.
     stalled_after : float
         How long commits must have waited without a receipt, while the other databases
-        answer, until the primary is replaced; infinite where databases do not tell.
+        answer, before the primary is replaced; infinite where databases report no
+        receipts.
     has_authority : bool
-        True if an authority promotes, so that databases need not see to it that only
-        one is elected.
+        True if an external service promotes, so that grants need not ensure that only
+        one database is elected.
     former_accepts_writes : bool
-        True if a replaced primary goes on by itself. Its own grant counts for nothing
-        then: each election needs so many of the others that one of them is among any
-        that confirm the term before.
+        True if a replaced primary keeps accepting writes. Its own grant does not count
+        then: each election needs enough of the other databases to overlap every
+        majority that confirms commits of the previous term.
     """
 
     stagger: float = 0.06
@@ -113,7 +117,7 @@
     former_accepts_writes: bool = False
 
     def get_quorum(self, size: int) -> int:
-        """Return how many of a group's databases an election needs."""
+        """Return how many grants an election needs in a group of `size` databases."""
         if self.has_authority:
             return compute_election_quorum(size)
         return compute_majority(size)
@@ -121,11 +125,11 @@
 
 DEFAULT_POLICY = FailoverPolicy()
 
-_WITHOUT_PRIMARY = (ElectionKind.LOST, ElectionKind.STALLED)
+_LOSS_KINDS = (ElectionKind.LOST, ElectionKind.STALLED)
 
 
 class FailoverDecider:
-    """Decides for one group on one node.
+    """Decides for one group when this instance holds an election.
 
     Parameters
     ----------
@@ -133,12 +137,12 @@
         The group's name.
     node : str
         This instance's name.
-    detector : LossDetector
-        Says when a primary is lost.
+    detector : FailureDetector
+        Gives the timeouts after which databases have lost their primary.
     rng : Random
-        Source of jitter and of names of attempts.
+        Source of jitter and of candidate names.
     policy : FailoverPolicy
-        Times.
+        Timing and quorum rules.
     """
 
     def __init__(
@@ -156,14 +160,14 @@
         self._detector = detector
         self._rng = rng
         self._policy = policy
-        self._kind: ElectionKind | None = None
-        self._since = 0.0
+        self._election_kind: ElectionKind | None = None
+        self._kind_since = 0.0
         self._due = NEVER
         self._highest_term = -1
-        self._moved_at = 0.0
+        self._term_changed_at = 0.0
         self._not_before = 0.0
         self._failures = 0
-        self._is_holder = False
+        self._holds_permit = False
 
     @property
     def is_candidate(self) -> bool:
@@ -177,66 +181,69 @@
 
     @property
     def due(self) -> float:
-        """When to decide again although the view is the same; else in the past."""
+        """Time at which to decide again even if the view is unchanged, seconds.
+
+        It is `NEVER`, which lies in the past, if nothing is due.
+        """
         return self._due
 
     def set_nodes(self, nodes: tuple[str, ...], is_candidate: bool = True) -> None:
-        """Take the names of all instances that may act for the group.
+        """Set the instances that may hold elections for the group.
 
         Parameters
         ----------
         nodes : tuple of str
             Their names.
         is_candidate : bool
-            False if this instance is to leave changes of primary to them: what it
-            takes for the silence of a primary may be that of its way there.
+            False if this instance leaves elections to them: a silence of the primary
+            may be a failure of its own network path.
         """
         self._nodes = nodes
         self._is_candidate = is_candidate
 
-    def set_holds_permit(self, is_holder: bool) -> None:
-        """Take whether this instance holds the permit to promote."""
-        self._is_holder = is_holder
+    def set_holds_permit(self, holds_permit: bool) -> None:
+        """Set whether this instance holds the permit to promote."""
+        self._holds_permit = holds_permit
 
     def is_suspect(self, view: GroupView) -> bool:
         """Return whether the group may soon need a new primary.
 
-        A replica that lost its primary long ago, while it still leads, is cut
-        off by itself; it must not make all nodes ask without a pause.
+        A replica that lost a live primary long ago is cut off itself; it must not
+        make all instances poll without a pause.
         """
         limit = self._policy.suspicion_period
         orphaned = get_databases_without_primary(view, self._detector, 0.0)
-        lately = (
+        recently = (
             item.heard_age < self._detector.get_timeout(item.name) + limit
             for item in orphaned
         )
-        return not view.primary or any(lately)
+        return not view.primary or any(recently)
 
     def decide(self, view: GroupView, now: float) -> Election | None:
-        """Return the election that this node shall hold now, if any.
+        """Return the election that this instance should hold now, if any.
 
         Parameters
         ----------
         view : GroupView
             The group's view.
         now : float
-            The node's time, seconds.
+            The current time of the instance's clock, seconds.
 
         Returns
         -------
         Election or None
-            None while there is nothing to do or others are to act first.
+            None if none is needed or another instance acts first.
         """
         for item in view.databases:
             self._detector.observe(item)
         self._observe_term(view, now)
-        kind = self._get_kind(view, now)
-        if kind != self._kind:
-            self._kind, self._since = kind, now
+        kind = self._get_election_kind(view, now)
+        if kind != self._election_kind:
+            self._election_kind, self._kind_since = kind, now
         if kind is ElectionKind.LOST:
-            # By the databases' own word, so that all nodes count from one time.
+            # From the databases' reports, so that all instances compute the same time.
             quorum = self._policy.get_quorum(len(view.databases))
-            self._since = compute_loss_time(view, self._detector, now, quorum)
+            self._kind_since = compute_loss_time(view, self._detector, now, quorum)
         if kind is None or not self._is_candidate:
             self._failures, self._due = 0, NEVER
             return None
@@ -246,7 +253,7 @@
         return self._make_election(view, kind)
 
     def observe_outcome(self, election: Election, won: bool, now: float) -> None:
-        """Take in how this node's own election ended."""
+        """Record how this instance's own election ended at `now`, in seconds."""
         if won:
             self._failures = 0
             self._not_before = now + self._policy.settle_time
@@ -255,15 +262,15 @@
         self._not_before = now + self._compute_backoff(election.kind)
 
     def _observe_term(self, view: GroupView, now: float) -> None:
-        """Notice that the term moved: somebody is at work or has finished."""
+        """Record when the term rises: another instance holds or held an election."""
         highest = max(item.term for item in view.databases)
         if highest > self._highest_term:
-            first_look = self._highest_term < 0
+            is_first_view = self._highest_term < 0
             self._highest_term = highest
-            self._moved_at = -self._policy.settle_time if first_look else now
+            self._term_changed_at = -self._policy.settle_time if is_first_view else now
 
-    def _get_kind(self, view: GroupView, now: float) -> ElectionKind | None:
-        """Return why the group needs another term, or None."""
+    def _get_election_kind(self, view: GroupView, now: float) -> ElectionKind | None:
+        """Return why the group needs a new term, or None."""
         quorum = self._policy.get_quorum(len(view.databases))
         if is_primary_lost(
             view, self._detector, now - self._policy.max_status_age, quorum
@@ -283,7 +290,7 @@
     def _can_hand_over(
         self, view: GroupView, leader: DatabaseView, quorum: int
     ) -> bool:
-        """Return whether another primary could be elected once this one has stopped."""
+        """Return whether another primary can be elected once this one has stopped."""
         voters = [
             item
             for item in view.databases
@@ -296,17 +303,17 @@
     def _is_stalled(
         self, view: GroupView, leader: DatabaseView, now: float, quorum: int
     ) -> bool:
-        """Return whether nothing of the primary reaches the other databases.
+        """Return whether no entry of the primary reaches the other databases.
 
         Such a primary is cut off from them, or they receive nothing for a while. The
-        others must have answered late enough in that time: a receipt takes a few
+        others must have answered after half of `stalled_after`: a receipt takes a few
         milliseconds.
         """
         waited = now - view.stalled_since
         if waited < self._policy.stalled_after:
             return False
         asked_after = view.stalled_since + self._policy.stalled_after / 2
-        lacking = [
+        without_receipt = [
             item
             for item in view.databases
             if item.name != leader.name
@@ -314,21 +321,21 @@
             and item.seen_at >= asked_after
             and item.term == leader.term
         ]
-        return count_eligible_voters(view, lacking) >= quorum
+        return count_eligible_voters(view, without_receipt) >= quorum
 
     def _is_fresh(self, item: DatabaseView, now: float) -> bool:
-        """Return whether a database answered lately."""
+        """Return whether a database answered within the maximal status age."""
         return item.reachable and item.seen_at >= now - self._policy.max_status_age
 
     def _leads_now(self, view: GroupView, leader: DatabaseView, now: float) -> bool:
-        """Return whether a majority, the leader among them, hears no later primary.
-
-        Without that a primary of a later term may be at work that this node
-        does not see. One that can confirm anything is heard by a majority, so
-        by one of these. A database counts that is in the leader's term, and
-        also one that is in a later term and hears nobody: it was promised to a
-        candidate that came to nothing, and with another database lost it would
-        hold up the group for ever.
+        """Return whether a majority, including the leader, hears no later primary.
+
+        Otherwise a primary of a later term that this instance does not see may be
+        active. A primary that can confirm commits is heard by a majority, which
+        overlaps this one. A database counts if it is in the leader's term, or if it
+        is in a later term and hears no primary: it granted that term to a candidate
+        that failed, and with another database lost it would block the group
+        indefinitely.
         """
         if leader.is_role_fenced:
             return self._is_fresh(leader, now)
@@ -343,34 +350,37 @@
     def _refuses(self, item: DatabaseView, leader: DatabaseView, now: float) -> bool:
         """Return whether a database is in a later term that has no primary.
 
-        One that is held for such a term hears nothing, whoever leads.
+        A database that is held for such a term hears no primary at all.
         """
         silent = item.heard_age >= self._detector.get_timeout(item.name) or item.is_held
         return item.term > leader.term and silent and self._is_fresh(item, now)
 
     def _compute_due(self, view: GroupView, kind: ElectionKind) -> float:
-        """Return when this node is to act, after those before it in rank."""
+        """Return when this instance acts, after those of lower rank; seconds."""
         policy = self._policy
         rank = self._get_rank()
         if kind is ElectionKind.HAND_OVER:
             delay = rank * policy.hand_over_stagger
-            return self._since + (0.0 if self._is_holder else delay)
+            return self._kind_since + (0.0 if self._holds_permit else delay)
         delay = rank * policy.stagger
         if policy.non_holder_delay:
-            delay = 0.0 if self._is_holder else delay + policy.non_holder_delay
+            delay = 0.0 if self._holds_permit else delay + policy.non_holder_delay
         if kind is ElectionKind.RECLAIM:
-            return self._since + policy.reclaim_after + delay
+            return self._kind_since + policy.reclaim_after + delay
         if self._highest_term > view.term:
-            return max(self._since, self._moved_at + policy.settle_time) + delay
-        return self._since + delay
+            return (
+                max(self._kind_since, self._term_changed_at + policy.settle_time)
+                + delay
+            )
+        return self._kind_since + delay
 
     def _get_rank(self) -> int:
-        """Return how many instances are to act before this one."""
+        """Return how many instances act before this one."""
         turn = self._highest_term if self._policy.rotates_ranks else 0
         return compute_rank(self._node, self._nodes, self._group, turn)
 
     def _compute_backoff(self, kind: ElectionKind) -> float:
-        """Return a jittered pause that grows with the failures in a row."""
+        """Return a jittered back-off that grows with consecutive failures, seconds."""
         policy = self._policy
         first, last = policy.initial_backoff, policy.max_backoff
         if kind is ElectionKind.HAND_OVER:
@@ -379,18 +389,18 @@
         return mean * self._rng.uniform(0.5, 1.5)
 
     def _get_lost_after(self, view: GroupView) -> float:
-        """Return how long a database that grants must not have heard its primary.
+        """Return for how long a granting database must not have heard its primary.
 
-        Each database judges again by this when it is asked, so a primary that
-        was heard in the meantime is not replaced.
+        In seconds. Each database checks this again when it is asked for a grant, so a
+        primary that was heard in the meantime is not replaced.
         """
         return min(self._detector.get_timeout(item.name) for item in view.databases)
 
     def _get_next_term(self, view: GroupView) -> int:
         """Return the term to ask for.
 
-        A promise that was taken back, or can be, uses up no term: there the
-        term that a promotion makes is the one after the last that had a primary.
+        A hold, unlike a grant, uses up no term, as it can be taken back: there the
+        next term follows the last one that had a primary.
         """
         if any(item.is_held for item in view.databases):
             return max(get_known_primary_term(item) for item in view.databases) + 1
@@ -409,7 +419,7 @@
             kind,
             self._get_next_term(view),
             f"{self._node}/{self._rng.getrandbits(64):016x}",
-            self._get_lost_after(view) if kind in _WITHOUT_PRIMARY else 0.0,
+            self._get_lost_after(view) if kind in _LOSS_KINDS else 0.0,
             view.primary,
             leader.term if leader else 0,
             preferred,
@@ -420,7 +430,7 @@
 
 
 def get_successor(view: GroupView) -> DatabaseView | None:
-    """Return the replica that should take over from a leaving primary.
+    """Return the replica that should succeed a leaving primary.
 
     Parameters
     ----------
@@ -430,14 +440,14 @@
     Returns
     -------
     DatabaseView or None
-        The replica that has received most; None if all are leaving or silent.
+        The most up-to-date replica; None if all are leaving or unreachable.
     """
-    fit = [
+    eligible = [
         item
         for item in view.databases
         if item.reachable and not item.leaving and item.role == REPLICA
     ]
-    return max(fit, key=lambda item: (item.received, item.applied), default=None)
+    return max(eligible, key=lambda item: (item.received, item.applied), default=None)
 
 
 def choose_primary(
@@ -449,7 +459,7 @@
     non_voting_primary: str = "",
     recovering: Mapping[str, LogPosition | None] = MappingProxyType({}),
 ) -> str | None:
-    """Return who shall lead the term that the replies granted.
+    """Return the database to promote in the term that the replies granted.
 
     Parameters
     ----------
@@ -458,37 +468,37 @@
     size : int
         Number of databases in the group.
     preferred : str
-        Who should lead if the logs allow it; empty for no preference.
+        The database that should lead if the logs allow it; empty for no preference.
     unwanted : frozenset of str
-        Who should not lead if the logs allow another.
+        Databases that should not lead if the logs allow another.
     quorum : int or None
         How many databases an election needs; None for a majority.
     non_voting_primary : str
-        The primary so far if its grant counts for nothing; else empty.
+        The previous primary if its grant does not count; else empty.
     recovering : mapping of str to LogPosition or None
-        What databases that have started again empty may have held, None if that is
-        not known. Each counts only for a candidate that has received it, unless all
-        members have granted: then no other log is there to wait for.
+        Up to where databases that restarted empty may have held the log; None if
+        unknown. Their grants count only for a database that has received that, unless
+        all members have granted: then there is no other log to wait for.
 
     Returns
     -------
     str or None
-        A database whose last entry, by term and offset, is at or after that
-        of each of some majority that granted the term; that majority holds
-        every acknowledged entry. None if no majority granted.
+        A database whose last entry, by term and offset, is not before those of
+        a quorum that granted the term; that quorum holds every acknowledged
+        entry. None if no quorum granted.
     """
     granted = [reply.status for reply in replies if reply.granted]
     needed = compute_majority(size) if quorum is None else quorum
     voters = [status for status in granted if status.name != non_voting_primary]
     if len(granted) == size:
         recovering = {}
-    fit = [
+    eligible = [
         status
         for status in granted
         if sum(_counts_for(status, voter, recovering) for voter in voters) >= needed
     ]
     best = max(
-        fit,
+        eligible,
         key=lambda status: (
             status.name == preferred,
             status.name not in unwanted and not status.leaving,
@@ -505,6 +515,6 @@
     voter: DatabaseStatus,
     recovering: Mapping[str, LogPosition | None],
 ) -> bool:
-    """Return whether a candidate has all that a voter has, or has lost."""
+    """Return whether a candidate has every entry that a voter has or has lost."""
     lost = recovering.get(voter.name, NO_POSITION)
     return lost is not None and max(lost, voter.received) <= candidate.received
--- a/beryltrack/failover/detector.py
+++ b/beryltrack/failover/detector.py
@@ -1,8 +1,8 @@
-"""When a primary counts as lost.
+"""Failure detection: decides when a group's primary counts as lost.
 
-The databases say how long ago they heard their primary. Only their word
-counts, not whether this node reaches the primary: one node's bad link must not
-cost a failover, and a primary that only this node still reaches is of no use.
+The databases report how long ago they heard from their primary. Only these reports
+count, not whether this instance reaches the primary: a bad link of one instance must
+not cause a failover, and a primary that only this instance reaches is of no use.
 """
 
 from typing import Protocol
@@ -20,32 +20,32 @@
 
 
 class FailureDetector(Protocol):
-    """Says whether a database has lost its primary."""
+    """Sets the heartbeat timeout after which a database has lost its primary."""
 
     def observe(self, database: DatabaseView) -> None:
-        """Take in a new status of a database."""
+        """Record a new status of a database."""
 
     def get_timeout(self, database: str) -> float:
-        """Return the seconds without a word after which the primary is lost."""
+        """Return the seconds of silence after which a database lost its primary."""
 
 
 class FixedTimeoutDetector:
-    """A detector with one limit for all.
+    """A failure detector with one fixed timeout for all databases.
 
     Parameters
     ----------
     lost_after : float
-        Seconds without a word after which the primary is lost.
+        Seconds of silence after which the primary is lost.
     """
 
     def __init__(self, lost_after: float):
         self._lost_after = lost_after
 
     def observe(self, database: DatabaseView) -> None:
-        """Learn nothing."""
+        """Do nothing: the timeout is fixed."""
 
     def get_timeout(self, database: str) -> float:
-        """Return the limit."""
+        """Return the timeout in seconds."""
         return self._lost_after
 
 
@@ -58,16 +58,17 @@
     ----------
     view : GroupView
         The group's view.
-    detector : LossDetector
-        Says how long a silence is a loss.
+    detector : FailureDetector
+        Gives the timeout of each database.
     oldest : float
-        Answers to requests that were sent before this time do not count.
+        Answers to requests sent before this time do not count, seconds of the
+        instance's clock.
 
     Returns
     -------
     tuple of DatabaseView
-        Replicas that answered lately and have not heard their primary, and
-        deposed primaries, which have never heard the one that leads now.
+        Replicas that answered recently and whose primary has been silent for the
+        timeout, and deposed primaries, which never heard the current one.
     """
     counts_deposed = _counts_deposed(view, detector)
     return tuple(
@@ -80,12 +81,12 @@
 
 
 def _counts_deposed(view: GroupView, detector: FailureDetector) -> bool:
-    """Return whether the present primary has been at work and may be lost now.
+    """Return whether deposed primaries count as having lost the current primary.
 
-    Just after a promotion the replicas are still silent from the loss before.
-    A deposed primary beside one of them must not cost the next failover, so it
-    counts only if the primary does not answer either, or if a replica that has
-    received entries of its term has fallen silent again.
+    Just after a promotion the replicas still report silence from the previous loss.
+    A deposed primary together with one of them must not cause another failover. It
+    counts only if the current primary does not answer either, or if a replica that
+    received entries of the current term has lost the primary again.
     """
     leader = get_primary(view)
     return (
@@ -99,7 +100,7 @@
 
 
 def _is_silent(item: DatabaseView, detector: FailureDetector) -> bool:
-    """Return whether a replica has not heard its primary for too long."""
+    """Return whether a replica has not heard its primary for the timeout."""
     return item.role == REPLICA and item.heard_age >= detector.get_timeout(item.name)
 
 
@@ -109,9 +110,19 @@
     oldest: float,
     quorum: int | None = None,
 ) -> bool:
-    """Return whether enough of the group's databases lost their primary.
+    """Return whether a quorum of the group's databases has lost the primary.
 
-    `quorum` is how many an election needs; None for a majority.
+    Parameters
+    ----------
+    view : GroupView
+        The group's view.
+    detector : FailureDetector
+        Gives the timeout of each database.
+    oldest : float
+        Answers to requests sent before this time do not count, seconds of the
+        instance's clock.
+    quorum : int or None
+        How many databases an election needs; None for a majority.
     """
     orphaned = get_databases_without_primary(view, detector, oldest)
     needed = quorum or compute_majority(len(view.databases))
@@ -121,50 +132,50 @@
 def compute_loss_time(
     view: GroupView, detector: FailureDetector, now: float, quorum: int | None = None
 ) -> float:
-    """Return since when a majority of the group's databases has lost the primary.
+    """Return since when a quorum of the group's databases has lost the primary.
 
     Parameters
     ----------
     view : GroupView
         The view of a group whose primary is lost; see `is_primary_lost`.
-    detector : LossDetector
-        Says how long a silence is a loss.
+    detector : FailureDetector
+        Gives the timeout of each database.
     now : float
-        The current time of the node's clock, seconds.
+        The current time of the instance's clock, seconds.
     quorum : int or None
         How many databases an election needs; None for a majority.
 
     Returns
     -------
     float
-        A time of the node's clock. Nodes whose clocks agree come to the same
-        time but for the delay of an answer, whenever they were told.
+        Seconds of the instance's clock. Instances with synchronized clocks compute
+        the same time, within the delay of an answer, whenever they asked.
     """
     needed = quorum or compute_majority(len(view.databases))
-    lost_at = sorted(
+    loss_times = sorted(
         NEVER
         if is_deposed(view, item)
         else item.seen_at - item.heard_age + detector.get_timeout(item.name)
         for item in get_databases_without_primary(view, detector, NEVER)
     )
-    return min(now, lost_at[needed - 1])
+    return min(now, loss_times[needed - 1])
 
 
 def compute_primary_silence(view: GroupView, now: float) -> float:
-    """Return how long no replica has heard its primary.
+    """Return for how long no reachable replica has heard its primary.
 
     Parameters
     ----------
     view : GroupView
         The group's view.
     now : float
-        The current time of the node's clock, seconds.
+        The current time of the instance's clock, seconds.
 
     Returns
     -------
     float
-        Seconds since the latest word that a reachable replica had; zero if
-        there is no such replica.
+        Seconds since a reachable replica last heard its primary; zero if no replica
+        is reachable.
     """
     ages = (
         now - item.seen_at + item.heard_age
--- a/beryltrack/failover/grants.py
+++ b/beryltrack/failover/grants.py
@@ -1,4 +1,4 @@
-"""Asks all databases of a group for a term at once."""
+"""Requests grants of a term from all databases of a group in parallel."""
 
 from returns.result import Success
 from twisted.internet.defer import Deferred
@@ -9,8 +9,8 @@
 from beryltrack.groups.view import compute_majority
 
 
-class _Collection:
-    """The replies so far, and the Deferred that fires when they suffice."""
+class _GrantCollector:
+    """The replies received, and the Deferred that fires once they suffice."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._failed: set[str] = set()
 
     def add(self, database: str, result) -> None:
-        """Take in the result for one database."""
+        """Add the result of one database's request."""
         if isinstance(result, Success):
             self._replies.append(result.unwrap())
         else:
@@ -39,12 +39,12 @@
             self.finish()
 
     def finish(self) -> None:
-        """Wait for no more replies."""
+        """Fire with the replies received so far, unless it has already fired."""
         if not self.done.called:
             self.done.callback(tuple(self._replies))
 
     def _suffices(self) -> bool:
-        """Return whether waiting for more can change nothing that matters."""
+        """Return whether further replies cannot affect the election."""
         answered = {reply.status.name for reply in self._replies} | self._failed
         if len(answered) == self._size:
             return True
@@ -65,31 +65,31 @@
     quorum: int | None = None,
     needs_all: bool = False,
 ) -> tuple[GrantReply, ...]:
-    """Ask each database for the election's term.
+    """Request a grant of the election's term from each database.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     adapter : DatabaseGroup
-        Carries the requests.
+        Sends the requests.
     databases : tuple of str
         All members of the group.
     election : Election
-        What to ask for.
+        The election: its term, candidate and time limit.
     quorum : int or None
         How many databases the election needs; None for a majority.
     needs_all : bool
-        True if what one more database has received may decide who can be elected.
+        True if one more database's log may decide which database can be elected.
 
     Returns
     -------
     tuple of GrantReply
-        The answers that came until a majority had granted, the preferred
-        database had answered if there is one, all had answered or failed, or
-        the election's time for it was over.
+        The answers that arrived until a quorum had granted and the preferred
+        database, if any, had answered; until all requests had ended; or until
+        `grant_timeout` had elapsed.
     """
-    collection = _Collection(
+    collector = _GrantCollector(
         len(databases),
         election.preferred,
         quorum or compute_majority(len(databases)),
@@ -97,25 +97,26 @@
         needs_all,
     )
 
-    async def ask(database: str) -> None:
+    async def request_grant(database: str) -> None:
         lost_after = election.lost_after
         if database in election.deposed:
             if election.non_voting_primary:
-                # It leads on, and would follow the former primary soon, and let that
-                # one's commits count, if its word were taken for a grant.
+                # It still leads an old term. If its answer counted as a grant, it
+                # would soon follow the previous primary, whose commits would then
+                # be confirmed.
                 await adapter.stop_writes(database, election.term - 1)
             else:
                 lost_after = 0.0
         result = await adapter.grant(
             database, election.term, election.candidate, lost_after
         )
-        collection.add(database, result)
+        collector.add(database, result)
 
     for database in databases:
-        Deferred.fromCoroutine(ask(database))
-    timer = reactor.callLater(election.grant_timeout, collection.finish)
+        Deferred.fromCoroutine(request_grant(database))
+    timer = reactor.callLater(election.grant_timeout, collector.finish)
     try:
-        return await collection.done
+        return await collector.done
     finally:
         if timer.active():
             timer.cancel()
--- a/beryltrack/failover/messages.py
+++ b/beryltrack/failover/messages.py
@@ -1,22 +1,22 @@
-"""What the failover slice decides and reports."""
+"""Types of failover: elections, their reasons, and the report of a change."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class ElectionKind(Enum):
-    """Why a new term is asked for."""
+    """Why an election for a new term is held."""
 
     LOST = "lost"
     """A majority of the group's databases has lost the primary."""
     STALLED = "stalled"
-    """The primary answers, but nothing that it commits reaches another database, so
-    that no commit can be acknowledged."""
+    """The primary answers, but its commits reach no other database, so that none can be
+    acknowledged."""
     HAND_OVER = "hand-over"
-    """The primary is leaving and another database takes over."""
+    """The primary is leaving and another database succeeds it (planned)."""
     RECLAIM = "reclaim"
-    """A database granted a term that came to nothing and now refuses the
-    primary; the primary takes a higher term and goes on."""
+    """A database granted a term that got no primary and now refuses the current
+    primary, which is elected again in a higher term."""
 
 
 class Election(NamedTuple):
@@ -29,24 +29,24 @@
     term : int
         The term to ask for, higher than any that was seen.
     candidate : str
-        A name that no other attempt has, of any node.
+        Name of this attempt, unique among the attempts of all instances.
     lost_after : float
-        Seconds without a word from its primary after which a database may
-        grant the term; zero if the primary itself takes part.
+        Seconds of silence of its primary after which a database may grant the
+        term; zero if the primary itself takes part.
     primary : str
-        The primary so far; empty if none is known.
+        The current primary; empty if none is known.
     primary_term : int
-        The term in which it leads.
+        The term in which that primary leads; 0 if none is known.
     preferred : str
         The database that should lead; empty if any may.
     grant_timeout : float
-        How long to wait for grants of a majority, seconds.
+        How long to wait for grants of a quorum, seconds.
     deposed : tuple of str
-        Databases that still believe to lead a term that is over. They hear
-        themselves, so they are asked for the term without `lost_after`.
+        Databases that still consider themselves primary of a previous term. They
+        never lose their primary, so they are asked for the term without `lost_after`.
     non_voting_primary : str
-        The primary so far where its own grant counts for nothing, as it goes on
-        after it was replaced; else empty.
+        The last primary where its own grant does not count, as it keeps accepting
+        writes after it was replaced; else empty.
     """
 
     kind: ElectionKind
@@ -62,7 +62,7 @@
 
 
 class FailoverReport(NamedTuple):
-    """A change of primary that this node has carried out.
+    """A change of primary that this instance has carried out.
 
     Parameters
     ----------
@@ -73,12 +73,12 @@
     term : int
         The new term.
     primary : str
-        Who leads it.
+        The database that leads the new term.
     seconds : float
-        How long the change took since the node decided on it.
+        How long the change took from the decision to hold the election, seconds.
     silence : float
-        How long no replica had heard the lost primary by then, seconds; zero in
-        a hand-over, whose primary works until the change begins.
+        How long no replica had heard the lost primary at that decision, seconds;
+        zero in a hand-over, whose primary serves until the change begins.
     """
 
     group: str
--- a/beryltrack/failover/primary_records.py
+++ b/beryltrack/failover/primary_records.py
@@ -1,8 +1,8 @@
-"""Writes who leads a group into the platform's store, after the fact.
+"""Records each change of a group's primary in the platform's store.
 
-The record is a hint for operators and for new instances. Nothing waits for
-it, and a store that is slow or down delays no change of primary. Whoever wrote it
-writes it again when the store has been restored from a backup that may lack it.
+The record informs operators and new instances. It is written after the change, and no
+election waits for it, so a slow or unavailable store delays no failover. The instance
+that wrote it writes it again after a restore from a backup, which may lack it.
 """
 
 import logging
@@ -22,11 +22,13 @@
 PATH_PREFIX = "status/groups/"
 MAX_ATTEMPTS = 8
 INITIAL_BACKOFF = 0.5
+"""Mean seconds before the second attempt; doubled after each further one."""
 MAX_BACKOFF = 30.0
+"""Upper bound of the mean seconds between two attempts."""
 
 
 class ObjectClient(Protocol):
-    """What is needed of the platform's client."""
+    """The calls of the platform's object store that failover uses."""
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
         """Return one object, or None if there is none."""
@@ -34,11 +36,11 @@
     async def put(
         self, path: str, value: object, if_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is `if_version`."""
+        """Write an object if its version is `if_version`; return its new version."""
 
 
 class PrimaryRecordWriter:
-    """Writes one record for each change of primary.
+    """Writes the record of each change of primary, with retries.
 
     Parameters
     ----------
@@ -57,7 +59,7 @@
         self._last: dict[str, FailoverReport] = {}
 
     def rewrite_all(self) -> None:
-        """Write the last report of each group again, some time from now."""
+        """Write the last report of each group again, each after a random delay."""
         for report in self._last.values():
             delay = self._rng.uniform(0.0, RESTORE_SPREAD)
             self._reactor.callLater(delay, self.write, report)
@@ -68,42 +70,48 @@
         Parameters
         ----------
         report : FailoverReport
-            What was done.
+            The change of primary.
 
         Returns
         -------
         Deferred
-            Fires with True if the store has this or a later term, with False
-            if it was given up.
+            Fires with True once the store has this or a later term, with False
+            after `MAX_ATTEMPTS` failed attempts.
         """
         self._last[report.group] = report
         return Deferred.fromCoroutine(self._write(report))
 
     async def _write(self, report: FailoverReport) -> bool:
         for attempt in range(MAX_ATTEMPTS):
-            if await self._try_once(report):
+            if await self._write_once(report):
                 return True
             mean = min(INITIAL_BACKOFF * 2**attempt, MAX_BACKOFF)
             await deferLater(self._reactor, mean * self._rng.uniform(0.5, 1.5))
-        log.info("failover: the record of %s was given up.", report.group)
+        log.info(
+            "failover: %s: primary not recorded in the store for term %d after %d "
+            "attempts; giving up.",
+            report.group,
+            report.term,
+            MAX_ATTEMPTS,
+        )
         return False
 
-    async def _try_once(self, report: FailoverReport) -> bool:
+    async def _write_once(self, report: FailoverReport) -> bool:
         """Return whether the store has this term or a later one."""
         path = PATH_PREFIX + report.group
         found = await self._client.get(path)
         if not isinstance(found, Success):
             return False
-        kept = found.unwrap()
-        if kept is not None and get_recorded_term(kept) >= report.term:
+        stored = found.unwrap()
+        if stored is not None and get_recorded_term(stored) >= report.term:
             return True
-        version = 0 if kept is None else kept.version
+        version = 0 if stored is None else stored.version
         written = await self._client.put(path, make_record(report), version)
         return isinstance(written, Success)
 
 
 def make_record(report: FailoverReport) -> dict:
-    """Return the JSON object of a record."""
+    """Return a report as the JSON object to store."""
     return {
         "term": report.term,
         "primary": report.primary,
@@ -113,8 +121,8 @@
     }
 
 
-def get_recorded_term(kept: PlatformObject) -> int:
-    """Return the term of a record; 0 if it cannot be read."""
-    value = kept.value
+def get_recorded_term(stored: PlatformObject) -> int:
+    """Return the term of a stored record; 0 if it cannot be read."""
+    value = stored.value
     term = value.get("term") if isinstance(value, dict) else None
     return term if isinstance(term, int) else 0
--- a/beryltrack/failover/ranking.py
+++ b/beryltrack/failover/ranking.py
@@ -1,20 +1,20 @@
-"""Which node acts first: ranks by rendezvous hashing.
+"""Ranks the instances that may act for a group by rendezvous hashing.
 
-All nodes that know the same members come to the same order without a message,
-and the order differs for each group and term, so that the work is spread and
-a node that fails at it is not first again.
+All instances with the same member list compute the same order without messages. The
+order differs for each group and term, which spreads the work; an instance whose attempt
+failed is not first again in the next term.
 """
 
 import xxhash
 
 
 def compute_weight(node: str, group: str, term: int) -> int:
-    """Return the weight of a node for the change of one group to one term."""
+    """Return the rendezvous weight of an instance for one group and term."""
     return xxhash.xxh3_64_intdigest(f"{group}/{term}/{node}".encode())
 
 
 def compute_rank(node: str, nodes: tuple[str, ...], group: str, term: int) -> int:
-    """Return how many nodes come before this one.
+    """Return how many instances rank before this one.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     Returns
     -------
     int
-        Zero for the node that acts at once.
+        Zero for the instance that acts without delay.
     """
     own = compute_weight(node, group, term)
     return sum(compute_weight(other, group, term) > own for other in set(nodes))
--- a/beryltrack/failover/task.py
+++ b/beryltrack/failover/task.py
@@ -1,6 +1,7 @@
-"""Carries out the elections that the decider asks for, over control requests.
+"""Carries out the elections that `FailoverDecider` decides on, by control requests.
 
-The platform's store is not on this path: what was done is reported afterwards.
+Apart from permits, where they are needed, elections do not use the platform's store:
+the change is recorded there afterwards.
 """
 
 import logging
@@ -12,7 +13,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.internet.interfaces import IDelayedCall
 from twisted.internet.task import deferLater
-from twisted.python.failure import Failure as DefectFailure
+from twisted.python.failure import Failure as TwistedFailure
 
 from beryltrack.clock import get_monotonic_clock
 from beryltrack.failover.authority import PromotionAuthority
@@ -42,47 +43,47 @@
 
 log = logging.getLogger(__name__)
 
-# How often a promotion is asked for again when its answer is lost. Promotion
-# is idempotent, and no other database may be promoted in the same term.
+# How often a promotion is requested until it is answered. Promotion is idempotent,
+# and no other database may be promoted in the same term.
 MAX_PROMOTE_ATTEMPTS = 3
 
-# Seconds that a promoted database may take to lead, and between two looks at it.
-# Known databases take 0.3 to 1 s.
+# Seconds that a promoted database may take to lead, and between two status requests
+# until then. Databases take 0.3 to 1 s.
 LEAD_TIMEOUT = 3.0
 LEAD_POLL_INTERVAL = 0.05
 
-# Seconds between two attempts of the first in rank to take a permit beforehand.
+# Seconds between two attempts of the first-ranked instance to take a permit in advance.
 PERMIT_RETRY_INTERVAL = 1.0
 
-# Seconds between two attempts to have a replaced primary take no more writes, and
-# how many there are. It ends by itself a second after it reaches the next one.
+# Seconds between two attempts to make a replaced primary stop accepting writes, and
+# how many there are. It steps down by itself a second after it reaches its successor.
 STEP_DOWN_INTERVAL = 0.25
 MAX_STEP_DOWN_ATTEMPTS = 20
 
-# Seconds for which the members must have stayed the same before the first in rank
-# takes the permit: at a start they register one after the other.
+# Seconds for which the member list must be unchanged before the instance first in rank
+# takes the permit: at a start the instances register one after the other.
 PERMIT_ACQUIRE_DELAY = 2.0
 
 
 class FailoverDelegate(Protocol):
-    """What a failover asks of the task that owns it."""
+    """Interface to the group's task, which creates the failover task."""
 
     @property
     def draining(self) -> frozenset[str]:
         """Names of the databases that an operator drains."""
 
     def get_time(self) -> float:
-        """Return a time later than that of any request before."""
+        """Return a send time, in seconds, later than that of any previous request."""
 
     def observe_status(self, status: DatabaseStatus, sent_at: float) -> None:
-        """Take in a status that came with an answer."""
+        """Record a status from the answer to a request that was sent at `sent_at`."""
 
     def report_failover(self, report: FailoverReport) -> None:
-        """Take in what was done."""
+        """Report a completed change of primary."""
 
 
 class FailoverTask:
-    """Holds the elections of one group on one node, one at a time.
+    """Holds this instance's elections for one group, one at a time.
 
     Parameters
     ----------
@@ -95,15 +96,15 @@
     node_name : str
         Name of this instance.
     rng : Random
-        Source of jitter and of names of attempts.
-    owner : FailoverOwner
+        Source of jitter and of candidate names.
+    delegate : FailoverDelegate
         The group's task.
-    detector : LossDetector
-        Says when a primary is lost.
+    detector : FailureDetector
+        Gives the timeouts after which databases have lost their primary.
     policy : FailoverPolicy
-        Times.
+        Timing and quorum rules.
     authority : PromotionAuthority, optional
-        Gives the permits; None where the databases need none.
+        Issues the permits; None where the databases need none.
     """
 
     def __init__(
@@ -113,23 +114,23 @@
         adapter: DatabaseGroup,
         node_name: str,
         rng: Random,
-        owner: FailoverDelegate,
+        delegate: FailoverDelegate,
         detector: FailureDetector,
         policy: FailoverPolicy = DEFAULT_POLICY,
         authority: PromotionAuthority | None = None,
     ):
         self._reactor = reactor
         self._authority = authority
-        # True while a promotion that was asked for may still be carried out: until
-        # that is known nobody is released, and the next one needs a new token.
-        self._unanswered = False
-        self._has_stopped = False
+        # True while an earlier promotion call may still be carried out: until that
+        # is known no database is released, and the next call needs a new token.
+        self._has_open_promotion = False
+        self._has_stepped_down = False
         self._was_due = False
         self._seconds = get_monotonic_clock(reactor)
         self._group = group_settings.name
         self._databases = tuple(item.name for item in group_settings.databases)
         self._adapter = adapter
-        self._owner = owner
+        self._delegate = delegate
         self._policy = policy
         self._decider = FailoverDecider(
             group_settings.name,
@@ -140,10 +141,10 @@
         )
         self._busy = False
         self._stopped = False
-        self._permit_call: IDelayedCall | None = None
+        self._permit_timer: IDelayedCall | None = None
         self._running: Deferred | None = None
         self._view: GroupView | None = None
-        self._timer: IDelayedCall | None = None
+        self._decision_timer: IDelayedCall | None = None
 
     @property
     def busy(self) -> bool:
@@ -151,18 +152,18 @@
         return self._busy
 
     def set_databases(self, databases: tuple[str, ...]) -> None:
-        """Take the names of the group's members from new settings."""
+        """Set the names of the group's databases from new settings."""
         self._databases = databases
 
     def set_nodes(self, nodes: tuple[str, ...], is_candidate: bool = True) -> None:
-        """Take the names of all instances that may act for the group."""
+        """Set the instances that may act for the group; see `FailoverDecider`."""
         self._decider.set_nodes(nodes, is_candidate)
         if self._authority is None:
             return
         if not self._authority.keeps_permits:
-            # Whoever is first in rank does not wait for a holder of the permit.
+            # No permit is held in advance: the first in rank acts without delay.
             self._decider.set_holds_permit(self._decider.is_first)
-        self._plan_permit(PERMIT_ACQUIRE_DELAY)
+        self._schedule_permit(PERMIT_ACQUIRE_DELAY)
 
     @property
     def is_candidate(self) -> bool:
@@ -180,52 +181,52 @@
         return self._decider.is_suspect(view)
 
     def observe_view(self, view: GroupView) -> None:
-        """Look at a new view and begin an election if one is due."""
+        """Handle a new view; start an election if one is due."""
         self._view = view
         if self.busy:
             return
         now = self._seconds()
         election = self._decider.decide(view, now)
-        self._prepare_if_due()
+        self._prepare_authority()
         if election is None:
-            self._look_again(self._decider.due - now)
+            self._schedule_decision(self._decider.due - now)
             return
         log.info(
-            "failover: %s asks for term %d of %s (%s).",
-            election.candidate,
-            election.term,
+            "failover: %s: election for term %d started as candidate %s (reason: %s).",
             self._group,
+            election.term,
+            election.candidate,
             election.kind.value,
         )
         self._busy = True
         is_loss = election.kind is not ElectionKind.HAND_OVER
         silence = compute_primary_silence(view, now) if is_loss else 0.0
-        self._running = _start(self._hold(election, silence))
+        self._running = _run_in_background(self._run_election(election, silence))
 
-    def _prepare_if_due(self) -> None:
-        """Prepare once for each change of primary that becomes due."""
+    def _prepare_authority(self) -> None:
+        """Prepare the permit once for each election that becomes due."""
         was_due, self._was_due = self._was_due, self._decider.due > NEVER
         if self._authority is not None and self._was_due and not was_due:
-            _start(self._authority.prepare(self._group))
+            _run_in_background(self._authority.prepare(self._group))
 
-    def _look_again(self, delay: float) -> None:
-        """Decide again after a time, also if no new view comes."""
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+    def _schedule_decision(self, delay: float) -> None:
+        """Decide again after `delay` seconds even without a new view; 0 cancels."""
+        if self._decision_timer is not None and self._decision_timer.active():
+            self._decision_timer.cancel()
         if delay > 0:
-            self._timer = self._reactor.callLater(
+            self._decision_timer = self._reactor.callLater(
                 delay, lambda: self.observe_view(self._view)
             )
 
     def stop(self) -> None:
-        """Give up an election that is under way."""
+        """Stop; cancel an election that is under way."""
         self._stopped = True
-        self._look_again(0.0)
+        self._schedule_decision(0.0)
         if self._running is not None:
             self._running.cancel()
 
-    async def _hold(self, election: Election, silence: float) -> None:
-        """Hold one election from the first request to the report."""
+    async def _run_election(self, election: Election, silence: float) -> None:
+        """Hold one election, from the first request to the report."""
         started = self._seconds()
         try:
             primary = await self._elect(election)
@@ -234,12 +235,17 @@
         now = self._seconds()
         self._decider.observe_outcome(election, primary is not None, now)
         if primary is None:
-            log.info("failover: term %d of %s fails.", election.term, self._group)
+            log.info(
+                "failover: %s: election for term %d failed.", self._group, election.term
+            )
             return
         log.info(
-            "failover: %s leads %s in term %d.", primary, self._group, election.term
+            "failover: %s: primary is %s in term %d.",
+            self._group,
+            primary,
+            election.term,
         )
-        self._owner.report_failover(
+        self._delegate.report_failover(
             FailoverReport(
                 self._group,
                 election.kind,
@@ -251,19 +257,19 @@
         )
 
     async def _elect(self, election: Election) -> str | None:
-        """Return who leads the term, or None if nobody does for all we know."""
+        """Return the database that leads the term, None if none is known to lead it."""
         if election.kind is ElectionKind.HAND_OVER:
             if not await self._may_stop_writes():
                 return None
             is_ready = await self._prepare_hand_over(election)
-            # Where a primary that was stopped takes no writes again by itself,
-            # the election goes on, whether the successor has caught up or not.
-            if not (is_ready or self._has_stopped):
+            # A primary that has stepped down does not resume writes by itself, so
+            # the election goes on even if the successor has not caught up.
+            if not (is_ready or self._has_stepped_down):
                 return None
-        # A call of before that was not answered may still be carried out.
-        if await self._acquire_permit(self._unanswered) is None:
+        # An earlier promotion call without an answer may still be carried out.
+        if await self._acquire_permit(self._has_open_promotion) is None:
             return None
-        sent_at = self._owner.get_time()
+        sent_at = self._delegate.get_time()
         quorum = self._policy.get_quorum(len(self._databases))
         replies = await collect_grants(
             self._reactor,
@@ -274,13 +280,13 @@
             bool(get_recovering(self._view)),
         )
         for reply in replies:
-            self._owner.observe_status(reply.status, sent_at)
-        # The replies themselves may show that a database has started again.
+            self._delegate.observe_status(reply.status, sent_at)
+        # The view is read again: the replies may show that a database has restarted.
         chosen = choose_primary(
             replies,
             len(self._databases),
             election.preferred,
-            self._owner.draining,
+            self._delegate.draining,
             quorum,
             election.non_voting_primary,
             get_recovering(self._view),
@@ -289,19 +295,22 @@
             chosen not in (None, election.non_voting_primary)
             and election.non_voting_primary
         ):
-            # It goes on otherwise, and takes writes that nobody confirms.
-            _start(self._step_down(election))
+            # It would otherwise keep accepting writes that cannot be confirmed.
+            _run_in_background(self._step_down(election))
         if chosen is None or not await self._promote(election, chosen, replies):
-            if not self._unanswered:
-                await self._release(reply.status.name for reply in replies)
+            if not self._has_open_promotion:
+                await self._release_databases(reply.status.name for reply in replies)
             return None
-        await self._release(name for name in self._databases if name != chosen)
+        await self._release_databases(
+            name for name in self._databases if name != chosen
+        )
         return chosen
 
     async def _may_stop_writes(self) -> bool:
-        """Return whether a permit can be had for the promotion that has to follow.
+        """Return whether a permit is available for the promotion that must follow.
 
-        While the store is away a primary that was stepped down would have no successor.
+        While the store is unavailable, a primary that stepped down would get no
+        successor.
         """
         if self._authority is None or self._authority.keeps_permits:
             return True
@@ -310,34 +319,34 @@
     async def _promote(
         self, election: Election, chosen: str, replies: tuple[GrantReply, ...]
     ) -> bool:
-        """Make a database the primary; True once it leads."""
+        """Promote a database; return True once it leads."""
         for _ in range(MAX_PROMOTE_ATTEMPTS):
-            token = await self._acquire_permit(self._unanswered)
-            if token is None or not self._still_holds(chosen, replies):
+            token = await self._acquire_permit(self._has_open_promotion)
+            if token is None or not self._still_has_log(chosen, replies):
                 return False
-            sent_at = self._owner.get_time()
+            sent_at = self._delegate.get_time()
             result = await self._adapter.promote(
                 chosen, election.term, election.candidate, token
             )
-            self._unanswered = not isinstance(result, Success)
-            if not self._unanswered:
+            self._has_open_promotion = not isinstance(result, Success)
+            if not self._has_open_promotion:
                 reply = result.unwrap()
-                self._owner.observe_status(reply.status, sent_at)
+                self._delegate.observe_status(reply.status, sent_at)
                 if reply.promoted:
                     leads = await self._wait_leading(chosen, reply.status)
-                    # One that does not lead yet may do so later on.
-                    self._unanswered = not leads
+                    # A promoted database that does not lead yet may still do so.
+                    self._has_open_promotion = not leads
                     return leads
                 if self._authority is not None:
                     self._authority.drop(self._group)
                 return False
         return False
 
-    def _still_holds(self, chosen: str, replies: tuple[GrantReply, ...]) -> bool:
-        """Return whether the chosen database still has what it was chosen for.
+    def _still_has_log(self, chosen: str, replies: tuple[GrantReply, ...]) -> bool:
+        """Return whether the chosen database still has the log it was chosen for.
 
-        One that has started again since has nothing, and would take the others'
-        logs away as it leads.
+        A database that restarted since then is empty and, as primary, would make the
+        others discard their logs.
         """
         item = get_database(self._view, chosen)
         granted = (each.status for each in replies if each.status.name == chosen)
@@ -345,7 +354,7 @@
         return item is not None and item.received >= held
 
     async def _step_down(self, election: Election) -> None:
-        """Have the former primary lead no more, as soon as it can be reached."""
+        """Make the replaced primary stop accepting writes, retrying until it does."""
         for _ in range(MAX_STEP_DOWN_ATTEMPTS):
             result = await self._adapter.stop_writes(
                 election.non_voting_primary, election.primary_term or election.term - 1
@@ -356,27 +365,27 @@
             await deferLater(self._reactor, STEP_DOWN_INTERVAL)
 
     async def _wait_leading(self, chosen: str, status: DatabaseStatus) -> bool:
-        """Wait until a database that was promoted says that it leads."""
+        """Return whether a promoted database reports in time that it leads."""
         deadline = self._seconds() + LEAD_TIMEOUT
         while status is None or status.role != PRIMARY:
             if self._seconds() >= deadline:
                 return False
             await deferLater(self._reactor, LEAD_POLL_INTERVAL)
-            sent_at = self._owner.get_time()
+            sent_at = self._delegate.get_time()
             status = _get_status(await self._adapter.get_status(chosen))
             if status is not None:
-                self._owner.observe_status(status, sent_at)
+                self._delegate.observe_status(status, sent_at)
         return True
 
-    async def _release(self, databases: Iterable[str]) -> None:
-        """Let databases that granted a term follow their primary again."""
+    async def _release_databases(self, databases: Iterable[str]) -> None:
+        """End the databases' hold, so that they follow their primary again."""
         if self._authority is None:
             return
         for database in tuple(databases):
             Deferred.fromCoroutine(self._adapter.release(database))
 
     async def _acquire_permit(self, renew: bool) -> int | None:
-        """Return the fencing token to promote with, or None without a permit."""
+        """Return the fencing token, 0 if none is needed, None without a permit."""
         if self._authority is None:
             return 0
         permit = await self._authority.acquire(self._group, renew)
@@ -385,73 +394,87 @@
         if isinstance(permit, Success):
             return permit.unwrap().token
         log.warning(
-            "failover: No permit for %s: %s.", self._group, permit.failure().text
+            "failover: %s: no permit to promote: %s.",
+            self._group,
+            permit.failure().text,
         )
         return None
 
-    def _plan_permit(self, delay: float) -> None:
-        """Look after a time whether this instance is to have the permit."""
-        if self._permit_call is not None and self._permit_call.active():
-            self._permit_call.cancel()
-        self._permit_call = self._reactor.callLater(delay, self._prepare_permit)
+    def _schedule_permit(self, delay: float) -> None:
+        """Check after `delay` seconds whether this instance should take the permit."""
+        if self._permit_timer is not None and self._permit_timer.active():
+            self._permit_timer.cancel()
+        self._permit_timer = self._reactor.callLater(
+            delay, self._take_permit_in_advance
+        )
 
-    def _prepare_permit(self) -> None:
-        """Take the permit beforehand if this instance is to act first."""
+    def _take_permit_in_advance(self) -> None:
+        """Take or prepare the permit if this instance is first in rank."""
         is_wanted = self._decider.is_first and not self._authority.holds(self._group)
         if self._stopped or not is_wanted:
             return
         if not self._authority.keeps_permits:
-            _start(self._authority.prepare(self._group))
+            _run_in_background(self._authority.prepare(self._group))
             return
-        taking = _start(self._acquire_permit(False))
-        taking.addCallback(lambda _: self._plan_permit(PERMIT_RETRY_INTERVAL))
+        taking = _run_in_background(self._acquire_permit(False))
+        taking.addCallback(lambda _: self._schedule_permit(PERMIT_RETRY_INTERVAL))
 
     async def _prepare_hand_over(self, election: Election) -> bool:
-        """Stop the writes and let the successor catch up.
+        """Stop the writes and wait until the successor has caught up.
 
         Returns
         -------
         bool
-            False if it is given up. Nothing has to be undone: the primary
-            takes writes again by itself.
+            False if the hand-over is aborted. Nothing has to be undone: the primary
+            resumes writes by itself unless it has stepped down.
         """
-        self._has_stopped = False
+        self._has_stepped_down = False
         result = await self._adapter.stop_writes(
             election.primary, election.primary_term
         )
-        stopped = _get_status(result)
-        if stopped is None:
-            log.info("failover: No hand-over of %s: %s.", self._group, result)
+        stopped_status = _get_status(result)
+        if stopped_status is None:
+            log.info(
+                "failover: %s: hand-over aborted, %s did not stop writes: %s.",
+                self._group,
+                election.primary,
+                result,
+            )
             return False
-        self._has_stopped = stopped.role != PRIMARY
-        if stopped.term != election.primary_term:
+        self._has_stepped_down = stopped_status.role != PRIMARY
+        if stopped_status.term != election.primary_term:
             return False
-        return await self._wait_received(election, stopped)
+        return await self._wait_received(election, stopped_status)
 
-    async def _wait_received(self, election: Election, stopped: DatabaseStatus) -> bool:
-        """Wait until the successor has received all that the primary wrote."""
+    async def _wait_received(
+        self, election: Election, stopped_status: DatabaseStatus
+    ) -> bool:
+        """Return whether the successor received all that the primary wrote in time."""
         deadline = self._seconds() + self._policy.hand_over_timeout
-        wait = StatusWait(election.primary_term, stopped.received.offset)
+        wait = StatusWait(election.primary_term, stopped_status.received.offset)
         while (left := deadline - self._seconds()) > 0:
             status = _get_status(
                 await self._adapter.wait_status(election.preferred, wait, left)
             )
             if status is None or status.term != election.primary_term:
                 return False
-            if status.received >= stopped.received:
+            if status.received >= stopped_status.received:
                 return True
         return False
 
 
-def _start(work: Coroutine) -> Deferred:
-    """Begin work that nobody waits for; a defect in it is logged."""
-    return Deferred.fromCoroutine(work).addErrback(_log_defect)
+def _run_in_background(work: Coroutine) -> Deferred:
+    """Start a coroutine in the background; unexpected errors are logged."""
+    return Deferred.fromCoroutine(work).addErrback(_log_unexpected)
 
 
-def _log_defect(failure: DefectFailure) -> None:
-    """Log what ended an election, unless it was stopped on purpose."""
+def _log_unexpected(failure: TwistedFailure) -> None:
+    """Log an unexpected error of a background coroutine; ignore cancellation."""
     if not failure.check(CancelledError):
-        log.error("failover: an election met a defect: %s", failure.getTraceback())
+        log.error(
+            "failover: unexpected error in a background task: %s",
+            failure.getTraceback(),
+        )
 
 
 def _get_status(result: Result) -> DatabaseStatus | None:
--- a/beryltrack/failover/unfenced_authority.py
+++ b/beryltrack/failover/unfenced_authority.py
@@ -1,21 +1,20 @@
-"""Permits where the service that promotes checks no fencing tokens.
-
-Nothing stops a call under an old permit there, so that the calls themselves have to
-come in the order of their tokens. A permit is good for a short time, counted from when
-its write was sent, and a new one is taken for each promotion. Whoever takes over from
-another process first leaves that one's permit unchanged for longer than a call under
-it can still be sent. A process that was paused or cut off finds its permit too old and
-sends nothing.
-
-A store that is restored from a backup may have forgotten a permit under which
-calls are still sent. So nobody takes one within that time of first hearing of an era,
-and one whose write was answered in another era than its group's last is not used.
-
-Without a store nobody promotes: a permit of before proves nothing, as another instance
-may have reached the store since. Weighed: a permit that lasts, renewed by a call every
-second or two, would allow a promotion in the first seconds of an outage; it costs calls
-while nothing happens, and after a lost holder each change of primary would wait for it
-to lapse.
+"""Permits to promote where the promotion service checks no fencing tokens.
+
+Such a service carries out calls under old permits too, so calls must be sent in the
+order of their tokens. Each permit serves one promotion and is valid for a short time
+from when its write was sent. A process takes over from another one only after it has
+seen that one's permit unchanged for longer than a call under it can still be sent. A
+process that was paused or cut off finds its permit expired and sends no call.
+
+A restore from a backup may lose a permit under which calls are still sent. A process
+therefore takes no permit within that time after it first hears of an era, and does not
+use a permit whose write was answered in another era than the read before it.
+
+Promotion needs the store: a permit from before an outage proves nothing, as another
+instance may have reached the store since. The alternative, a lease that is renewed
+every second or two, would allow a promotion in the first seconds of an outage, but
+costs calls while nothing changes, and once a holder is lost, each change of primary
+would have to wait for the lease to expire.
 """
 
 import logging
@@ -32,43 +31,43 @@
 log = logging.getLogger(__name__)
 
 PERMIT_VALIDITY = 0.5
-"""Seconds from when the write of a permit is sent until no call under it may begin:
-longer than the 0.3 s that a write takes while the store is slow, and the 0.15 s that
-the databases may take to grant."""
+"""Seconds after its write was sent during which calls under a permit may start:
+longer than the 0.3 s that a write to a slow store takes plus the 0.15 s that the
+databases may take to grant."""
 
 CONNECT_TIMEOUT = 0.3
-"""Seconds that a call may take from its begin until it is sent."""
+"""Seconds that a call may take from its start until it is sent."""
 
 TAKEOVER_DELAY = 1.0
 """Seconds for which another process's permit must have been seen unchanged before the
-next one is taken: the two times above, and 0.2 s for packets that are on their way."""
+next one is taken: the two times above and 0.2 s for packets in flight."""
 
 
 class ObservedPermit(NamedTuple):
-    """The permit of a group as the store had it.
+    """A group's permit as last read from, or written to, the store.
 
     Parameters
     ----------
-    kept : PlatformObject or None
+    stored : PlatformObject or None
         The stored object; None if there is none yet.
     seen_at : float
-        When this version was first seen, by the node's clock.
+        When this version was first seen, seconds of the instance's clock.
     era : int
-        The era of the store in which it was seen last.
+        The era of the store when it was last seen.
     """
 
-    kept: PlatformObject | None
+    stored: PlatformObject | None
     seen_at: float
     era: int
 
     @property
     def version(self) -> int:
         """The object's version; 0 if there is none."""
-        return 0 if self.kept is None else self.kept.version
+        return 0 if self.stored is None else self.stored.version
 
 
 class OwnPermit(NamedTuple):
-    """A permit of this process, and when its write was sent."""
+    """A permit of this process and when its write was sent, seconds of its clock."""
 
     permit: Permit
     sent_at: float
@@ -84,9 +83,9 @@
     holder : str
         Name of this instance.
     process : str
-        Sets this process apart from earlier ones of the same instance.
+        Identifies this process among all processes of the same instance.
     seconds : callable
-        The node's time.
+        The instance's clock, seconds.
     eras : EraTracker, optional
         The era of the store; without it the store never loses what it acknowledged.
     """
@@ -106,93 +105,93 @@
         self._holder = holder
         self._process = process
         self._seconds = seconds
-        self._seen: dict[str, ObservedPermit] = {}
-        self._used: dict[str, OwnPermit] = {}
+        self._observed_permits: dict[str, ObservedPermit] = {}
+        self._own_permits: dict[str, OwnPermit] = {}
 
     def holds(self, group: str) -> bool:
-        """Return False: no permit is kept."""
+        """Return False: permits are not held in advance."""
         return False
 
     def drop(self, group: str) -> None:
-        """Note that another instance's permit has overtaken this one's."""
-        self._used.pop(group, None)
+        """Discard this instance's permit: another instance has taken a newer one."""
+        self._own_permits.pop(group, None)
 
     async def prepare(self, group: str) -> None:
-        """Look at the permit, so that the time begins for which it must stand."""
+        """Read the permit, so that `TAKEOVER_DELAY` starts to count."""
         found = await self._client.get(PATH_PREFIX + group)
         if isinstance(found, Success):
             self._observe(group, found.unwrap())
 
     async def acquire(self, group: str, renew: bool) -> Result[Permit, PlatformError]:
-        """Return a permit of a group; the one of before only while it is usable."""
-        used = self._used.get(group)
-        if used is not None and not renew and self._is_usable(used):
-            return Success(used.permit)
-        seen = self._get_seen(group)
-        if seen is None:
+        """Return a permit of a group: the previous one while valid unless `renew`."""
+        own = self._own_permits.get(group)
+        if own is not None and not renew and self._is_valid(own):
+            return Success(own.permit)
+        observed = self._get_observed(group)
+        if observed is None:
             await self.prepare(group)
-            seen = self._get_seen(group)
-        if seen is None:
-            return _refuse("the permit cannot be read")
-        if not self._may_overtake(seen):
-            return _refuse("the permit of another instance is too young")
-        return await self._take(group, seen)
-
-    async def _take(self, group: str, seen: ObservedPermit) -> Result:
-        """Write the permit that follows one that was seen."""
+            observed = self._get_observed(group)
+        if observed is None:
+            return _refuse("the permit could not be read from the store")
+        if not self._may_take_over(observed):
+            return _refuse("another process's permit may still be in use")
+        return await self._take(group, observed)
+
+    async def _take(self, group: str, observed: ObservedPermit) -> Result:
+        """Replace an observed permit by one of this process."""
         sent_at = self._seconds()
-        value = make_permit_value(self._holder, seen.version)
+        value = make_permit_value(self._holder, observed.version)
         value |= {"process": self._process}
         path = PATH_PREFIX + group
-        written = await self._client.put(path, value, seen.version)
-        if self._eras.era != seen.era:
-            # What was seen may not have been what the write replaced.
-            written = _refuse("the store was restored from a backup")
+        written = await self._client.put(path, value, observed.version)
+        if self._eras.era != observed.era:
+            # After a restore the write may have replaced another version than seen.
+            written = _refuse("the store was restored after the permit was read")
         if not isinstance(written, Success):
-            # It may have been written all the same, or another one was.
-            self._used.pop(group, None)
+            # The write may have been carried out, or another process's was.
+            self._own_permits.pop(group, None)
             await self.prepare(group)
             return written
         version = written.unwrap()
         permit = Permit(self._holder, version)
         self._observe(group, PlatformObject(path, version, value, False))
-        used = self._used[group] = OwnPermit(permit, sent_at)
-        log.info("failover: %s: permit with token %d.", group, permit.token)
-        if not self._is_usable(used):
-            return _refuse("the store took too long to write the permit")
+        own = self._own_permits[group] = OwnPermit(permit, sent_at)
+        log.info("failover: %s: took permit with token %d.", group, permit.token)
+        if not self._is_valid(own):
+            return _refuse("the permit expired before the store answered its write")
         return Success(permit)
 
-    def _observe(self, group: str, kept: PlatformObject | None) -> None:
-        """Keep what the store has; the time of a version that stands goes on."""
-        seen, era = self._seen.get(group), self._eras.era
-        version = 0 if kept is None else kept.version
-        is_same = seen is not None and seen.version == version
-        seen_at = seen.seen_at if is_same else self._seconds()
-        self._seen[group] = ObservedPermit(kept, seen_at, era)
-
-    def _get_seen(self, group: str) -> ObservedPermit | None:
-        """Return the permit as it was last seen in the store's present era."""
-        seen = self._seen.get(group)
-        return seen if seen is not None and seen.era == self._eras.era else None
-
-    def _is_usable(self, used: OwnPermit) -> bool:
-        """Return whether a call under a permit of this process may begin."""
-        return self._seconds() - used.sent_at <= PERMIT_VALIDITY
-
-    def _may_overtake(self, seen: ObservedPermit) -> bool:
-        """Return whether no other process can still call under a permit."""
+    def _observe(self, group: str, stored: PlatformObject | None) -> None:
+        """Record the stored permit; an unchanged version retains its `seen_at`."""
+        observed, era = self._observed_permits.get(group), self._eras.era
+        version = 0 if stored is None else stored.version
+        is_same = observed is not None and observed.version == version
+        seen_at = observed.seen_at if is_same else self._seconds()
+        self._observed_permits[group] = ObservedPermit(stored, seen_at, era)
+
+    def _get_observed(self, group: str) -> ObservedPermit | None:
+        """Return the observed permit; None if not seen in the store's current era."""
+        last = self._observed_permits.get(group)
+        return last if last is not None and last.era == self._eras.era else None
+
+    def _is_valid(self, own: OwnPermit) -> bool:
+        """Return whether a call under a permit of this process may start."""
+        return self._seconds() - own.sent_at <= PERMIT_VALIDITY
+
+    def _may_take_over(self, observed: ObservedPermit) -> bool:
+        """Return whether no other process can still send calls under a permit."""
         if self._eras.age < TAKEOVER_DELAY:
             return False
-        if seen.kept is None or _get_process(seen.kept) == self._process:
+        if observed.stored is None or _get_process(observed.stored) == self._process:
             return True
-        return self._seconds() - seen.seen_at >= TAKEOVER_DELAY
+        return self._seconds() - observed.seen_at >= TAKEOVER_DELAY
 
 
-def _get_process(kept: PlatformObject) -> str:
-    """Return the process that wrote a permit."""
-    return kept.value.get("process", "") if isinstance(kept.value, dict) else ""
+def _get_process(stored: PlatformObject) -> str:
+    """Return the process that wrote a permit; empty if it cannot be read."""
+    return stored.value.get("process", "") if isinstance(stored.value, dict) else ""
 
 
 def _refuse(text: str) -> Result:
-    """Return the failure of a permit that was not taken."""
+    """Return the failure to take a permit, with its reason."""
     return Failure(PlatformError(ErrorKind.REFUSED, text))
