--- a/beryltrack/transactions/__init__.py
+++ b/beryltrack/transactions/__init__.py
@@ -1,1 +1,1 @@
-"""Transactions: confirmation of commits by majority receipt."""
+"""Transactions: commits are confirmed once a majority has received them."""
--- a/beryltrack/transactions/decider.py
+++ b/beryltrack/transactions/decider.py
@@ -1,17 +1,16 @@
-"""When a commit may be acknowledged: the decision, without any I/O.
+"""Decides when a commit may be acknowledged, by Raft's commit rule; without I/O.
 
 A commit `(term, offset)` is confirmed when a majority of the group's databases
 has received it **while in that term**. Any later primary has grants from a
-majority, so at least one database that granted it holds the entry, and the
-highest log among them is chosen.
-
-Two traps shape the code. An entry that a majority holds, but that some of
-them got from a primary of a later term, may still be overwritten; so only
-receipts in the entry's own term count. And a primary of a later term may
-itself be replaced by a database that still has the entry that it lacks; so
-what a later primary's log says of the entry counts only once a majority has
-received the first entry of that later term in that term. From then on the log
-up to there is final.
+majority, so at least one database that granted holds the entry, and the most
+advanced log among them is chosen.
+
+Two hazards determine the rules. An entry that a majority holds, but that some of
+them received from a primary of a later term, may still be overwritten. Only receipts
+in the entry's own term therefore count. A primary of a later term may itself be
+replaced by a database that has an entry which it lacks. A later primary's log
+therefore decides on an entry only once a majority has received the first entry of that
+later term in that term. From then on the log up to there is final.
 """
 
 from collections.abc import Collection
@@ -27,14 +26,14 @@
 from beryltrack.groups.positions import has_entry
 from beryltrack.groups.view import compute_majority
 
-# A database's history has at most so many terms; older ones are not told.
+# Maximal number of terms in the history that a database reports; it omits older ones.
 MAX_HISTORY_TERMS = 32
-# Terms for which receipts are kept for each database.
+# Number of most recent terms for which a database's receipts are retained.
 MAX_RECEIPT_TERMS = 4
 
 
 class CommitOutcome(Enum):
-    """What is known of a commit."""
+    """The outcome of a commit."""
 
     CONFIRMED = "confirmed"
     ROLLED_BACK = "rolled back"
@@ -51,8 +50,8 @@
     outcome : CommitOutcome
         `CONFIRMED` or `ROLLED_BACK`.
     term : int
-        The term whose majority made it final: each primary of a later term
-        has the commit, or does not have it.
+        The term whose majority made it final: all primaries of later terms
+        have the commit, or none has.
     """
 
     key: int
@@ -61,7 +60,7 @@
 
 
 class CommittedPrefix(NamedTuple):
-    """A part of the log that every later primary has.
+    """The committed prefix of the log, which every later primary has.
 
     Parameters
     ----------
@@ -76,7 +75,7 @@
 
 
 class CommitDecider:
-    """The commits of one group that wait for a majority.
+    """Tracks receipts and decides the pending commits of one group.
 
     Parameters
     ----------
@@ -89,44 +88,46 @@
         self._pending: dict[int, LogPosition] = {}
         self._receipts: dict[str, dict[int, int]] = {}
         self._primaries: dict[int, str] = {}
-        self._final: CommittedPrefix | None = None
+        self._committed: CommittedPrefix | None = None
 
     @property
     def pending(self) -> int:
-        """Number of commits that wait."""
+        """Number of pending commits."""
         return len(self._pending)
 
     def set_databases(self, names: Collection[str]) -> None:
-        """Take the group's members from new settings; others confirm nothing more."""
+        """Set the group's databases; receipts of all others are dropped."""
         self._majority = compute_majority(len(names))
         self._receipts = {
-            name: kept for name, kept in self._receipts.items() if name in names
+            name: receipts for name, receipts in self._receipts.items() if name in names
         }
         self._primaries = {
             term: name for term, name in self._primaries.items() if name in names
         }
 
     def reset_database(self, name: str) -> None:
-        """Forget what a database has received or led: it has started again empty."""
+        """Drop the receipts and terms of a database that has restarted empty."""
         self._receipts.pop(name, None)
         self._primaries = {
-            term: each for term, each in self._primaries.items() if each != name
+            term: primary
+            for term, primary in self._primaries.items()
+            if primary != name
         }
 
     def add(self, key: int, position: LogPosition) -> CommitDecision | None:
-        """Add a commit and return its outcome if it is known already.
+        """Add a commit and return its outcome if it is already known.
 
         Parameters
         ----------
         key : int
-            A key of the caller's choice.
+            Identifies the commit in later decisions.
         position : LogPosition
-            The position that the primary gave for the commit.
+            The position that the primary returned for the commit.
 
         Returns
         -------
         Decision or None
-            None if the commit has to wait.
+            None if the commit stays pending.
         """
         decision = self._decide(key, position)
         if decision is None:
@@ -134,18 +135,18 @@
         return decision
 
     def remove(self, key: int) -> None:
-        """Forget a commit that is waited for no longer."""
+        """Remove a pending commit."""
         self._pending.pop(key, None)
 
     def get_primary(self, term: int) -> str:
-        """Return which database was seen to lead a term; empty if none was."""
+        """Return the primary of a term; empty if none has been seen."""
         return self._primaries.get(term, "")
 
     def get_wait_offset(self, database: str) -> int | None:
-        """Return the offset whose receipt by a database would tell most.
+        """Return the lowest pending offset not known to be received by a database.
 
-        One wait for it serves all pending commits: its answer shows how far
-        the database has received meanwhile.
+        A wait for this offset serves all pending commits: the answer shows how far
+        the database has received by then. None if no receipt is missing.
         """
         receipts = self._receipts.get(database, {})
         return min(
@@ -158,17 +159,17 @@
         )
 
     def observe_status(self, status: DatabaseStatus) -> tuple[CommitDecision, ...]:
-        """Take in a database's status and return the commits that it decides.
+        """Record a database's status and return the commits that it decides.
 
         Parameters
         ----------
         status : DatabaseStatus
-            The status. It may be late: a receipt in a term stays a fact.
+            The status. It may be late: a receipt in a term stays valid.
 
         Returns
         -------
-        tuple of Decision
-            The commits that need not wait any longer.
+        tuple of CommitDecision
+            The outcomes of commits that are no longer pending.
         """
         self._record_receipt(status)
         self._advance_committed_prefix(status)
@@ -182,7 +183,7 @@
         return decided
 
     def _record_receipt(self, status: DatabaseStatus) -> None:
-        """Keep how far a database received entries of the term that it is in."""
+        """Record how far a database has received entries of its current term."""
         if status.role == PRIMARY:
             self._primaries[status.term] = status.name
         if status.received.term != status.term:
@@ -194,8 +195,8 @@
             del receipts[term]
 
     def _advance_committed_prefix(self, status: DatabaseStatus) -> None:
-        """Keep the log up to a term's first entry once a majority has it."""
-        known = self._final.end.term if self._final else 0
+        """Advance the prefix to a term's first entry once a majority received it."""
+        known = self._committed.end.term if self._committed else 0
         if status.received.term != status.term or status.term <= known:
             return
         if not status.history or status.history[-1].term != status.term:
@@ -203,7 +204,7 @@
         start = status.history[-1]
         first = LogPosition(start.term, start.offset + 1)
         if self._count_receipts(first) >= self._majority:
-            self._final = CommittedPrefix(status.history, first)
+            self._committed = CommittedPrefix(status.history, first)
 
     def _count_receipts(self, position: LogPosition) -> int:
         """Return how many databases received an entry while in its term."""
@@ -219,12 +220,12 @@
     def _decide(self, key: int, position: LogPosition) -> CommitDecision | None:
         if self._count_receipts(position) >= self._majority:
             return CommitDecision(key, CommitOutcome.CONFIRMED, position.term)
-        final = self._final
-        if final is None or final.end.term <= position.term:
+        committed = self._committed
+        if committed is None or committed.end.term <= position.term:
             return None
-        oldest = final.history[0].term
-        if len(final.history) >= MAX_HISTORY_TERMS and position.term < oldest:
+        oldest = committed.history[0].term
+        if len(committed.history) >= MAX_HISTORY_TERMS and position.term < oldest:
             return None
-        kept = has_entry(final.history, final.end, position)
-        outcome = CommitOutcome.CONFIRMED if kept else CommitOutcome.ROLLED_BACK
-        return CommitDecision(key, outcome, final.end.term)
+        has_commit = has_entry(committed.history, committed.end, position)
+        outcome = CommitOutcome.CONFIRMED if has_commit else CommitOutcome.ROLLED_BACK
+        return CommitDecision(key, outcome, committed.end.term)
--- a/beryltrack/transactions/pending_commits.py
+++ b/beryltrack/transactions/pending_commits.py
@@ -1,4 +1,4 @@
-"""Those who wait for the outcome of a commit, and the decider that knows it."""
+"""Pending commits of a group: Deferreds that fire with each commit's outcome."""
 
 import itertools
 from collections.abc import Collection
@@ -12,7 +12,7 @@
 
 
 class PendingCommits:
-    """The commits of one group whose outcome somebody waits for.
+    """The commits of one group whose outcome is awaited.
 
     Parameters
     ----------
@@ -23,10 +23,10 @@
     """
 
     def __init__(self, reactor, size: int):
-        self._awake = get_pause_aware_clock(reactor)
+        self._clock = get_pause_aware_clock(reactor)
         self._decider = CommitDecider(size)
         self._keys = itertools.count()
-        self._waiting: dict[int, Deferred] = {}
+        self._deferreds: dict[int, Deferred] = {}
 
     def wait(self, position: LogPosition, timeout: float, database: str) -> Deferred:
         """Wait for the outcome of a commit.
@@ -38,20 +38,22 @@
         timeout : float
             Seconds after which the outcome is `UNKNOWN`.
         database : str
-            Where it ran; empty if that is not known. A position of a term that
-            another database leads says nothing of this commit.
+            The database that ran the commit; empty if unknown. If another database is
+            primary of the position's term, the position does not identify this commit
+            and the outcome is `UNKNOWN`.
 
         Returns
         -------
         Deferred
-            Fires with a `CommitOutcome`; it has fired already if that is known.
+            Fires with a `CommitOutcome`; already fired if that is known.
         """
         key = next(self._keys)
         primary = self._decider.get_primary(position.term)
-        # A receipt that has come during a pause of this process is read first.
-        answer = make_timed_deferred(self._awake, timeout, CommitOutcome.UNKNOWN)
-        self._waiting[key] = answer
-        answer.addBoth(self._drop, key)
+        # Pause-aware: receipts that arrived while this process was paused are read
+        # before the time-out fires.
+        answer = make_timed_deferred(self._clock, timeout, CommitOutcome.UNKNOWN)
+        self._deferreds[key] = answer
+        answer.addBoth(self._remove, key)
         if database and primary and primary != database:
             answer.callback(CommitOutcome.UNKNOWN)
             return answer
@@ -62,35 +64,35 @@
 
     @property
     def pending(self) -> int:
-        """Number of commits that wait."""
+        """Number of pending commits."""
         return self._decider.pending
 
     def set_databases(self, names: Collection[str]) -> None:
-        """Take the group's members from new settings; others confirm nothing more."""
+        """Set the group's databases; receipts of all others are dropped."""
         self._decider.set_databases(names)
 
     def reset_database(self, database: str) -> None:
-        """Forget what a database has received: it has started again empty."""
+        """Drop the receipts and terms of a database that has restarted empty."""
         self._decider.reset_database(database)
 
     def observe_status(self, status: DatabaseStatus) -> int:
-        """Take in a status, answer whose commits it decides, return their number."""
+        """Record a status, fire the commits that it decides and return their number."""
         decisions = self._decider.observe_status(status)
         for decision in decisions:
-            self._waiting[decision.key].callback(decision.outcome)
+            self._deferreds[decision.key].callback(decision.outcome)
         return len(decisions)
 
     def get_wait_offset(self, database: str) -> int | None:
-        """Return the offset whose receipt by a database would tell most."""
+        """Return the lowest pending offset not known to be received by a database."""
         return self._decider.get_wait_offset(database)
 
     def stop(self) -> None:
-        """Tell all who wait that the outcome is not known."""
-        for answer in tuple(self._waiting.values()):
+        """Fire all pending commits with `UNKNOWN`."""
+        for answer in tuple(self._deferreds.values()):
             answer.callback(CommitOutcome.UNKNOWN)
 
-    def _drop(self, result: object, key: int) -> object:
-        """Forget a commit that is waited for no longer."""
+    def _remove(self, result: object, key: int) -> object:
+        """Remove a commit whose Deferred has fired."""
         self._decider.remove(key)
-        del self._waiting[key]
+        del self._deferreds[key]
         return result
