--- a/tests/failover/lost_primary.py
+++ b/tests/failover/lost_primary.py
@@ -1,4 +1,4 @@
-"""A failover task that sees its primary lost, for the tests of this folder."""
+"""Creates a failover task that detects a lost primary, for the tests here."""
 
 from random import Random
 
@@ -12,8 +12,8 @@
 END = LogPosition(1, 5)
 
 
-class Owner:
-    """A group's task."""
+class Delegate:
+    """The group's task; records reports."""
 
     draining = frozenset()
 
@@ -29,19 +29,19 @@
 
 
 def lose_primary(clock, databases, authority, policy, view=None):
-    """Let a task see that ``a`` is lost, or another view; return its owner."""
+    """Give a task a view in which ``a`` is lost, or `view`; return its delegate."""
     members = tuple(
         DatabaseSettings(name, Endpoint("10.0.0.1", 1), "z", 9, 3, False)
         for name in NAMES
     )
-    owner = Owner(clock)
+    delegate = Delegate(clock)
     task = FailoverTask(
         clock,
         GroupSettings("main", "", members, "", "", 0.0, 0.5),
         databases,
         "node",
         Random(1),
-        owner,
+        delegate,
         FixedTimeoutDetector(0.5),
         policy,
         authority,
@@ -54,4 +54,4 @@
     task.observe_view(
         view or GroupView("main", 1, "a", databases=(primary, *lost), last_primary="a")
     )
-    return owner
+    return delegate
--- a/tests/failover/test_authority.py
+++ b/tests/failover/test_authority.py
@@ -1,4 +1,4 @@
-"""Permits to promote: the token only grows, whoever holds it."""
+"""Permits to promote: each new permit of a group has a higher token."""
 
 from returns.result import Failure, Success
 from twisted.internet.defer import Deferred
@@ -11,7 +11,7 @@
 
 
 class Store:
-    """Objects in memory; `before_put` may change them or fail the call."""
+    """An in-memory object store; `before_put` is called before each write."""
 
     def __init__(self):
         self.objects = {}
@@ -38,7 +38,7 @@
     return result.value_or(None)
 
 
-def test_a_permit_is_kept_without_another_call():
+def test_a_held_permit_needs_no_further_call():
     store = Store()
     authority = StoreAuthority(store, "node-1")
     first = acquire(authority)
@@ -47,7 +47,7 @@
     assert authority.holds("main")
 
 
-def test_whoever_takes_it_next_has_a_higher_token():
+def test_the_next_holder_has_a_higher_token():
     store = Store()
     first, second = StoreAuthority(store, "node-1"), StoreAuthority(store, "node-2")
     assert [acquire(first).token, acquire(second).token] == [1, 2]
@@ -55,7 +55,7 @@
     assert store.objects[PATH_PREFIX + "main"].value["holder"] == "node-1"
 
 
-def test_a_race_is_tried_again_with_a_higher_token():
+def test_a_lost_race_is_retried_with_a_higher_token():
     store = Store()
     rival, authority = StoreAuthority(store, "node-2"), StoreAuthority(store, "node-1")
 
@@ -67,7 +67,7 @@
     assert acquire(authority).token == 2
 
 
-def test_without_a_store_only_a_permit_of_before_counts():
+def test_without_a_store_only_a_held_permit_is_valid():
     store = Store()
     authority = StoreAuthority(store, "node-1")
     store.is_down = True
@@ -78,7 +78,7 @@
     assert acquire(authority, renew=True) == held
 
 
-def test_a_permit_that_was_overtaken_is_held_no_longer():
+def test_a_dropped_permit_is_no_longer_held():
     authority = StoreAuthority(Store(), "node-1")
     acquire(authority)
     authority.drop("main")
--- a/tests/failover/test_detector.py
+++ b/tests/failover/test_detector.py
@@ -1,4 +1,4 @@
-"""When a primary was last heard."""
+"""How long no replica has heard the primary."""
 
 from beryltrack.failover.detector import compute_primary_silence
 from beryltrack.groups.messages import PRIMARY
@@ -11,7 +11,7 @@
     return GroupView("orders", 1, "a", databases=databases)
 
 
-def test_silence_counts_from_the_latest_word_that_any_replica_had():
+def test_silence_counts_from_when_any_reachable_replica_last_heard_the_primary():
     view = make_view(
         DatabaseView("a", PRIMARY, reachable=True, seen_at=9.9, heard_age=0.0),
         DatabaseView("b", reachable=True, seen_at=9.5, heard_age=0.5),
--- a/tests/failover/test_former_primary.py
+++ b/tests/failover/test_former_primary.py
@@ -1,4 +1,4 @@
-"""Elections where the former primary goes on until it is told."""
+"""Elections where a replaced primary accepts writes until it is stepped down."""
 
 from returns.result import Failure, Success
 from twisted.internet.defer import Deferred
@@ -31,7 +31,7 @@
     return GrantReply(granted, status)
 
 
-def test_the_grant_of_the_former_primary_does_not_count():
+def test_the_grant_of_a_non_voting_primary_does_not_count():
     replies = [make_reply("a"), make_reply("b")]
     assert choose_primary(replies, 3, "b", frozenset(), 2) == "b"
     assert choose_primary(replies, 3, "b", frozenset(), 2, "a") is None
@@ -39,17 +39,17 @@
     assert choose_primary(replies, 3, "b", frozenset(), 2, "a") == "b"
 
 
-def test_one_that_lacks_what_another_voter_has_does_not_lead():
+def test_a_database_that_lacks_an_entry_of_a_voter_is_not_chosen():
     replies = [make_reply("a", 9), make_reply("b", 5), make_reply("c", 7)]
     assert choose_primary(replies, 3, "b", frozenset("a"), 2, "a") == "c"
 
 
 class Group:
-    """Databases of which the first leads; `answers` says who does."""
+    """Databases of which `a` leads; those named in `answers` answer requests."""
 
     def __init__(self, *answers):
         self.answers = answers
-        self.granted, self.stepped, self.promoted = [], [], []
+        self.granted, self.stepped_down, self.promoted = [], [], []
         self.roles = dict.fromkeys(NAMES, REPLICA) | {"a": PRIMARY}
 
     def make_status(self, name):
@@ -76,7 +76,7 @@
         return Success(self.make_status(name))
 
     async def stop_writes(self, name, term):
-        self.stepped.append((name, term))
+        self.stepped_down.append((name, term))
         if name not in self.answers:
             return Failure(ControlFailure(name, "no answer"))
         self.roles[name] = REPLICA
@@ -84,7 +84,7 @@
 
 
 class Authority:
-    """Gives one permit after the other."""
+    """Issues a new permit for each call."""
 
     keeps_permits = False
 
@@ -106,32 +106,32 @@
 
 
 def start(*answers):
-    """Let the primary be lost; only some databases answer."""
+    """Lose the primary; only the databases of `answers` answer."""
     clock, group, authority = Clock(), Group(*answers), Authority()
     clock.advance(0.1)
     return clock, group, authority, lose_primary(clock, group, authority, POLICY)
 
 
 def test_the_former_primary_is_stepped_down_until_it_answers():
-    clock, group, _, owner = start("b", "c")
-    assert len(group.promoted) == 1 and owner.reports
+    clock, group, _, delegate = start("b", "c")
+    assert len(group.promoted) == 1 and delegate.reports
     clock.pump([STEP_DOWN_INTERVAL] * 3)
-    assert group.stepped == [("a", 1)] * 4
+    assert group.stepped_down == [("a", 1)] * 4
     group.answers = NAMES
     clock.pump([STEP_DOWN_INTERVAL] * 4)
-    assert len(group.stepped) == 5
+    assert len(group.stepped_down) == 5
 
 
-def test_nobody_is_promoted_while_a_witness_is_not_held():
+def test_no_database_is_promoted_without_enough_voting_grants():
     _, group, _, _ = start("a", "b")
     assert group.promoted == []
 
 
-def test_the_permit_is_looked_at_when_a_change_becomes_due():
+def test_the_permit_is_prepared_when_an_election_becomes_due():
     assert start("b", "c")[2].prepared == 1
 
 
-def test_grants_are_waited_for_until_enough_others_have_given_theirs():
+def test_grants_are_collected_until_enough_voters_have_granted():
     clock = Clock()
     answers = {name: Deferred() for name in NAMES}
 
@@ -153,9 +153,9 @@
 
 
 def hand_over(has_permit):
-    """Let a primary leave; return what was done."""
+    """Let a primary leave; return the group with the calls made."""
     clock, group = Clock(), Group(*NAMES)
-    authority = Authority() if has_permit else NoPermits()
+    authority = Authority() if has_permit else UnavailableAuthority()
     end = LogPosition(1, 5)
     clock.advance(10.0)
     primary = DatabaseView("a", PRIMARY, 1, end, end, (), True, True, seen_at=10.0)
@@ -168,23 +168,23 @@
     return group
 
 
-class NoPermits(Authority):
-    """The store is away."""
+class UnavailableAuthority(Authority):
+    """The store is unavailable."""
 
     async def acquire(self, group, renew):
         return Failure(PlatformError(ErrorKind.REFUSED, "no store"))
 
 
-def test_a_primary_that_leaves_is_not_stopped_while_no_permit_can_be_had():
-    assert hand_over(has_permit=False).stepped == []
-    assert hand_over(has_permit=True).stepped[0] == ("a", 1)
+def test_a_leaving_primary_is_not_stopped_without_a_permit():
+    assert hand_over(has_permit=False).stepped_down == []
+    assert hand_over(has_permit=True).stepped_down[0] == ("a", 1)
 
 
-class GoingOn(Group):
-    """Of which "a" leads, and "b" led before and does not know that it is over.
+class DeposedPrimaryGroup(Group):
+    """A group whose primary is "a"; "b" is deposed and still considers itself primary.
 
-    As over the line protocol a primary that is asked without a time since a loss
-    grants by leading, and is not held.
+    As over the line protocol, a primary that is asked without `lost_after` grants and
+    is not held.
     """
 
     def __init__(self):
@@ -200,8 +200,8 @@
 
 
 def test_a_deposed_primary_grants_only_once_it_is_held():
-    """Guards against commits that it receives and confirms after its grant."""
-    clock, group = Clock(), GoingOn()
+    """Guards against a deposed primary that confirms commits after its grant."""
+    clock, group = Clock(), DeposedPrimaryGroup()
     election = Election(
         ElectionKind.LOST,
         3,
@@ -219,4 +219,4 @@
     )
     granted = {reply.status.name for reply in collecting.result if reply.granted}
     assert granted - {"a"} <= group.held
-    assert group.stepped == [("b", 2)] and "b" in granted
+    assert group.stepped_down == [("b", 2)] and "b" in granted
--- a/tests/failover/test_hand_over_backoff.py
+++ b/tests/failover/test_hand_over_backoff.py
@@ -1,4 +1,4 @@
-"""A hand-over that was given up is tried again soon, then ever more seldom."""
+"""An aborted hand-over is retried soon, then at growing intervals."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
 
 
 def measure_pauses(count):
-    """Return the seconds between hand-overs that all fail at once."""
+    """Return the seconds between hand-overs that all fail immediately."""
     decider = FailoverDecider("group", "node", FixedTimeoutDetector(0.5), Random(1))
     times = []
     for now in (step / 100 for step in range(MAX_STEPS)):
@@ -34,11 +34,11 @@
     return [after - before for before, after in zip(times, times[1:], strict=False)]
 
 
-def test_a_leaving_primary_is_relieved_soon_after_a_failed_hand_over():
+def test_a_failed_hand_over_is_retried_soon():
     first, second, *_ = measure_pauses(8)
     assert first < 0.35
     assert first + second < 1.0
 
 
-def test_hand_overs_that_fail_again_and_again_become_seldom():
+def test_hand_overs_that_fail_repeatedly_back_off():
     assert 2.5 <= measure_pauses(8)[-1] <= 7.6
--- a/tests/failover/test_hints.py
+++ b/tests/failover/test_hints.py
@@ -1,4 +1,4 @@
-"""The record of who leads, written when the store is up again."""
+"""The record of a group's primary is written despite store outages."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class FakeClient:
-    """A store that refuses some calls first and then holds one object."""
+    """A store with one object that refuses the first calls."""
 
     def __init__(self, refusals=0, term=0):
         self.refusals = refusals
@@ -40,7 +40,7 @@
     return results
 
 
-def test_the_record_is_written_when_the_store_is_up_again():
+def test_the_record_is_written_once_the_store_is_available_again():
     client = FakeClient(refusals=3)
     assert write(client) == [True]
     assert client.kept.value["primary"] == "b"
@@ -52,7 +52,7 @@
     assert client.kept.value == {"term": 5}
 
 
-def test_a_store_that_stays_down_is_given_up():
+def test_writing_ends_after_the_maximal_number_of_attempts():
     client = FakeClient(refusals=1000)
     assert write(client) == [False]
     assert client.calls == MAX_ATTEMPTS
--- a/tests/failover/test_permits.py
+++ b/tests/failover/test_permits.py
@@ -1,4 +1,4 @@
-"""Elections under a permit: who is released when, and which token is used."""
+"""Elections under a permit: when databases are released, which token is used."""
 
 from returns.result import Failure, Success
 from twisted.internet.task import Clock
@@ -20,7 +20,7 @@
 
 
 class Authority:
-    """Counts its tokens."""
+    """Issues permits with consecutive tokens."""
 
     keeps_permits = True
 
@@ -43,7 +43,7 @@
 
 
 class Databases:
-    """Replicas that grant; promotions end as a test says."""
+    """Replicas that grant; promotions end as listed in `promotions`."""
 
     def __init__(self, *promotions):
         self.promotions = list(promotions)
@@ -80,16 +80,16 @@
 def hold_election(*promotions):
     clock, databases, authority = Clock(), Databases(*promotions), Authority()
     policy = FailoverPolicy(has_authority=True)
-    owner = lose_primary(clock, databases, authority, policy)
+    delegate = lose_primary(clock, databases, authority, policy)
     clock.pump([0.05] * int(LEAD_TIMEOUT / 0.05 + 5))
-    return databases, authority, owner
+    return databases, authority, delegate
 
 
 def test_the_others_are_released_once_the_new_primary_leads():
-    databases, _, owner = hold_election("leads")
+    databases, _, delegate = hold_election("leads")
     assert databases.tokens == [1]
     assert set(databases.released) == set(NAMES) - {databases.leader}
-    assert owner.reports[0].primary == databases.leader
+    assert delegate.reports[0].primary == databases.leader
 
 
 def test_a_promotion_without_an_answer_is_repeated_with_a_new_token():
@@ -97,12 +97,12 @@
     assert databases.tokens == [1, 2]
 
 
-def test_nobody_is_released_while_a_promotion_may_still_be_carried_out():
+def test_no_database_is_released_while_a_promotion_may_still_be_carried_out():
     assert hold_election("late", *["late"] * 9)[0].released == []
     assert hold_election(*["lost"] * 30)[0].released == []
 
 
-def test_a_refused_promotion_releases_all_and_gives_the_permit_up():
+def test_a_refused_promotion_releases_all_databases_and_drops_the_permit():
     databases, authority, _ = hold_election("refused", *["refused"] * 30)
     assert {"b", "c"} <= set(databases.released)
     assert not authority.is_held
--- a/tests/failover/test_restored_permits.py
+++ b/tests/failover/test_restored_permits.py
@@ -1,17 +1,16 @@
-"""No permit is given twice though the store was restored from a backup.
+"""No token is issued twice although the store is restored from a backup.
 
-A store that is restored from a backup has forgotten the last permits. The next instance
-was given a token that another one had used before, in 12 of 12 random runs: an equal
-token passes the fence, so that a late call of its first holder would, too. Where no
-fence is checked, the next permit was taken while calls under the forgotten one were
-still sent, in 12 of 12 runs.
+A restore from a backup loses the last permits. The next instance was then issued a
+token that another one had used (12 of 12 random runs): an equal token passes the fence,
+so a delayed call of the first holder would pass, too. Without fencing, the next permit
+was taken while calls under the lost one were still sent (12 of 12 runs).
 
-A token now is the version of the permit's write, which begins with the store's era and
-is given to no two writes; a permit whose write was answered in a later era than it was
-read in is not used; and where no fence is checked nobody takes one until calls under
-any of an earlier era have ended.
+Three rules prevent this. A token is the version of the permit's write, which begins
+with the store's era and is given to no two writes. A permit whose write was answered in
+a later era than its read is not used. Without fencing, no process takes a permit until
+calls under any permit of an earlier era have ended.
 
-Processes take permits at random here, step by step, so that the store may be restored
+Here processes take permits in random single steps, so that the store may be restored
 between any two steps; answers are lost, calls are refused or carried out late.
 """
 
@@ -36,24 +35,24 @@
 SEEDS = range(12)
 
 
-class Grant:
-    """A permit that a process was given, and from when to when it is used."""
+class IssuedPermit:
+    """A permit that a process obtained, and when it was requested and issued."""
 
-    def __init__(self, token, holder, asked_at, given_at):
+    def __init__(self, token, holder, requested_at, issued_at):
         self.token, self.holder = token, holder
-        self.asked_at, self.given_at = asked_at, given_at
+        self.requested_at, self.issued_at = requested_at, issued_at
 
     @property
     def used_until(self):
-        """When the last call under it may be sent where no fence is checked."""
-        return self.given_at + PERMIT_VALIDITY + CONNECT_TIMEOUT
+        """When the last call under it may be sent where fencing is not enforced."""
+        return self.issued_at + PERMIT_VALIDITY + CONNECT_TIMEOUT
 
 
 class Process:
     """One process that takes permits."""
 
     def __init__(self, site, name, is_fenced):
-        self.site, self.name, self.grants = site, name, []
+        self.site, self.name, self.permits = site, name, []
         self.view = StoreView(
             site.clock, site.store, lambda kind, name, spec: spec, site.rng
         )
@@ -67,23 +66,25 @@
         self.is_asking = False
 
     def ask(self):
-        """Take a permit unless that is under way; the steps are taken by `step`."""
+        """Start to take a permit unless that is under way; `step` carries it out."""
         if self.is_asking:
             return
-        self.is_asking, asked_at = True, self.site.clock.seconds()
+        self.is_asking, requested_at = True, self.site.clock.seconds()
         asking = Deferred.fromCoroutine(self.authority.acquire("main", True))
-        asking.addCallback(self._take, asked_at)
+        asking.addCallback(self._take, requested_at)
 
-    def _take(self, result, asked_at):
+    def _take(self, result, requested_at):
         self.is_asking = False
         permit = result.value_or(None)
-        held = {each.token for each in self.grants}
+        held = {each.token for each in self.permits}
         if permit is not None and permit.token not in held:
             now = self.site.clock.seconds()
-            self.grants.append(Grant(permit.token, self.name, asked_at, now))
+            self.permits.append(
+                IssuedPermit(permit.token, self.name, requested_at, now)
+            )
 
     def follow(self):
-        """Make a call as those that follow the store do."""
+        """Make a call as a store follower does."""
         Deferred.fromCoroutine(self.store.list("config"))
 
     def step(self):
@@ -91,19 +92,19 @@
 
 
 class PermitSite:
-    """Some processes, and a store that is restored from backups."""
+    """Processes, and a store that is restored from backups."""
 
     def __init__(self, patch, seed, is_fenced):
         self.patch, self.rng = patch, random.Random(seed)
         self.clock, self.store = Reactor(), Store()
         self.processes = [Process(self, name, is_fenced) for name in PROCESSES]
-        self.copy = self.store.make_backup()
+        self.backup = self.store.make_backup()
 
     @property
-    def grants(self):
-        """All permits, in the order in which they were given."""
-        found = (grant for process in self.processes for grant in process.grants)
-        return sorted(found, key=lambda grant: grant.given_at)
+    def permits(self):
+        """All permits in the order in which they were issued."""
+        found = (permit for process in self.processes for permit in process.permits)
+        return sorted(found, key=lambda permit: permit.issued_at)
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP)):
@@ -118,9 +119,9 @@
         if rng.random() < 0.03:
             process.view.trouble = rng.choice(("", "", LOST, LATE, REFUSING))
         if rng.random() < 0.02:
-            self.copy = self.store.make_backup()
+            self.backup = self.store.make_backup()
         elif rng.random() < 0.005:
-            self.store.restore(self.copy)
+            self.store.restore(self.backup)
         for each in self.processes:
             if rng.random() < 0.7:
                 each.step()
@@ -135,39 +136,39 @@
     return partial(PermitSite, patch)
 
 
-def test_no_token_is_given_twice_and_none_is_lower_than_an_earlier_one(make_site):
+def test_no_token_is_issued_twice_or_below_an_earlier_one(make_site):
     found = []
     for seed in SEEDS:
         site = make_site(seed, is_fenced=True)
         site.run(60.0)
-        grants = site.grants
-        assert len(grants) > 5
-        twice = len({grant.token for grant in grants}) < len(grants)
+        permits = site.permits
+        assert len(permits) > 5
+        twice = len({permit.token for permit in permits}) < len(permits)
         refused = any(
             later.token <= earlier.token
-            for earlier in grants
-            for later in grants
-            if earlier.given_at < later.asked_at
+            for earlier in permits
+            for later in permits
+            if earlier.issued_at < later.requested_at
         )
         if twice or refused:
             found.append((seed, twice, refused))
     assert found == []
 
 
-def test_without_a_fence_no_two_permits_are_used_at_a_time(make_site):
+def test_without_fencing_permits_of_two_processes_do_not_overlap(make_site):
     found = []
     for seed in SEEDS:
         site = make_site(seed, is_fenced=False)
         site.run(120.0)
-        grants = site.grants
-        assert len(grants) > 5
-        pairs = zip(grants, grants[1:], strict=False)
+        permits = site.permits
+        assert len(permits) > 5
+        pairs = zip(permits, permits[1:], strict=False)
         both = [
             (one.token, other.token)
             for one, other in pairs
-            if one.holder != other.holder and other.given_at < one.used_until
+            if one.holder != other.holder and other.issued_at < one.used_until
         ]
-        tokens = [grant.token for grant in grants]
+        tokens = [permit.token for permit in permits]
         if both or tokens != sorted(set(tokens)):
             found.append((seed, both))
     assert found == []
--- a/tests/failover/test_task.py
+++ b/tests/failover/test_task.py
@@ -1,4 +1,4 @@
-"""Elections and hand-overs before a fake group, by one or several proxies."""
+"""Elections and hand-overs of a fake group by one or several instances."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
     return site
 
 
-def test_one_of_many_proxies_replaces_a_dead_primary():
+def test_one_of_many_instances_replaces_a_lost_primary():
     site = make_site(proxies=5)
     site.group.crash("group-1", silent=True)
     site.run(1.0)
@@ -33,7 +33,7 @@
     assert primaries == {site.reports[0].primary}
 
 
-def test_a_proxy_that_does_not_reach_the_primary_replaces_nobody():
+def test_an_instance_that_does_not_reach_the_primary_does_not_replace_it():
     site = make_site(proxies=2)
     site.network.cut_both("proxy-1", "group-1")
     site.run(4.0)
@@ -41,7 +41,7 @@
     assert site.reports == []
 
 
-def test_a_cut_off_replica_replaces_nobody_and_comes_back():
+def test_a_cut_off_replica_causes_no_failover_and_catches_up():
     site = make_site(proxies=2)
     site.group.isolate("group-3")
     site.run(2.0)
@@ -52,7 +52,7 @@
     assert site.group.databases["group-3"].log.received == position
 
 
-def test_the_old_primary_follows_and_its_tail_is_discarded():
+def test_the_old_primary_follows_and_its_unconfirmed_entries_are_discarded():
     site = make_site()
     site.group.isolate("group-1")
     site.write("group-1", "never acknowledged")
@@ -102,7 +102,7 @@
 
 
 class SlowReplicas:
-    """Control requests to a group whose replicas receive nothing more."""
+    """Control requests to a group whose replicas receive no further entries."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -124,18 +124,18 @@
         return Failure(ControlFailure(database, "not expected"))
 
 
-def test_a_hand_over_is_given_up_if_the_replica_does_not_catch_up():
+def test_a_hand_over_is_aborted_if_the_replica_does_not_catch_up():
     clock = Clock()
     adapter = SlowReplicas(clock)
     names = ("a", "b", "c")
-    owner = GroupTask(clock, make_settings(names), adapter, "n1", Random(1))
+    delegate = GroupTask(clock, make_settings(names), adapter, "n1", Random(1))
     task = FailoverTask(
         clock,
         make_settings(names),
         adapter,
         "n1",
         Random(1),
-        owner,
+        delegate,
         FixedTimeoutDetector(0.5),
     )
     fields = {"term": 1, "reachable": True, "heard_age": 0.0, "seen_at": 9.0}
@@ -152,7 +152,7 @@
     assert not task.busy
 
 
-def test_a_term_that_came_to_nothing_is_reclaimed_by_the_primary():
+def test_the_primary_is_reelected_after_a_term_without_a_primary():
     site = make_site(proxies=2)
     site.group.databases["group-3"].grant(2, "vanished", 0.0)
     site.run(3.0)
@@ -161,7 +161,7 @@
     assert {item.log.term for item in site.group.databases.values()} == {3}
 
 
-def test_a_candidate_that_vanishes_after_its_grants_is_replaced():
+def test_the_next_candidate_succeeds_after_one_that_failed_with_its_grants():
     site = make_site(proxies=1)
     site.group.crash("group-1", silent=True)
     for name in ("group-2", "group-3"):
@@ -182,10 +182,10 @@
     assert site.group.primary.log.term > 1
 
 
-def test_many_proxies_at_once_do_not_fight():
+def test_competing_elections_of_many_instances_converge():
     site = make_site(proxies=6)
     for task in site.tasks.values():
-        task.set_nodes(())  # Nobody knows the others, so all are first in rank.
+        task.set_nodes(())  # No instance knows the others, so all are first in rank.
     history = []
     for database in site.group.databases.values():
         database._record = history.append
--- a/tests/failover/test_unfenced_authority.py
+++ b/tests/failover/test_unfenced_authority.py
@@ -1,4 +1,4 @@
-"""Permits where nobody checks the tokens: calls come in their order."""
+"""Permits where the promotion service checks no tokens: calls stay in their order."""
 
 from returns.result import Failure
 from twisted.internet.defer import Deferred
@@ -27,7 +27,7 @@
         return UnfencedAuthority(self.store, name, process, self.clock.seconds)
 
     def make_pair(self):
-        """Return two holders; the second has seen the first one's permit for long."""
+        """Return two holders; the second has long observed the first one's permit."""
         first, second = self.make("node-1"), self.make("node-2", "p2")
         acquire(first)
         prepare(second)
@@ -47,7 +47,7 @@
     Deferred.fromCoroutine(authority.prepare("main"))
 
 
-def test_a_permit_serves_for_a_short_time_and_then_a_new_one_is_taken():
+def test_an_expired_permit_is_replaced_by_a_new_one():
     site = Site()
     authority = site.make("node-1")
     assert [acquire(authority), acquire(authority)] == [1, 1]
@@ -56,7 +56,7 @@
     assert acquire(authority, renew=True) == 3
 
 
-def test_whoever_takes_over_waits_until_no_older_call_can_be_sent():
+def test_a_takeover_waits_until_no_older_call_can_be_sent():
     site = Site()
     first, second = site.make("node-1"), site.make("node-2", "p2")
     assert acquire(first) == 1
@@ -67,16 +67,16 @@
     assert acquire(second) == 2
 
 
-def test_a_permit_that_was_seen_before_need_not_be_waited_for():
+def test_a_permit_observed_for_long_enough_is_taken_over_at_once():
     _, second = Site().make_pair()
     assert acquire(second) == 2
 
 
-def test_a_holder_that_was_paused_sends_no_older_token():
+def test_a_holder_that_was_paused_gets_no_older_token():
     site = Site()
     first, second = site.make_pair()
     assert acquire(second) == 2
-    # It wakes, and knows nothing of the other one.
+    # It resumes without having seen the other holder's permit.
     assert acquire(first) is None
     site.pass_time(TAKEOVER_DELAY)
     assert acquire(first) == 3
@@ -91,7 +91,7 @@
     assert acquire(again) == 2
 
 
-def test_without_a_store_nobody_promotes():
+def test_without_a_store_no_permit_is_given():
     site = Site()
     authority = site.make("node-1")
     acquire(authority)
@@ -109,7 +109,7 @@
     assert acquire(authority) == 2
 
 
-def test_a_write_whose_answer_is_lost_gives_no_permit_and_no_wait():
+def test_a_write_whose_answer_is_lost_gives_no_permit_and_no_delay():
     site = Site()
     authority = site.make("node-1")
     put = site.store.put
@@ -124,7 +124,7 @@
     assert acquire(authority) == 2
 
 
-def test_a_permit_that_changes_again_is_waited_for_again():
+def test_a_renewed_permit_restarts_the_takeover_delay():
     site = Site()
     first, second = site.make_pair()
     acquire(first, renew=True)
