--- a/tests/transactions/test_decider.py
+++ b/tests/transactions/test_decider.py
@@ -1,4 +1,4 @@
-"""When a commit is confirmed, rolled back, or has to wait."""
+"""When a commit is confirmed, rolled back, or stays pending."""
 
 from beryltrack.groups.messages import (
     PRIMARY,
@@ -21,7 +21,7 @@
     return DatabaseStatus(name, role, term, end, end, history, 0.0, False)
 
 
-def test_the_primary_and_one_replica_of_two_are_enough():
+def test_the_primary_and_one_of_two_replicas_are_a_majority():
     decider = CommitDecider(3)
     decider.observe_status(make_status("a", 1, LogPosition(1, 1), role=PRIMARY))
     assert decider.add(7, LogPosition(1, 5)) is None
@@ -45,7 +45,7 @@
     assert decider.observe_status(make_status("b", 2, LogPosition(1, 5))) == ()
 
 
-def test_an_old_entry_that_a_later_primary_spread_waits_for_an_entry_of_its_term():
+def test_an_old_entry_replicated_by_a_later_primary_waits_for_an_entry_of_its_term():
     """The entry (2, 2) can still be overwritten from a log that ends in term 3."""
     old = (TermStart(1, 0), TermStart(2, 1))
     new = (*old, TermStart(4, 2))
@@ -64,8 +64,8 @@
     assert decided == (CommitDecision(1, CommitOutcome.CONFIRMED, 4),)
 
 
-def test_a_later_primary_without_the_entry_proves_nothing_by_itself():
-    """Before a majority follows it, a database with the entry may replace it."""
+def test_a_later_primary_without_the_entry_alone_does_not_roll_it_back():
+    """A database with the entry may replace it until a majority follows it."""
     later = (TermStart(1, 0), TermStart(2, 3))
     decider = CommitDecider(3)
     decider.add(1, LogPosition(1, 5))
@@ -75,7 +75,7 @@
     assert decided == (CommitDecision(1, CommitOutcome.ROLLED_BACK, 2),)
 
 
-def test_a_term_that_the_history_does_not_reach_back_to_is_not_judged():
+def test_a_term_older_than_the_reported_history_is_not_decided():
     history = tuple(TermStart(term, term) for term in range(10, 10 + MAX_HISTORY_TERMS))
     end = LogPosition(history[-1].term, history[-1].offset + 1)
     decider = CommitDecider(1)
@@ -85,7 +85,7 @@
     assert decider.add(3, LogPosition(10, 12)).outcome is CommitOutcome.ROLLED_BACK
 
 
-def test_one_wait_serves_all_that_are_pending():
+def test_one_wait_serves_all_pending_commits():
     decider = CommitDecider(3)
     decider.observe_status(make_status("a", 1, LogPosition(1, 1), role=PRIMARY))
     assert decider.get_wait_offset("b") is None
@@ -98,7 +98,7 @@
     assert decider.get_wait_offset("c") == 9
 
 
-def test_a_status_without_the_history_of_its_term_is_left_out():
+def test_a_status_without_the_history_of_its_term_decides_nothing():
     decider = CommitDecider(1)
     decider.observe_status(make_status("a", 2, LogPosition(2, 4), FIRST, PRIMARY))
     assert decider.add(1, LogPosition(1, 1)) is None
--- a/tests/transactions/test_restart_safety.py
+++ b/tests/transactions/test_restart_safety.py
@@ -1,10 +1,10 @@
-"""A confirmed commit survives databases that start again empty, one at a time.
+"""A confirmed commit survives databases that restart empty, one at a time.
 
-Three databases of the line protocol's kind and two nodes, each with its own view of
-the group and its own list of confirmed commits. Replication, answers, elections,
-outages and empty starts happen in any order that hypothesis finds; the store tells of
-each start at once. A database starts again empty only when the one before has caught
-up: what two have lost at once was perhaps nowhere else.
+Three databases as in the line protocol and two instances, each with its own view of the
+group and its own confirmed commits. Hypothesis orders replication, answers, elections,
+outages and empty restarts; the store reports each restart at once. A database restarts
+empty only after the previous one has caught up: entries that two lose at the same time
+may be nowhere else.
 """
 
 from hypothesis import settings
@@ -34,15 +34,15 @@
 
 
 class Database:
-    """One database; `starts` counts how often it has started."""
+    """One database; `starts` counts its starts."""
 
     def __init__(self, place):
         self.place = place
         self.starts = 0
         self.is_up = True
-        self.forget()
+        self.clear()
 
-    def forget(self):
+    def clear(self):
         self.role, self.term, self.held, self.log = REPLICA, 0, 0, []
         self.starts += 1
 
@@ -71,13 +71,13 @@
 
 
 class Node:
-    """What one instance knows."""
+    """One instance: its view of the group and its pending commits."""
 
     def __init__(self, names):
         self.group = GroupDecider("main", names, proof=LeadershipProof.SELF_REPORT)
         self.commits = CommitDecider(SIZE)
 
-    def take(self, status, sent_at, now):
+    def observe_status(self, status, sent_at, now):
         if self.group.observe_status(status, sent_at, now):
             self.commits.reset_database(status.name)
         if not self.group.is_recovering(status.name):
@@ -89,7 +89,7 @@
 
 
 class RestartMachine(RuleBasedStateMachine):
-    """A group, its nodes, and what was acknowledged."""
+    """A group, two instances, and the acknowledged commits."""
 
     @initialize()
     def start(self):
@@ -100,10 +100,10 @@
         self.databases[0].role = PRIMARY
         self.term = 1
         self.nodes = [Node(self.names) for _ in range(2)]
-        self.mail = []
+        self.answers_in_flight = []
         self.acknowledged = set()
-        self.forgetful = None
-        # Most losses need a group at work, which chance alone seldom comes to.
+        self.last_cleared = None
+        # Most losses need a working group, which random steps alone seldom reach.
         for place in (0, 1, 2):
             for number in (0, 1):
                 self.ask(number, place)
@@ -127,37 +127,41 @@
             offset = primary.received.offset + 1
             primary.log.append(LogPosition(primary.term, offset))
 
-    @rule(place=place, most=st.integers(min_value=0, max_value=3))
-    def replicate(self, place, most):
+    @rule(place=place, max_entries=st.integers(min_value=0, max_value=3))
+    def replicate(self, place, max_entries):
         primary, replica = self.primary, self.databases[place]
         if primary is None or replica is primary or replica.held:
             return
         if primary.is_up and replica.is_up:
             replica.term = primary.term
-            replica.log = primary.log[: len(replica.log) + most]
+            replica.log = primary.log[: len(replica.log) + max_entries]
 
     @rule(number=number, place=place)
     def ask(self, number, place):
         sent_at, database = self.tick(), self.databases[place]
         if database.is_up:
-            self.nodes[number].take(database.get_status(), sent_at, self.tick())
+            self.nodes[number].observe_status(
+                database.get_status(), sent_at, self.tick()
+            )
 
     @rule(number=number, place=place)
-    def ask_with_a_late_answer(self, number, place):
+    def ask_with_late_answer(self, number, place):
         if self.databases[place].is_up:
             status = self.databases[place].get_status()
-            self.mail.append((number, status, self.tick()))
+            self.answers_in_flight.append((number, status, self.tick()))
 
-    @precondition(lambda self: self.mail)
+    @precondition(lambda self: self.answers_in_flight)
     @rule(data=st.data())
-    def answer_late(self, data):
-        index = data.draw(st.integers(min_value=0, max_value=len(self.mail) - 1))
-        number, status, sent_at = self.mail.pop(index)
-        self.nodes[number].take(status, sent_at, self.tick())
+    def deliver_late_answer(self, data):
+        index = data.draw(
+            st.integers(min_value=0, max_value=len(self.answers_in_flight) - 1)
+        )
+        number, status, sent_at = self.answers_in_flight.pop(index)
+        self.nodes[number].observe_status(status, sent_at, self.tick())
 
     @rule(number=number, place=place)
     def write_and_confirm(self, number, place):
-        """A caller commits, one replica receives that, and a node hears of it."""
+        """A caller commits, one replica receives it and reports to an instance."""
         self.write()
         self.replicate(place, 3)
         self.ask(number, place)
@@ -165,7 +169,7 @@
 
     @rule(number=number)
     def confirm(self, number):
-        """A caller's last commit at the primary is acknowledged if it is confirmed."""
+        """Acknowledge the last commit at the primary if it is confirmed."""
         primary = self.primary
         if primary is None or not primary.log or primary.log[-1].term != primary.term:
             return
@@ -178,7 +182,7 @@
 
     @rule(number=number, first=place, second=place, all_answer=st.booleans())
     def elect(self, number, first, second, all_answer):
-        """A node holds replicas for the next term and has one promoted."""
+        """Let an instance hold replicas for the next term and have one promoted."""
         node = self.nodes[number]
         view = node.group.view
         term = max(get_known_primary_term(item) for item in view.databases) + 1
@@ -193,7 +197,7 @@
             granted = status.is_held and status.term >= term
             replies.append(GrantReply(granted, status))
         for reply in replies:
-            node.take(reply.status, sent_at, self.tick())
+            node.observe_status(reply.status, sent_at, self.tick())
         chosen = choose_primary(
             replies,
             SIZE,
@@ -219,20 +223,20 @@
         chosen.role, chosen.term, chosen.held = PRIMARY, self.term, 0
 
     @rule(place=place)
-    def go_down_or_come_back(self, place):
+    def toggle_outage(self, place):
         self.databases[place].is_up = not self.databases[place].is_up
 
     @rule(place=place)
-    def start_again_empty(self, place):
-        if self.forgetful is not None:
-            database, needed = self.forgetful
+    def restart_empty(self, place):
+        if self.last_cleared is not None:
+            database, needed = self.last_cleared
             if database.received < needed:
                 return
         database = self.databases[place]
         longest = max(each.received for each in self.databases)
-        database.forget()
+        database.clear()
         database.is_up = True
-        self.forgetful = (database, longest)
+        self.last_cleared = (database, longest)
         for node in self.nodes:
             node.set_databases(self.names, self.tick())
 
--- a/tests/transactions/test_safety.py
+++ b/tests/transactions/test_safety.py
@@ -1,9 +1,8 @@
-"""Whatever fails, a confirmed commit is in every later primary's log.
+"""A confirmed commit is in every later primary's log, whichever components fail.
 
-The databases are real stand-in logs. Grants, promotions, replication and the
-answers to status requests happen in any order that hypothesis finds; answers
-reach the nodes late and out of order, candidates vanish half-way, and cut-off
-primaries go on writing.
+The databases are the logs of the stand-ins. Hypothesis orders grants, promotions,
+replication and answers to status requests; answers reach the instances late and out of
+order, candidates fail midway, and cut-off primaries keep accepting writes.
 """
 
 from typing import NamedTuple
@@ -17,17 +16,17 @@
 from beryltrack.transactions.decider import CommitDecider, CommitOutcome
 from beryltrack_standins.database.replica_log import ReplicaLog
 
-NODES = 2
+INSTANCES = 2
 index = st.integers(min_value=0, max_value=4)
-# Any part of five databases, by a bit for each.
-some = st.sampled_from(
+# Any non-empty subset of five databases, by a bit for each.
+subsets = st.sampled_from(
     [frozenset(n for n in range(5) if mask >> n & 1) for mask in range(1, 32)]
 )
-node_index = st.integers(min_value=0, max_value=NODES - 1)
+instance_index = st.integers(min_value=0, max_value=INSTANCES - 1)
 
 
 class Candidate(NamedTuple):
-    """One attempt at a term and the replies to it so far."""
+    """One attempt at a term, the replies to it and the database it chose."""
 
     name: str
     term: int
@@ -36,20 +35,20 @@
 
 
 class Promotion(NamedTuple):
-    """A primary's log when it began to lead."""
+    """A primary's log when it was promoted."""
 
     term: int
     entries: tuple
 
 
 class SafetyMachine(RuleBasedStateMachine):
-    """A group of three or five databases and two nodes that confirm commits."""
+    """A group of three or five databases and two instances that confirm commits."""
 
     @initialize(size=st.sampled_from((3, 5)))
     def start(self, size):
         self.logs = [ReplicaLog(f"d{number}") for number in range(size)]
-        self.nodes = [CommitDecider(size) for _ in range(NODES)]
-        self.mail = []
+        self.nodes = [CommitDecider(size) for _ in range(INSTANCES)]
+        self.answers_in_flight = []
         self.candidates = []
         self.promotions = []
         self.commits = {}
@@ -64,7 +63,7 @@
 
     @rule(leader=index, times=st.integers(1, 2))
     def write(self, leader, times):
-        """Let one of those who believe that they lead commit."""
+        """Let one of the databases that consider themselves primary commit."""
         leaders = self.get_leaders()
         for _ in range(times if leaders else 0):
             key = len(self.commits)
@@ -73,7 +72,7 @@
             decisions = (node.add(key, position) for node in self.nodes)
             self.take(filter(None, decisions))
 
-    @rule(leader=index, replicas=some, limit=st.sampled_from((1, 9)))
+    @rule(leader=index, replicas=subsets, limit=st.sampled_from((1, 9)))
     def replicate(self, leader, replicas, limit):
         leaders = self.get_leaders()
         for replica in self.get_logs(replicas):
@@ -81,39 +80,41 @@
             if source is not replica:
                 replica.receive(source, 0.0, limit)
 
-    @rule(leader=index, node=node_index)
-    def work_in_the_dark(self, leader, node):
-        """Let a commit reach one replica at most."""
-        self.work(leader, frozenset((leader,)), node)
+    @rule(leader=index, node=instance_index)
+    def write_with_one_receipt(self, leader, node):
+        """Let a commit reach at most one replica."""
+        self.write_and_report(leader, frozenset((leader,)), node)
 
-    @rule(databases=some)
+    @rule(databases=subsets)
     def ask(self, databases):
-        """Let databases answer; the answers are on their way."""
-        self.mail += [log.get_status(0.0) for log in self.get_logs(databases)]
-
-    @rule(letters=st.lists(st.integers(0, 9), min_size=1), node=node_index)
-    def answer(self, letters, node):
-        """Deliver answers in any order, perhaps old ones, perhaps again."""
-        for letter in letters if self.mail else ():
-            status = self.mail[-1 - letter % len(self.mail)]
+        """Let databases answer; the answers stay in flight."""
+        self.answers_in_flight += [
+            log.get_status(0.0) for log in self.get_logs(databases)
+        ]
+
+    @rule(choices=st.lists(st.integers(0, 9), min_size=1), node=instance_index)
+    def deliver_answers(self, choices, node):
+        """Deliver answers in any order, possibly old or repeated ones."""
+        for choice in choices if self.answers_in_flight else ():
+            status = self.answers_in_flight[-1 - choice % len(self.answers_in_flight)]
             self.take(self.nodes[node].observe_status(status))
 
-    @rule(leader=index, databases=some, node=node_index)
-    def work(self, leader, databases, node):
-        """Let a commit go its usual way, as far as some databases see it."""
+    @rule(leader=index, databases=subsets, node=instance_index)
+    def write_and_report(self, leader, databases, node):
+        """Let a commit be replicated and reported by some databases."""
         self.write(leader, 1)
         self.replicate(leader, databases, 9)
         self.ask(databases)
-        self.answer(list(range(len(databases))), node)
+        self.deliver_answers(list(range(len(databases))), node)
 
     @rule(left_out=index)
     def replace_leader(self, left_out):
-        """Let all databases but one elect, as after a crash of that one."""
+        """Let all databases but one hold an election, as after a crash of that one."""
         self.election("elect", frozenset(range(5)) - {left_out})
 
-    @rule(action=st.sampled_from(("elect", "begin", "continue")), databases=some)
+    @rule(action=st.sampled_from(("elect", "begin", "continue")), databases=subsets)
     def election(self, action, databases):
-        """Let a candidate get grants; it may vanish then, or wake up later."""
+        """Let a candidate collect grants; it may fail then, or continue later."""
         if action != "continue":
             term = max(log.term for log in self.logs) + 1
             name = f"c{len(self.candidates)}"
@@ -183,7 +184,7 @@
 
 
 def test_the_machine_reaches_both_outcomes():
-    """A scripted run: a commit that lasts and one that a failover undoes."""
+    """A scripted run: one commit is confirmed, a failover rolls back another."""
     machine = SafetyMachine()
     machine.start(3)
     leads = machine.logs.index(machine.get_leaders()[0])
@@ -195,7 +196,7 @@
     for leader in (0, 1):
         machine.replicate(leader, others, 9)
     machine.ask(others)
-    machine.answer([0, 1], 0)
+    machine.deliver_answers([0, 1], 0)
     assert list(machine.outcomes[0]) == [CommitOutcome.CONFIRMED]
     assert list(machine.outcomes[1]) == [CommitOutcome.ROLLED_BACK]
     assert machine.commits[1] == LogPosition(1, 3)
--- a/tests/transactions/test_waits.py
+++ b/tests/transactions/test_waits.py
@@ -1,4 +1,4 @@
-"""Commits whose outcome is waited for."""
+"""Pending commits while the process is paused."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def waits():
-    """A commit at offset 5 of which the primary alone has told, before a pause."""
+    """A commit at offset 5, received by the primary alone, after a pause of 3 s."""
     clock = Clock()
     waits = PendingCommits(clock, 3)
     get_pause_aware_clock(clock).start_detection()
@@ -24,15 +24,15 @@
     return waits, answer, clock
 
 
-def test_a_receipt_that_came_during_a_pause_confirms_its_commit(waits):
-    """Guards against commits in doubt whose receipts are read as a process wakes."""
+def test_a_receipt_that_arrived_during_a_pause_confirms_its_commit(waits):
+    """Guards against commits in doubt whose receipts are read after a pause."""
     commits, answer, _ = waits
     commits.observe_status(make_status("b", 1, LogPosition(1, 5)))
     assert answer.result is CommitOutcome.CONFIRMED
 
 
-def test_a_commit_without_a_receipt_after_a_pause_is_in_doubt_in_its_usual_time(waits):
-    """Guards against a pause that lets a caller wait for good."""
+def test_a_commit_without_a_receipt_times_out_as_usual_after_a_pause(waits):
+    """Guards against callers that wait indefinitely after a pause."""
     _, answer, clock = waits
     for _ in range(round((TIMEOUT + RESUME_GRACE) / 0.1)):
         clock.advance(0.1)
@@ -41,7 +41,7 @@
 
 
 def test_a_receipt_in_a_later_term_confirms_nothing_after_a_pause(waits):
-    """Guards against a replaced primary's commit that a pause would confirm."""
+    """Guards against a replaced primary's commit that is confirmed after a pause."""
     commits, answer, _ = waits
     commits.observe_status(make_status("b", 2, LogPosition(1, 5)))
     assert not answer.called
