--- a/beryltrack/failover/decider.py
+++ b/beryltrack/failover/decider.py
@@ -376,8 +376,8 @@
 
     def _get_rank(self) -> int:
         """Return how many instances act before this one."""
-        turn = self._highest_term if self._policy.rotates_ranks else 0
-        return compute_rank(self._node, self._nodes, self._group, turn)
+        term = self._highest_term if self._policy.rotates_ranks else 0
+        return compute_rank(self._node, self._nodes, self._group, term)
 
     def _compute_backoff(self, kind: ElectionKind) -> float:
         """Return a jittered back-off that grows with consecutive failures, seconds."""
@@ -407,6 +407,7 @@
         return max(item.term for item in view.databases) + 1
 
     def _make_election(self, view: GroupView, kind: ElectionKind) -> Election:
+        """Return a new attempt at the next term."""
         leader = get_primary(view)
         successor = get_successor(view)
         preferred = {
--- a/beryltrack/failover/messages.py
+++ b/beryltrack/failover/messages.py
@@ -25,7 +25,7 @@
     Parameters
     ----------
     kind : ElectionKind
-        Why.
+        Why it is held.
     term : int
         The term to ask for, higher than any that was seen.
     candidate : str
