--- a/beryltrack/daemon/__init__.py
+++ b/beryltrack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy process: start, logs, metrics, health, status and shutdown."""
+"""The processes of an instance: start, logs, metrics, health, status and shutdown."""
--- a/beryltrack/daemon/caller_bounds.py
+++ b/beryltrack/daemon/caller_bounds.py
@@ -1,25 +1,25 @@
-"""What bounds the connections that an instance takes."""
+"""Limits on the connections that an instance accepts."""
 
 from beryltrack.daemon import node_options as options
 
 
 class CallerBounds:
-    """What bounds callers' connections; see `CallerLimits`."""
+    """Limits on callers' connections; see `CallerLimits`."""
 
     stall = options.STALL_LIMIT
-    waiting = options.MOST_WAITING
+    waiting = options.MAX_PIPELINED_STATEMENTS
     sockets = options.CALLER_SOCKETS
 
     def __init__(self, get_site):
         self._get_site = get_site
 
     def transaction_idle(self) -> float:
-        """Return how long a transaction may rest, seconds; 0 for ever."""
+        """Return how long a transaction may be idle, seconds; 0 for no limit."""
         return self._get_site().transaction_idle
 
 
 class RelayBounds(CallerBounds):
-    """What bounds the sessions of other instances; see `CallerLimits`."""
+    """Limits on the sessions of other instances; see `CallerLimits`."""
 
-    stall = options.RELAY_STALL
+    stall = options.RELAY_STALL_LIMIT
     sockets = options.TARGET_SOCKETS
--- a/beryltrack/daemon/configuration.py
+++ b/beryltrack/daemon/configuration.py
@@ -1,6 +1,6 @@
-"""Reads the configuration as operators write it, while callers are served.
+"""Parses the operators' configuration incrementally, while callers are served.
 
-A change may add more than a thousand routes. Reading them at once would hold up every
+A change may add more than a thousand routes. Parsing them at once would block every
 caller of the instance, and those of the whole fleet at the same moment.
 """
 
@@ -20,16 +20,16 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """A configuration that was read.
+    """A configuration that was parsed.
 
     Parameters
     ----------
     item : PlatformObject
-        The object that it stands in.
+        The object that holds it.
     configuration : SiteConfiguration or None
-        What it says, None if it cannot be read.
+        The parsed configuration, None if it is invalid.
     findings : list of Finding
-        What is wrong with it.
+        The problems found in it.
     """
 
     item: PlatformObject
@@ -43,80 +43,89 @@
 
 
 class ConfigurationTask:
-    """Reads one version after the other, in slices between which others run.
+    """Parses versions in order of arrival, in slices between which the reactor runs.
 
-    None is left out for a later one: after a restore of the store from a backup the
-    later one may be older.
+    No version is skipped in favour of a later one: after a restore of the store from a
+    backup the later one may be older.
 
     Parameters
     ----------
     reactor : IReactorTime
         Source of timers.
     read : callable
-        Returns what an object says, by a given way to read its rows, and the findings.
-    tables : mapping of str to tuple of Field
-        The fields of the rows of its long lists, by their names.
-    take : callable
-        Takes each version that was read; a small one before `read` returns.
+        Parses an object with a given function for its rows; returns the configuration
+        and the findings.
+    schemas : mapping of str to tuple of Field
+        The fields of the rows of its long lists, by the names of the lists.
+    callback : callable
+        Called with each parsed version; for a small one before `read` returns.
     """
 
     def __init__(
         self,
         reactor,
         read: Read,
-        tables: RowSchemas,
-        take: Callable[[ConfigurationRead], object],
+        schemas: RowSchemas,
+        callback: Callable[[ConfigurationRead], object],
     ):
         self._reactor = reactor
         self._read = read
-        self._tables = tables
-        self._take = take
+        self._schemas = schemas
+        self._callback = callback
         self._cache = RowCache()
         self._waiting: deque[PlatformObject] = deque()
-        self._steps: Iterator[None] | None = None
+        self._slices: Iterator[None] | None = None
         self._call = None
 
     def read(self, item: PlatformObject) -> None:
-        """Read a version, after those that wait."""
+        """Queue a version for parsing."""
         self._waiting.append(item)
-        if self._steps is None:
-            self._go_on()
+        if self._slices is None:
+            self._read_next()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Drop the queue and stop parsing."""
         self._waiting.clear()
         if self._call is not None and self._call.active():
             self._call.cancel()
 
-    def _go_on(self) -> None:
-        """Read one slice, or all that takes no longer than one."""
+    def _read_next(self) -> None:
+        """Parse one slice, or all versions that take no more than one."""
         while self._waiting:
             item = self._waiting[0]
-            if self._steps is None:
-                self._steps = self._cache.prepare(item.value, self._tables)
+            if self._slices is None:
+                self._slices = self._cache.prepare(item.value, self._schemas)
             if self._read_slice():
-                self._call = self._reactor.callLater(0, self._go_on)
+                self._call = self._reactor.callLater(0, self._read_next)
                 return
-            self._steps = None
+            self._slices = None
             self._waiting.popleft()
             self._finish(item)
 
     def _read_slice(self) -> bool:
-        """Read one slice ahead; return whether there may be another one.
+        """Parse one slice ahead; return whether there may be another one.
 
-        After a defect nothing more is read ahead: whatever reads the version as a whole
-        meets it or does not.
+        After an exception parsing ahead ends: parsing the version as a whole decides
+        whether the version is valid.
         """
         try:
-            return next(self._steps, _DONE) is not _DONE
+            return next(self._slices, _DONE) is not _DONE
         except Exception:
-            log.exception("settings: Reading ahead met a defect.")
+            log.exception(
+                "settings: Parsing a configuration in slices failed; it is parsed as a "
+                "whole."
+            )
             return False
 
     def _finish(self, item: PlatformObject) -> None:
-        """Give a version that was read; a defect must not hold up the next one."""
+        """Parse a version as a whole and report it.
+
+        An exception must not hold up the next version.
+        """
         try:
             found = self._read(item, self._cache.read_rows)
-            self._take(ConfigurationRead(item, *found))
+            self._callback(ConfigurationRead(item, *found))
         except Exception:
-            log.exception("settings: A change met a defect.")
+            log.exception(
+                "settings: Applying a configuration failed; later versions still apply."
+            )
--- a/beryltrack/daemon/copies.py
+++ b/beryltrack/daemon/copies.py
@@ -1,4 +1,4 @@
-"""The copies of the store's objects that the instances of a fleet share."""
+"""Shares cached copies of the store's objects among the instances of a fleet."""
 
 from beryltrack.objects.copies import CopyPublisher
 from beryltrack.objects.feed import FeedTask
@@ -8,18 +8,18 @@
 
 
 class FleetCopies:
-    """Tells others what this instance knows of the store, and is told by others.
+    """Publishes this instance's cached copies and follows those of another instance.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
         Source of connections and timers.
     feeds : tuple of FeedTask
-        The kinds that are shared; the first one finds out whether the store answers.
+        The kinds that are shared; the first one detects whether the store answers.
     own : Peer
         This instance.
     seeds : tuple of Endpoint, optional
-        Where others may tell this one while it knows none of them.
+        Publishers to try while this instance knows no other one.
     """
 
     def __init__(
@@ -29,24 +29,24 @@
         own: Peer,
         seeds: tuple[Endpoint, ...] = (),
     ):
-        self.port = CopyPublisher(reactor, feeds)
+        self.publisher = CopyPublisher(reactor, feeds)
         self._follow = FollowTask(reactor, feeds, own, seeds=seeds)
 
     @property
     def source(self) -> str:
-        """The name of the instance that tells this one; empty if none does."""
+        """The name of the instance that is followed; empty if none is."""
         return self._follow.source
 
     def start(self) -> None:
-        """Begin to tell and to be told."""
-        self.port.start()
+        """Start to publish and to follow."""
+        self.publisher.start()
         self._follow.start()
 
     def stop(self) -> None:
-        """End all links."""
+        """Close all links."""
         self._follow.stop()
-        self.port.stop()
+        self.publisher.stop()
 
     def set_peers(self, peers: tuple[Peer, ...]) -> None:
-        """Take all instances that are known."""
+        """Set the known instances."""
         self._follow.set_peers(peers)
--- a/beryltrack/daemon/fleet.py
+++ b/beryltrack/daemon/fleet.py
@@ -1,7 +1,7 @@
-"""The place of an instance among the others: views, ranks and chosen duties.
+"""Connects a proxy to its peers: membership, shared group views, owners and duties.
 
-What one instance learns of a group's primary the others take as a hint, and
-all of them rank candidates over the same live members.
+Instances share what they learn about a group's primary as hints, and rank failover
+candidates over the same live members.
 """
 
 import logging
@@ -28,21 +28,21 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_PERIOD = 0.5
-"""Seconds between two looks at who owns which group."""
+REFRESH_PERIOD = 0.5
+"""Seconds between two updates of the owners of all groups."""
 
 _ACTIVE_STATES = frozenset((JOINED, SUSPECTED))
 
 
 class FleetTask:
-    """Ties the groups of an instance to its peers.
+    """Connects the groups of an instance to its peers.
 
     Parameters
     ----------
     reactor : reactor
         Source of sockets and timers.
     settings : InstanceSettings
-        What the instance's settings file says.
+        The instance's settings file.
     settings_task : SettingsTask
         The settings in force, to be shared.
     platform : PlatformClient
@@ -50,7 +50,7 @@
     groups : GroupTable
         The groups of this instance.
     handler : ForwardHandler
-        Runs requests that other instances pass on.
+        Runs requests that other instances forward.
     rng : random.Random
         Source of jitter.
     """
@@ -65,7 +65,7 @@
         handler: ForwardHandler,
         rng: random.Random,
     ):
-        # Seconds since 1970 rise with each start of the process.
+        # The Unix time in seconds increases with each start of the process.
         incarnation = int(time.time())
         self.service = PeerService(
             reactor, settings, settings_task, platform, rng, incarnation
@@ -84,19 +84,19 @@
             incarnation,
         )
         self.forwarder = Forwarder(reactor, self.peers, handler, self.get_owner_names)
-        self._hints = PrimaryRecordWriter(reactor, platform, rng)
-        platform.eras.subscribe(lambda era: self._hints.rewrite_all())
-        self._writing: set[Deferred] = set()
+        self._primary_records = PrimaryRecordWriter(reactor, platform, rng)
+        platform.eras.subscribe(lambda era: self._primary_records.rewrite_all())
+        self._pending_writes: set[Deferred] = set()
         self._sharing = GroupSharing(self.peers, self.get_owner_names)
-        self._told_owners: dict[str, tuple[str, ...]] = {}
-        self._looking = LoopingCall(self._look_at_groups)
-        self._looking.clock = reactor
+        self._known_owners: dict[str, tuple[str, ...]] = {}
+        self._refresh_loop = LoopingCall(self._refresh_groups)
+        self._refresh_loop.clock = reactor
 
     @property
     def nodes(self) -> tuple[str, ...]:
         """Names of the live instances, this one among them."""
         members = self.peers.members
-        # All groups ask at each change; the peers keep one tuple between changes.
+        # All groups read this at each change; the peers keep one tuple between changes.
         if members is not self._known_members:
             self._known_members = members
             self._nodes = tuple(
@@ -105,87 +105,87 @@
         return self._nodes
 
     def start(self) -> None:
-        """Look for peers, and share what is known of groups."""
+        """Discover peers and start to share group views."""
         self.service.start()
         self.budget.start()
         self.forwarder.start()
-        self._looking.start(LOOK_PERIOD)
-        self._groups.subscribe_started(self._watch_group)
-        self._groups.subscribe_stopped(self._forget_group)
+        self._refresh_loop.start(REFRESH_PERIOD)
+        self._groups.subscribe_started(self._add_group)
+        self._groups.subscribe_stopped(self._remove_group)
 
     def leave(self) -> None:
-        """Tell the peers that this instance is leaving; it keeps its shares."""
+        """Announce to the peers that this instance leaves; it keeps its shares."""
         self.service.leave()
         self.forwarder.leave()
 
     async def stop(self) -> None:
-        """Give up the shares, tell the peers, and close everything.
+        """Release the shares, notify the peers, and close everything.
 
-        The connections to databases must be closed by now: requests in flight
-        need them until then.
+        The connections to databases must be closed before: requests in flight need
+        them, and they need the shares.
         """
-        if self._looking.running:
-            self._looking.stop()
+        if self._refresh_loop.running:
+            self._refresh_loop.stop()
         await self.budget.leave()
         self.budget.stop()
         self.forwarder.stop()
-        for writing in tuple(self._writing):
+        for writing in tuple(self._pending_writes):
             writing.cancel()
         await self.service.stop()
 
-    def is_chosen(self, group: str) -> bool:
-        """Return whether this instance does the duties of a group that one does."""
+    def is_duty_holder(self, group: str) -> bool:
+        """Return whether this instance has a group's duties of a single instance."""
         return self._name in get_owners(group, self.peers.members, 1)
 
     def get_owner_names(self, group: str) -> tuple[str, ...]:
         """Return the live instances that run a group's requests, best rank first.
 
-        An instance that knows of no owner acts as one.
+        An instance that knows no live owner acts as the owner.
         """
         return self._get_live_owners(group) or (self._name,)
 
     def knows_owners(self, group: str) -> bool:
-        """Return whether an owner of a group is known that is live."""
+        """Return whether a live owner of a group is known."""
         return bool(self._get_live_owners(group))
 
     def _get_live_owners(self, group: str) -> tuple[str, ...]:
-        """Return the holders of a group's seats that are live, best rank first."""
+        """Return the live holders of a group's seats, best rank first."""
         live = self.nodes
         names = map(get_holder_name, self.budget.task.get_owners(group))
         return tuple(name for name in names if name in live)
 
-    def _watch_group(self, runtime: GroupRuntime) -> None:
-        """Share the view of a group that starts, and take what is known of it."""
+    def _add_group(self, runtime: GroupRuntime) -> None:
+        """Share the view of a group that starts, and set its owners."""
         self.budget.add_pools(runtime.settings, runtime.pools)
         self._sharing.add(runtime.task)
-        self._look_at_group(runtime)
+        self._refresh_group(runtime)
         runtime.task.subscribe_failover(self._record_failover)
 
-    def _forget_group(self, runtime: GroupRuntime) -> None:
-        """Forget the shares of a group that has stopped."""
+    def _remove_group(self, runtime: GroupRuntime) -> None:
+        """Remove the shares of a group that has stopped."""
         self._sharing.remove(runtime.task)
-        self._told_owners.pop(runtime.settings.name, None)
+        self._known_owners.pop(runtime.settings.name, None)
         self.budget.remove_pools(runtime.settings)
 
-    def _look_at_groups(self) -> None:
-        """Start the groups that this instance owns; rank candidates by owners."""
+    def _refresh_groups(self) -> None:
+        """Start the groups that this instance owns, and update all groups' owners."""
         for runtime in self._groups.runtimes:
-            self._look_at_group(runtime)
+            self._refresh_group(runtime)
 
-    def _look_at_group(self, runtime: GroupRuntime) -> None:
-        """Follow who owns one group."""
+    def _refresh_group(self, runtime: GroupRuntime) -> None:
+        """Start a group if this instance owns it; update its failover candidates."""
         group = runtime.settings.name
         holders = self.budget.task.get_owners(group)
         if any(get_holder_name(holder) == self._name for holder in holders):
             runtime.ensure_started()
         owners = self.get_owner_names(group)
-        if self._told_owners.get(group) != owners:
-            self._told_owners[group] = owners
+        if self._known_owners.get(group) != owners:
+            self._known_owners[group] = owners
             runtime.task.set_nodes(owners)
 
     def _record_failover(self, report: FailoverReport) -> None:
-        """Keep a change of primary that this instance made in the platform."""
-        writing = self._hints.write(report)
-        self._writing.add(writing)
+        """Record in the platform a change of primary that this instance made."""
+        writing = self._primary_records.write(report)
+        self._pending_writes.add(writing)
         writing.addErrback(lambda failure: failure.trap(CancelledError))
-        writing.addBoth(lambda _: self._writing.discard(writing))
+        writing.addBoth(lambda _: self._pending_writes.discard(writing))
--- a/beryltrack/daemon/health.py
+++ b/beryltrack/daemon/health.py
@@ -1,7 +1,7 @@
 """HTTP endpoint of one instance: health, metrics and status.
 
-The balancer asks ``/health``, the scraper ``/metrics``, and the operators' tool
-``/status``. Nothing here changes anything.
+The load balancer reads ``/health``, the metrics scraper ``/metrics``, and the
+operators' tool ``/status``. All pages are read-only.
 """
 
 import json
@@ -11,7 +11,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from beryltrack.daemon.pages import JSON, TEXT, Page, make_site, render_live
+from beryltrack.daemon.pages import JSON, TEXT, Page, make_live_page, make_site
 from beryltrack.daemon.status import InstanceStatus, encode_status
 
 
@@ -28,7 +28,7 @@
         Returns False before the instance can serve and once it is leaving; the
         balancer then sends no new callers.
     render_metrics : callable
-        Returns the metrics in the text form of Prometheus.
+        Returns the metrics in the text format of Prometheus.
     get_status : callable
         Returns the instance's status.
 
@@ -42,7 +42,7 @@
         return OK, json.dumps(encode_status(get_status())).encode()
 
     root = Resource()
-    root.putChild(b"health", render_live(is_live))
+    root.putChild(b"health", make_live_page(is_live))
     root.putChild(b"metrics", Page(TEXT, lambda: (OK, render_metrics())))
     root.putChild(b"status", Page(JSON, render_status))
     return make_site(root)
--- a/beryltrack/daemon/lifecycle.py
+++ b/beryltrack/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an instance's process: its ports, its signals and its exit code."""
+"""The lifecycle of an instance's process: ports, signals and exit code."""
 
 import logging
 import signal
@@ -17,11 +17,11 @@
 EXIT_DONE = 0
 EXIT_FAILED = 1
 
-_END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Instance(Protocol):
-    """What a process runs from its start until it is told to end."""
+    """The service that a process runs from its start until its shutdown."""
 
     def start(self) -> None:
         """Listen and begin to work.
@@ -29,7 +29,7 @@
         Raises
         ------
         CannotListenError
-            If a port cannot be had.
+            If a port is in use or cannot be bound.
         """
 
     async def leave(self) -> None:
@@ -44,9 +44,9 @@
     reactor : reactor
         The reactor; it is run here.
     instance : Instance
-        What to run.
+        The instance.
     endpoints : iterable of Endpoint
-        Where it listens.
+        Its listening addresses.
     """
 
     def __init__(self, reactor, instance: Instance, endpoints: Iterable[Endpoint]):
@@ -63,49 +63,55 @@
         self._reactor.callWhenRunning(self._begin)
         self._reactor.addSystemEventTrigger("before", "shutdown", self._leave)
         self._reactor.run()
-        # A signal that is repeated must not replace the exit code of what has ended.
-        for number in _END_SIGNALS:
+        # A repeated signal must not replace the exit code after the shutdown.
+        for number in _STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         return self._exit_code
 
     def _begin(self) -> None:
-        """Take signals, and start once the ports are free."""
-        for number in _END_SIGNALS:
-            signal.signal(number, self._take_signal)
+        """Install the signal handlers, and start once the ports are free."""
+        for number in _STOP_SIGNALS:
+            signal.signal(number, self._handle_signal)
         self._starting = Deferred.fromCoroutine(self._start())
         self._starting.addErrback(self._fail)
 
     async def _start(self) -> None:
-        """Start the instance."""
+        """Wait for the ports and start the instance."""
         await wait_until_free(self._reactor, self._endpoints)
         self._instance.start()
         self._has_started = True
 
     def _fail(self, failure: Failure) -> None:
-        """End the process, so that whoever watches it starts it again."""
+        """End the process with an error, so that its supervisor restarts it."""
         if failure.check(CancelledError):
             return
         if failure.check(CannotListenError):
-            log.error("daemon: Cannot listen: %s", failure.getErrorMessage())
+            log.error(
+                "daemon: Instance cannot listen, the process ends: %s",
+                failure.getErrorMessage(),
+            )
         else:
-            log.error("daemon: Cannot start: %s", failure.getTraceback())
+            log.error(
+                "daemon: Instance cannot start, the process ends: %s",
+                failure.getTraceback(),
+            )
         self._exit_code = EXIT_FAILED
         self._stop()
 
-    def _take_signal(self, number: int, frame: object) -> None:
+    def _handle_signal(self, number: int, frame: object) -> None:
         """Handle a signal that asks the process to end."""
         self._reactor.callFromThread(self._stop)
 
     def _stop(self) -> None:
         """Begin the shutdown, unless it has begun."""
         if self._is_leaving:
-            log.info("daemon: A repeated signal changes nothing, the instance leaves.")
+            log.info("daemon: Repeated signal ignored, the shutdown has already begun.")
             return
         self._is_leaving = True
         self._reactor.stop()
 
     def _leave(self) -> Deferred | None:
-        """Return what the end of the process waits for."""
+        """Shut the instance down; the reactor stops when the result fires."""
         if not self._has_started:
             self._starting.cancel()
             return None
--- a/beryltrack/daemon/line_group_factory.py
+++ b/beryltrack/daemon/line_group_factory.py
@@ -1,4 +1,4 @@
-"""The parts of a group whose databases speak the users' line protocol."""
+"""Creates the parts of groups whose databases speak the users' line protocol."""
 
 import random
 from weakref import WeakValueDictionary
@@ -31,7 +31,7 @@
 
 
 class LineGroupFactory:
-    """Makes the tasks and pools of groups; see `GroupFactory`.
+    """Creates the tasks and pools of groups; see `GroupFactory`.
 
     Parameters
     ----------
@@ -42,24 +42,24 @@
     promotion : PromotionCalls
         The service that carries out promotions.
     authority : PromotionAuthority
-        Gives the permits to promote.
+        Grants the permits to promote.
     directory : RelayDirectory
-        Says through which instance a connection goes.
+        Chooses the instance through which a connection goes.
     rng : random.Random
         Source of jitter.
     is_fenced : bool
-        True if promotions are fenced, and a replaced primary leads no more.
+        True if promotions are fenced: a replaced primary then refuses writes.
     policies : NodePolicies
-        What steers this instance's decisions.
+        The policies of this instance.
     quota : QuotaDecider
         Counts the operations of accounts that run here.
     incarnation : int
         Number of this instance's process, higher than those of earlier ones.
     traffic : ZoneTraffic
-        Opens the connections.
+        Opens the connections and counts their bytes.
     """
 
-    keeps_members = True
+    supports_member_changes = True
     losses = options.LOSSES
 
     def __init__(
@@ -92,7 +92,7 @@
             WeakValueDictionary()
         )
         self.owner_loads = ReportedOwnerLoads(self._seconds, self._get_report)
-        self._retries: RetryBudget | None = None
+        self._retry_budget: RetryBudget | None = None
         self._ingress = IngressAdmission(self.owner_loads, rng)
         self._incarnation = incarnation
         self._pools: WeakValueDictionary[tuple[str, str], DatabaseAccess] = (
@@ -105,26 +105,26 @@
             lambda group, database: (group, database) in self._pools,
             OpenPolicy(
                 options.RELAY_CONNECT_TIMEOUT,
-                options.CONTROL_CONNECT,
+                options.CONTROL_CONNECT_TIMEOUT,
                 policies.uses_indirect_paths,
             ),
             self.owner_loads,
         )
 
-    def set_retries(self, retries: RetryBudget) -> None:
-        """Let all ways to a database draw on the budget of the requests' repeats."""
-        self._retries = retries
+    def set_retry_budget(self, retries: RetryBudget) -> None:
+        """Set the budget that repeats through another owner share with requests."""
+        self._retry_budget = retries
 
     def make_task(self, group: GroupSettings) -> GroupTask:
         """Return the task that watches a group."""
         opener = self._opener
         calls = ControlCalls(
             self._reactor,
-            lambda item: opener.open(group.name, item, options.CONTROL_CONNECT),
-            options.CONTROL,
+            lambda item: opener.open(group.name, item, options.CONTROL_CONNECT_TIMEOUT),
+            options.CONTROL_LIMITS,
             opener.observe_silence,
             lambda database: self._pools.get((group.name, database)),
-            options.CONTROL_IDLE,
+            options.CONTROL_IDLE_TIMEOUT,
         )
         adapter = LineDatabaseGroup(group, self._promotion, calls, self._is_fenced)
         proof = (
@@ -162,7 +162,7 @@
                 database,
                 lambda account: opener.open_session(group.name, database, owner),
                 policies.relayed_pools,
-                limit=options.RELAY_STREAMS,
+                limit=options.MAX_RELAY_SESSIONS,
                 rng=self._rng,
             )
 
@@ -192,10 +192,12 @@
                 self._directory.is_unreachable(database.name)
                 and self._directory.counts_here(account)
             ),
-            admit_ingress=lambda via, demand: self._judge(via, database.name, demand),
-            estimate=lambda via, demand: self._expect(via, database.name, demand),
+            admit_ingress=lambda via, demand: self._admit_ingress(
+                via, database.name, demand
+            ),
+            estimate=lambda via, demand: self._estimate(via, database.name, demand),
             seconds=self._seconds,
-            may_retry=lambda: self._retries is None or self._retries.draw(),
+            may_retry=lambda: self._retry_budget is None or self._retry_budget.draw(),
             make_gate=self._make_gate,
         )
         self._pools[group.name, database.name] = access
@@ -203,24 +205,24 @@
         return access
 
     def _get_report(self, database: str) -> DatabaseReport | None:
-        """Return what this instance tells others of a database."""
+        """Return the load that this instance reports to others for a database."""
         access = self._by_database.get(database)
         return access.get_report() if access is not None else None
 
-    def _expect(self, via: str, database: str, demand: Demand) -> ExpectedTimes:
-        """Return what an operation may expect of a database through an instance."""
+    def _estimate(self, via: str, database: str, demand: Demand) -> ExpectedTimes:
+        """Return the times that an operation may expect through an instance."""
         owner_loads = self.owner_loads
         wait = owner_loads.get_wait(via, database, demand.priority)
         return ExpectedTimes(wait, owner_loads.get_service_time(database))
 
-    def _judge(self, via: str, database: str, demand: Demand) -> float:
-        """Decide whether an operation goes to another instance."""
+    def _admit_ingress(self, via: str, database: str, demand: Demand) -> float:
+        """Return 0 to pass an operation on, else seconds until a retry is allowed."""
         if not self._policies.uses_owner_reports:
             return 0.0
         return self._ingress.decide(via, database, demand, self._seconds())
 
     def _make_gate(self) -> GateTask:
-        """Return what decides which operations run at a database."""
+        """Return the gate that admits and limits the operations of a database."""
         decider = GateDecider(self._policies.load, self._rng, self._incarnation)
         return GateTask(self._reactor, decider)
 
@@ -241,5 +243,5 @@
             timeout,
             options.TARGET_SOCKETS,
             account,
-            options.REACH_TIME,
+            options.REACH_TIMEOUT,
         )
--- a/beryltrack/daemon/load_status.py
+++ b/beryltrack/daemon/load_status.py
@@ -1,7 +1,7 @@
-"""The status of one instance on the users' platform: queues, limits, who decides.
+"""The status page of one instance on the users' platform: queues, limits and owners.
 
-A page of its own beside the metrics, as these are numbers only: who owns a group, and
-through whom this instance goes, are names.
+It complements the metrics, which are numbers only: the owners of a group and the owner
+that this instance uses are names.
 """
 
 import json
@@ -14,7 +14,7 @@
 from twisted.web.http import OK
 
 from beryltrack.accounts.slots import SLOT_COUNT
-from beryltrack.daemon.group_connections import get_most_connections
+from beryltrack.daemon.group_connections import get_max_connections
 from beryltrack.daemon.plain_pages import JSON, Page, RenderPage
 from beryltrack.load.gate_status import GateSource, GateStatus
 from beryltrack.load.messages import LOWEST_PRIORITY, OwnerLoads
@@ -25,7 +25,7 @@
 
 
 class DatabaseLoad(NamedTuple):
-    """What this instance has to do with one database.
+    """The load of one database as seen by this instance.
 
     Parameters
     ----------
@@ -34,12 +34,12 @@
     busy : int
         Connections and sessions that run a statement or a transaction.
     waiting : int
-        Requests that wait for one here.
+        Requests that wait here for a connection or session.
     limit : int
-        How many there may be.
+        Highest number of connections and sessions.
     waits : tuple of float
-        Expected wait through the owner that is asked next, seconds, by priority; empty
-        if this instance owns the group or knows none.
+        Expected wait through the owner that is used next, seconds, by priority; empty
+        if this instance owns the group or knows no owner.
     """
 
     name: str
@@ -50,7 +50,7 @@
 
 
 class GroupLoad(NamedTuple):
-    """Who decides for one group, and what waits for it here.
+    """The owners of one group, and its load as seen by this instance.
 
     Parameters
     ----------
@@ -61,9 +61,9 @@
     primary : str
         That primary; empty if none is known.
     owners : tuple of str
-        Instances that decide for it; empty if each decides for itself.
+        Instances that open connections for it; empty if all instances do.
     way : str
-        The owner that is asked next; empty if this instance decides itself.
+        The owner that is used next; empty if this instance connects directly.
     databases : tuple of DatabaseLoad
         Its databases.
     """
@@ -86,16 +86,16 @@
     zone : str
         Its availability zone.
     state : str
-        Where it stands between its start and its end.
+        ``starting``, ``live`` or ``leaving``.
     settings_version : int
         Version of the settings in force.
     groups : tuple of GroupLoad
         All groups.
     gates : tuple of GateStatus
-        What it decides as an owner.
+        The gates that it runs as an owner.
     account_slots : mapping of str to int
-        Of the slots of accounts, how many each owner decides for as this instance sees
-        it; empty where there are no accounts.
+        Number of account hash slots that each owner has, as this instance sees it;
+        empty without accounts.
     """
 
     instance: str
@@ -108,7 +108,7 @@
 
 
 class PoolGates:
-    """What the gates of an instance's pools report and count; see `GateSource`.
+    """The reports and counters of the gates of an instance's pools; see `GateSource`.
 
     Parameters
     ----------
@@ -120,7 +120,7 @@
         self._get_runtimes = get_runtimes
 
     def list_gates(self) -> Iterable[GateStatus]:
-        """Return what each gate reports."""
+        """Return the status of each gate."""
         for runtime in self._get_runtimes():
             for name, pool in runtime.pools.items():
                 report, counters = pool.get_report(), pool.get_counters()
@@ -138,16 +138,16 @@
 
 
 class LoadView:
-    """Puts the status of an instance's load together.
+    """Builds the status of an instance's load.
 
     Parameters
     ----------
     directory : RelayDirectory
-        Says who owns each group.
+        Knows the owners of each group.
     get_runtimes : callable
         Returns the groups.
     owner_loads : OwnerLoads or None
-        What is known of the load through owners.
+        Estimates of the owners' load.
     """
 
     def __init__(
@@ -164,7 +164,7 @@
     def build(
         self, instance: str, zone: str, state: str, settings_version: int
     ) -> LoadStatus:
-        """Return the status as it is now."""
+        """Return the current status."""
         return LoadStatus(
             instance,
             zone,
@@ -176,18 +176,18 @@
         )
 
     def _build_group(self, runtime: GroupRuntime) -> GroupLoad:
-        """Return who decides for a group, and what waits for it here."""
-        name, limit = runtime.settings.name, get_most_connections(runtime.settings)
+        """Return the owners of a group, and its load as seen by this instance."""
+        name, limit = runtime.settings.name, get_max_connections(runtime.settings)
         owners = self._directory.get_placement(name, limit).owners
-        way = self._directory.choose_owner(name, limit)
-        way_name = way.name if way is not None else ""
+        owner = self._directory.choose_owner(name, limit)
+        via = owner.name if owner is not None else ""
         databases = (
             DatabaseLoad(
                 database,
                 pool.load.in_use,
                 pool.load.waiting,
                 pool.load.limit,
-                self._get_waits(way_name, database),
+                self._get_waits(via, database),
             )
             for database, pool in runtime.pools.items()
         )
@@ -196,7 +196,7 @@
             runtime.view.term,
             runtime.view.primary,
             tuple(owner.name for owner in owners),
-            way_name,
+            via,
             tuple(databases),
         )
 
@@ -210,7 +210,7 @@
         )
 
     def _count_slots(self) -> Mapping[str, int]:
-        """Return how many slots of accounts each owner decides for."""
+        """Return the number of account hash slots of each owner."""
         if not self._directory.has_accounts:
             return {}
         choose = self._directory.choose_slot_owner
@@ -218,29 +218,32 @@
 
 
 def make_status_page(get_status: Callable[[], LoadStatus]) -> RenderPage:
-    """Return the page that shows the status as JSON."""
+    """Return a page that shows the status as JSON."""
 
     def render() -> Page:
-        body = json.dumps(simplify(get_status())) + "\n"
+        body = json.dumps(to_json_value(get_status())) + "\n"
         return Page(OK, body.encode(), JSON)
 
     return render
 
 
-def simplify(value: object) -> object:
-    """Return a value in the forms that JSON has; an infinite number becomes null.
+def to_json_value(value: object) -> object:
+    """Convert a value to types that JSON has; an infinite number becomes null.
 
-    The converter of `beryltrack.json_form` would cost an instance its import.
+    The converter of `beryltrack.json_form` is not used as its import slows the start.
     """
     match value:
         case Enum():
             return value.name.lower()
         case Mapping():
-            return {str(simplify(key)): simplify(each) for key, each in value.items()}
+            return {
+                str(to_json_value(key)): to_json_value(each)
+                for key, each in value.items()
+            }
         case tuple() if hasattr(value, "_asdict"):
-            return simplify(value._asdict())
+            return to_json_value(value._asdict())
         case tuple():
-            return [simplify(each) for each in value]
+            return [to_json_value(each) for each in value]
         case float() if not math.isfinite(value):
             return None
         case _:
--- a/beryltrack/daemon/local.py
+++ b/beryltrack/daemon/local.py
@@ -1,4 +1,4 @@
-"""The process of the local site: it tells where all listens, and makes the tour."""
+"""The process of the local site: prints all listening addresses and runs the tour."""
 
 import json
 import logging
@@ -32,14 +32,14 @@
     Returns
     -------
     int
-        0 if all of the tour held.
+        0 if all steps of the tour passed.
     """
     use_monotonic_time(reactor)
     local = LocalProcess(once, proxies)
     reactor.callWhenRunning(local.start)
     reactor.addSystemEventTrigger("before", "shutdown", local.stop)
     reactor.run()
-    return EXIT_DONE if local.held else EXIT_FAILED
+    return EXIT_DONE if local.has_passed else EXIT_FAILED
 
 
 class LocalProcess:
@@ -54,13 +54,13 @@
     """
 
     def __init__(self, once: bool, proxies: int):
-        self.held = False
+        self.has_passed = False
         self._once = once
         self._site = LocalSite(reactor)
         self._local = LocalProxies(reactor, self._site, proxies)
 
     def start(self) -> None:
-        """Start everything, then make the tour."""
+        """Start everything, then run the tour."""
         running = Deferred.fromCoroutine(self._run())
         running.addErrback(self._report)
 
@@ -73,14 +73,14 @@
         self._print_ready()
         endpoints = [proxy.endpoint for proxy in self._local.proxies]
         control = self._site.control_url
-        self.held = await run_tour(reactor, endpoints, GROUP, USER, control)
+        self.has_passed = await run_tour(reactor, endpoints, GROUP, USER, control)
         if self._once:
             reactor.stop()
         else:
             self._print_help()
 
     def _print_ready(self) -> None:
-        """Print the line that tells where everything listens."""
+        """Print one JSON line with all listening addresses."""
         ready = {
             "event": "ready",
             "proxies": [
@@ -100,7 +100,7 @@
         print(json.dumps(ready), flush=True)
 
     def _print_help(self) -> None:
-        """Say how to go on."""
+        """Print how to connect and how to stop."""
         endpoint = self._local.proxies[0].endpoint
         print(
             f"Connect with: psql 'host={endpoint.host} port={endpoint.port}"
@@ -109,8 +109,8 @@
         )
 
     def _report(self, failure) -> None:
-        """Log why the local site ended."""
-        log.error("local: %s", failure.getTraceback())
+        """Log the failure of the local site and stop."""
+        log.error("local: Local site failed and stops: %s", failure.getTraceback())
         reactor.stop()
 
 
--- a/beryltrack/daemon/local_site.py
+++ b/beryltrack/daemon/local_site.py
@@ -1,7 +1,7 @@
 """Stand-ins and proxies in one process, for the local site and for tests.
 
-Only this module of the package imports the stand-ins, and it is imported only
-when a local site is asked for.
+Only this module of the package imports the stand-ins, and only ``beryltrackd local``,
+the tests and the benchmarks import it.
 """
 
 import random
@@ -28,11 +28,11 @@
 DRAIN_LIMIT = 5.0
 PEER_KEY = "local-site-only"
 READY_TIMEOUT = 20.0
-LOOK_PERIOD = 0.02
+POLL_INTERVAL = 0.02
 
 
 class LocalProxies:
-    """A local site and the proxies before it.
+    """A local site of stand-ins and the proxies that serve it.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         await self.site.stop()
 
     async def start_proxy(self, number: int) -> Proxy:
-        """Start one more proxy, enter it in the instance list and return it."""
+        """Start one more proxy, add it to the instance list and return it."""
         settings = self._make_settings(number)
         proxy = Proxy(self._reactor, settings, random.Random(number))
         self.proxies.append(proxy)
@@ -79,20 +79,32 @@
         return proxy
 
     async def wait_ready(self, proxies: list[Proxy] | None = None) -> None:
-        """Wait until proxies serve writes; all of them if none are named."""
-        give_up_at = self._reactor.seconds() + READY_TIMEOUT
+        """Wait until the given proxies serve writes; all of them by default.
+
+        Raises
+        ------
+        TimeoutError
+            If they do not within `READY_TIMEOUT` seconds.
+        """
+        deadline = self._reactor.seconds() + READY_TIMEOUT
         while not all(map(_is_ready, proxies or self.proxies)):
-            if self._reactor.seconds() > give_up_at:
-                raise TimeoutError("the local site did not get ready")
-            await deferLater(self._reactor, LOOK_PERIOD, lambda: None)
+            if self._reactor.seconds() > deadline:
+                raise TimeoutError("the proxies of the local site serve no writes yet")
+            await deferLater(self._reactor, POLL_INTERVAL, lambda: None)
 
     async def wait_owners_known(self) -> None:
-        """Wait until every proxy knows who leads and who owns the connections."""
-        give_up_at = self._reactor.seconds() + READY_TIMEOUT
+        """Wait until every proxy knows the group's primary and owners.
+
+        Raises
+        ------
+        TimeoutError
+            If one does not within `READY_TIMEOUT` seconds.
+        """
+        deadline = self._reactor.seconds() + READY_TIMEOUT
         while not all(map(_knows_owners, self.proxies)):
-            if self._reactor.seconds() > give_up_at:
-                raise TimeoutError("the proxies do not know each other")
-            await deferLater(self._reactor, LOOK_PERIOD, lambda: None)
+            if self._reactor.seconds() > deadline:
+                raise TimeoutError("a proxy of the local site knows no owner yet")
+            await deferLater(self._reactor, POLL_INTERVAL, lambda: None)
 
     async def write(self, path: str, settings: dict[str, object]) -> None:
         """Write one settings object, as an operator does."""
@@ -111,7 +123,7 @@
             raise RuntimeError(f"cannot write {path}: {result.failure()}")
 
     async def _list_instance(self, proxy: Proxy) -> None:
-        """Enter a proxy in the instance list, as the platform does by itself."""
+        """Add a proxy to the instance list, as a real platform does itself."""
         own = proxy.fleet.peers.own
         entry = {
             "host": own.host,
@@ -151,7 +163,7 @@
         Parameters
         ----------
         draining : frozenset of str
-            Names of the databases that are to get no new work.
+            Names of the databases that get no new work.
         """
         databases = [
             {
@@ -179,7 +191,7 @@
 
 
 def _knows_owners(proxy: Proxy) -> bool:
-    """Return whether a proxy can serve or pass on requests."""
+    """Return whether a proxy can serve or forward requests."""
     runtime = proxy.groups.get(GROUP)
     if runtime is None:
         return False
--- a/beryltrack/daemon/logs.py
+++ b/beryltrack/daemon/logs.py
@@ -1,8 +1,7 @@
-"""Structured logs: one JSON object a line on standard error.
+"""Structured logs: one JSON object per line on standard error.
 
-Messages begin with the part that wrote them, as in ``routing: no replica``. The
-formatter puts that prefix into a field of its own, so that a search by part
-needs no pattern.
+Messages begin with the component that logs them, as in ``routing: no replica``. The
+formatter copies that prefix into the field ``part``, to filter logs by component.
 """
 
 import logging
@@ -18,7 +17,7 @@
 RENAMED = {"levelname": "level", "name": "logger"}
 
 
-class PartFormatter(JsonFormatter):
+class ComponentFormatter(JsonFormatter):
     """Writes a record as JSON with the field ``part``.
 
     Parameters
@@ -36,7 +35,7 @@
         )
 
     def process_log_record(self, log_data: dict[str, object]) -> dict[str, object]:
-        """Add the part that wrote the record, if its message names one."""
+        """Add the component that logged the record, if its message names one."""
         match = PREFIX.match(str(log_data.get("message", "")))
         if match:
             log_data["part"] = match.group(1)
@@ -53,15 +52,15 @@
     instance : str
         Name of the instance, written into each line.
     level : str
-        Least level that is written, a name of the `logging` module.
+        Minimum level, a name of the `logging` module.
     stream : TextIO, optional
-        Where the lines go; standard error by default.
+        Output of the lines; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
-    handler.setFormatter(PartFormatter(instance))
+    handler.setFormatter(ComponentFormatter(instance))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # Twisted logs each connection at its level "info"; that is noise here.
+    # Twisted logs each connection at its level "info".
     logging.getLogger("twisted").setLevel(logging.WARNING)
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
--- a/beryltrack/daemon/main.py
+++ b/beryltrack/daemon/main.py
@@ -38,7 +38,7 @@
                 self.line_error(format_finding(finding))
             return EXIT_FINDINGS
         configure_logs(settings.name, self.option("log-level"))
-        # The reactor is imported late, so that a wrong file needs none.
+        # The reactor is imported only once the settings file is valid.
         from beryltrack.daemon.process import run_proxy
 
         return run_proxy(settings)
--- a/beryltrack/daemon/members.py
+++ b/beryltrack/daemon/members.py
@@ -1,14 +1,14 @@
-"""Which instances there are: each registers itself in the store, and looks after one.
+"""Fleet membership: instances register in the store and check each other in a ring.
 
-Nothing in the store goes away by itself, and an instance that is lost for good says
-nothing. So each instance looks now and then whether the next one in the order of
-names still takes connections, and takes away the object of one that does not. That
-costs the store no call while nothing changes. An instance that finds its own object
-gone while it lives registers again.
+Objects in the store do not expire, and an instance that crashes for good does not
+deregister. So each instance checks periodically whether its successor in the ring of
+names accepts connections, and removes the object of one that does not. That costs the
+store no call while nothing changes. A running instance that finds its own object
+missing registers again.
 
-A store that is restored from a backup has forgotten who registered since. They are
-still known for a while, in which they register again. One that cannot, as the store
-turns it away, is registered by the one that looks after it.
+A store that is restored from a backup lacks the instances that registered after the
+backup. They remain known for `UNLISTED_EXPIRY` seconds, in which they register again.
+An instance that the store refuses is registered by its predecessor in the ring.
 """
 
 import logging
@@ -41,36 +41,38 @@
 log = logging.getLogger(__name__)
 
 KIND = "members"
-"""Kind of the objects by which instances know of each other."""
+"""Kind of the objects by which instances discover each other."""
 
 CHECK_PERIOD = 2.0
-"""Seconds between two looks at the next instance."""
+"""Seconds between two liveness checks of the successor."""
 
 CHECK_TIMEOUT = 1.0
-"""Seconds within which an instance takes a connection."""
+"""Seconds within which an instance must accept a connection."""
 
-MOST_MISSES = 4
-"""Looks in a row without a connection after which an instance counts as gone: longer
-than a restart takes, 1 to 4 s."""
+MAX_MISSES = 4
+"""Consecutive failed checks after which an instance is removed: longer than a restart
+takes, 1 to 4 s."""
 
-WATCH_GAP = 1.5
-"""Seconds between two watches of the members: all of a fleet register at a start."""
+BATCH_DELAY = 1.5
+"""Seconds between two watches of the members, as all instances of a fleet register at
+a start."""
 
-WATCH_WAIT = 5.0
-"""Seconds that a watch waits for a change. One that is lost in a silent store hides
-for so long that an instance has come or gone; the call costs a tenth of another."""
+WATCH_TIMEOUT = 5.0
+"""Seconds that a watch waits for a change. A watch that a silent store received hides
+for this time that an instance has joined or left; the call costs a tenth of another."""
 
 RETRY_PERIOD = 0.5
 """Seconds between two attempts to register."""
 
-FORGOTTEN_TIME = 10.0
-"""Seconds for which an instance that the store has forgotten is still known: a watch
-that hears of it, its own registration, and the looks of who registers it if it cannot.
-One that was lost as well is found out in less than that."""
+UNLISTED_EXPIRY = 10.0
+"""Seconds for which an instance stays known that a restored store does not list. The
+time covers a watch that reports the loss, the instance's own registration, and the
+checks of its predecessor, which registers it if it cannot. A crash of the instance is
+detected in less."""
 
-FORGOTTEN_PER_SECOND = 100
-"""Instances that register again in a second when the store has forgotten many of them:
-a quarter of the writes that the smallest store takes."""
+REREGISTRATION_RATE = 100
+"""Instances per second that register again when a restored store lacks many of them: a
+quarter of the writes that the smallest store can take."""
 
 _FIELDS = (
     Field("host", parse_ip),
@@ -83,8 +85,8 @@
 )
 
 
-class MemberPort(Factory):
-    """Takes the connections by which other instances look at this one."""
+class LivenessCheckFactory(Factory):
+    """Accepts the connections by which another instance checks this one."""
 
     noisy = False
 
@@ -94,7 +96,7 @@
 
 
 class MemberTask:
-    """Registers an instance and knows the others.
+    """Registers an instance, follows the others and checks its successor.
 
     Parameters
     ----------
@@ -107,18 +109,18 @@
     listing : ObjectFeed
         Lists and watches the instances; it may lag.
     own : Peer
-        This instance, as others are to see it.
+        This instance, as others see it.
     endpoint : Endpoint
-        Where it takes the looks of others.
+        Where it accepts the checks of others.
     callback : callable
         Called with all instances after each change.
     rng : random.Random
         Source of jitter.
-    first_look : float
-        Seconds after which the others are looked for; above zero where the whole
-        system starts for the first time.
+    initial_delay : float
+        Seconds until the other instances are listed; above zero if the whole system
+        starts for the first time.
     rejects : RejectLog, optional
-        Takes what is wrong with the objects of others.
+        Logs the problems of other instances' objects.
     """
 
     def __init__(
@@ -130,7 +132,7 @@
         endpoint: Endpoint,
         callback: Callable[[tuple[Peer, ...]], None],
         rng: random.Random,
-        first_look: float = WATCH_GAP,
+        initial_delay: float = BATCH_DELAY,
         rejects: RejectLog | None = None,
     ):
         self._rejects = rejects or RejectLog()
@@ -138,30 +140,36 @@
         self._store = store
         self._own = own
         self._name = own.name
-        self._first_look = first_look
-        self._is_new = first_look > 0
+        self._initial_delay = initial_delay
+        self._is_first_registration = initial_delay > 0
         self._endpoint = endpoint
         self._callback = callback
         self._feed = FeedTask(
-            reactor, listing, KIND, self._take, rng, WATCH_WAIT, WATCH_GAP
+            reactor,
+            listing,
+            KIND,
+            self._handle_objects,
+            rng,
+            WATCH_TIMEOUT,
+            BATCH_DELAY,
         )
         self._objects: dict[str, PlatformObject] = {}
-        self._looks: dict[str, Endpoint] = {}
+        self._check_endpoints: dict[str, Endpoint] = {}
         self._misses: dict[str, int] = {}
         self._era = 0
-        self._forgotten: dict[str, PlatformObject] = {}
-        self._forgetting = None
+        self._unlisted: dict[str, PlatformObject] = {}
+        self._expiry_call = None
         self._rng = rng
         self._is_leaving = False
         self._is_registering = False
-        self._checking = LoopingCall(self._check)
-        self._checking.clock = reactor
+        self._check_loop = LoopingCall(self._check)
+        self._check_loop.clock = reactor
 
     def start(self) -> None:
-        """Register and begin to look at others."""
+        """Register, follow the other instances and start the checks."""
         self._register()
-        self._reactor.callLater(self._first_look, self._feed.start)
-        self._checking.start(CHECK_PERIOD, now=False)
+        self._reactor.callLater(self._initial_delay, self._feed.start)
+        self._check_loop.start(CHECK_PERIOD, now=False)
 
     @property
     def objects(self) -> dict[str, PlatformObject]:
@@ -170,66 +178,73 @@
 
     @property
     def feed(self) -> FeedTask:
-        """What follows the instances."""
+        """The feed that follows the instances."""
         return self._feed
 
-    def learn(self, objects: Mapping[str, PlatformObject]) -> None:
-        """Take which instances there are from another one's copy."""
+    def apply_copy(self, objects: Mapping[str, PlatformObject]) -> None:
+        """Report the instances in another instance's cached copy."""
         self._callback(self._make_peers(objects))
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop following and checking."""
         self._feed.stop()
-        if self._forgetting is not None and self._forgetting.active():
-            self._forgetting.cancel()
-        if self._checking.running:
-            self._checking.stop()
+        if self._expiry_call is not None and self._expiry_call.active():
+            self._expiry_call.cancel()
+        if self._check_loop.running:
+            self._check_loop.stop()
 
     async def leave(self) -> None:
-        """Take away this instance's object."""
+        """Deregister this instance."""
         self._is_leaving = True
         await self._remove(self._name)
 
-    def _take(self, objects: dict[str, PlatformObject]) -> None:
-        """Take in which instances there are."""
-        told = {path.partition("/")[2]: each for path, each in objects.items()}
-        self._keep_forgotten(told)
-        self._objects = self._forgotten | told
-        # An object that no instance has written is in nobody's place in the ring.
-        looks = {name: _read_look(item) for name, item in self._objects.items()}
-        self._looks = {name: look for name, look in looks.items() if look is not None}
-        if self._name not in told and not self._is_registering:
-            log.info("members: The store lacks this instance; it registers again.")
-            spread = len(self._forgotten) / FORGOTTEN_PER_SECOND
+    def _handle_objects(self, objects: dict[str, PlatformObject]) -> None:
+        """Handle a new list of the instances."""
+        listed = {path.partition("/")[2]: each for path, each in objects.items()}
+        self._retain_unlisted(listed)
+        self._objects = self._unlisted | listed
+        # An object that no instance has written has no place in the ring.
+        endpoints = {
+            name: _read_check_endpoint(item) for name, item in self._objects.items()
+        }
+        self._check_endpoints = {
+            name: each for name, each in endpoints.items() if each is not None
+        }
+        if self._name not in listed and not self._is_registering:
+            log.info("members: The store does not list this instance; it re-registers.")
+            spread = len(self._unlisted) / REREGISTRATION_RATE
             delay = self._rng.uniform(0.0, spread)
             self._reactor.callLater(delay, self._register)
         self._callback(self._make_peers(self._objects))
 
-    def _keep_forgotten(self, told: Mapping[str, PlatformObject]) -> None:
-        """Keep for a while whom a store that was restored has forgotten."""
+    def _retain_unlisted(self, listed: Mapping[str, PlatformObject]) -> None:
+        """Retain for a while the instances that a restored store does not list."""
         era, before = get_era(self._feed.revision), self._era
         self._era = era
-        lost = self._objects if era > before and self._objects else {}
-        kept = self._forgotten | lost
-        self._forgotten = {name: kept[name] for name in kept.keys() - told.keys()}
-        if not lost or not self._forgotten:
+        known = self._objects if era > before and self._objects else {}
+        retained = self._unlisted | known
+        self._unlisted = {
+            name: retained[name] for name in retained.keys() - listed.keys()
+        }
+        if not known or not self._unlisted:
             return
         log.warning(
-            "members: The store has forgotten %d instances; they are kept for %g s.",
-            len(self._forgotten),
-            FORGOTTEN_TIME,
+            "members: The restored store lacks %d instances; they are retained for "
+            "%g s.",
+            len(self._unlisted),
+            UNLISTED_EXPIRY,
         )
-        if self._forgetting is not None and self._forgetting.active():
-            self._forgetting.cancel()
-        self._forgetting = self._reactor.callLater(
-            FORGOTTEN_TIME, lambda: self._forget(tuple(self._forgotten))
+        if self._expiry_call is not None and self._expiry_call.active():
+            self._expiry_call.cancel()
+        self._expiry_call = self._reactor.callLater(
+            UNLISTED_EXPIRY, lambda: self._expire(tuple(self._unlisted))
         )
 
-    def _forget(self, names: tuple[str, ...]) -> None:
-        """Know those no longer whom the store has forgotten, and who are gone."""
+    def _expire(self, names: tuple[str, ...]) -> None:
+        """Drop retained instances that have not registered again."""
         for name in names:
-            del self._forgotten[name], self._objects[name]
-            self._looks.pop(name, None)
+            del self._unlisted[name], self._objects[name]
+            self._check_endpoints.pop(name, None)
         self._callback(self._make_peers(self._objects))
 
     def _make_peers(self, objects: Mapping[str, PlatformObject]) -> tuple[Peer, ...]:
@@ -240,7 +255,7 @@
         return tuple(sorted((self._own, *others)))
 
     def _register(self) -> None:
-        """Register unless that is under way."""
+        """Register unless a registration is in progress."""
         if not (self._is_registering or self._is_leaving):
             self._is_registering = True
             Deferred.fromCoroutine(self._run_registration())
@@ -259,19 +274,19 @@
         if self._own.quota_endpoint is not None:
             value["rights"] = self._own.quota_endpoint.port
         path = f"{KIND}/{self._name}"
-        if self._is_new:
-            # Nobody of this name was there before, so that the question is spared.
-            self._is_new = False
+        if self._is_first_registration:
+            # No instance of this name has registered before: the read is not needed.
+            self._is_first_registration = False
             if isinstance(await self._store.put(path, value, 0), Success):
                 self._is_registering = False
                 return
         while not self._is_leaving:
             found = await self._store.get(path)
             if isinstance(found, Success):
-                kept = found.unwrap()
-                if kept is not None and kept.value == value:
+                stored = found.unwrap()
+                if stored is not None and stored.value == value:
                     break
-                version = 0 if kept is None else kept.version
+                version = 0 if stored is None else stored.version
                 written = await self._store.put(path, value, version)
                 if isinstance(written, Success):
                     break
@@ -279,53 +294,64 @@
         self._is_registering = False
 
     def _check(self) -> None:
-        """Look at the next instance in the order of names."""
-        name = get_next(tuple(self._looks), self._name)
+        """Check whether the successor in the ring accepts connections."""
+        name = get_successor(tuple(self._check_endpoints), self._name)
         if name is None:
             return
-        look = self._looks[name]
+        address = self._check_endpoints[name]
         endpoint = TCP4ClientEndpoint(
-            self._reactor, look.host, look.port, timeout=CHECK_TIMEOUT
+            self._reactor, address.host, address.port, timeout=CHECK_TIMEOUT
         )
         connecting = connectProtocol(endpoint, Protocol())
         connecting.addCallbacks(
-            self._note_alive, self._note_miss, callbackArgs=(name,), errbackArgs=(name,)
+            self._record_success,
+            self._record_miss,
+            callbackArgs=(name,),
+            errbackArgs=(name,),
         )
 
-    def _note_alive(self, protocol: Protocol, name: str) -> None:
-        """Note that an instance is there; register it if the store has forgotten it."""
+    def _record_success(self, protocol: Protocol, name: str) -> None:
+        """Record that an instance is live; register it if the store lacks it."""
         protocol.transport.loseConnection()
         self._misses.pop(name, None)
-        if name in self._forgotten:
-            log.info("members: %s lives; it is registered again.", name)
-            item = self._forgotten[name]
+        if name in self._unlisted:
+            log.info(
+                "members: Instance %s is live but missing in the restored store; this "
+                "instance registers it.",
+                name,
+            )
+            item = self._unlisted[name]
             Deferred.fromCoroutine(self._store.put(item.path, item.value, 0))
 
-    def _note_miss(self, failure, name: str) -> None:
-        """Note that an instance took no connection; remove it after some."""
+    def _record_miss(self, failure, name: str) -> None:
+        """Record a failed check; remove the instance after `MAX_MISSES` in a row."""
         self._misses = {name: self._misses.get(name, 0) + 1}
-        if self._misses[name] >= MOST_MISSES:
+        if self._misses[name] >= MAX_MISSES:
             self._misses.pop(name)
-            log.warning("members: %s is gone: %s", name, failure.getErrorMessage())
-            if name in self._forgotten:
-                self._forget((name,))
+            log.warning(
+                "members: Instance %s accepts no connections and is removed: %s",
+                name,
+                failure.getErrorMessage(),
+            )
+            if name in self._unlisted:
+                self._expire((name,))
                 return
             Deferred.fromCoroutine(self._remove(name))
 
     async def _remove(self, name: str) -> None:
-        """Take away the object of an instance, if it is still the same."""
+        """Delete the object of an instance, if it does not change meanwhile."""
         found = await self._store.get(f"{KIND}/{name}")
         if isinstance(found, Success) and found.unwrap() is not None:
             await self._store.delete(f"{KIND}/{name}", found.unwrap().version)
 
 
 def read_peer(item: PlatformObject) -> tuple[Peer | None, list[Finding]]:
-    """Return the instance that an object stands for, and what is wrong with it.
+    """Parse the object of an instance.
 
     Returns
     -------
     tuple
-        The instance, None if the object cannot be read, and the findings.
+        The instance, None if the object is invalid, and the findings.
     """
     fields, findings = read_fields(item.path, "", item.value, _FIELDS)
     try:
@@ -341,13 +367,13 @@
     return Peer(name, fields["zone"], relay, *places, fields.get("capacity", 1.0)), []
 
 
-def _read_look(item: PlatformObject) -> Endpoint | None:
-    """Return where an instance takes the looks of others, None if that is not told."""
+def _read_check_endpoint(item: PlatformObject) -> Endpoint | None:
+    """Return where an instance accepts checks, None if its object is invalid."""
     fields, findings = read_fields(item.path, "", item.value, _FIELDS)
     return None if findings else Endpoint(fields["host"], fields["port"])
 
 
-def get_next(names: tuple[str, ...], own: str) -> str | None:
-    """Return who comes after a name in a ring of names, None if nobody does."""
+def get_successor(names: tuple[str, ...], own: str) -> str | None:
+    """Return the name after another in the ring of names, None if there is none."""
     others = sorted(name for name in names if name != own)
     return next((name for name in others if name > own), others[0] if others else None)
--- a/beryltrack/daemon/metrics.py
+++ b/beryltrack/daemon/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one instance by OpenTelemetry, scraped in the form of Prometheus.
+"""Metrics of one proxy by OpenTelemetry, exposed in the format of Prometheus.
 
-Counts on the path of each statement are plain numbers that the scrape reads, so
-that counting costs a statement next to nothing. Durations go to histograms.
+Counts on the path of each statement are plain numbers that the scrape reads, so that
+counting costs a statement next to nothing. Durations go to histograms.
 """
 
 from collections import Counter
@@ -24,11 +24,11 @@
     compute_replica_share,
 )
 
-# Seconds; from a tenth of a millisecond up to a minute.
+# Histogram buckets, seconds: from a tenth of a millisecond up to a minute.
 DURATION_BOUNDS = (0.0001, 0.0003, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 60)
-# Seconds. A request that got its connection at once did not wait, and to record
-# it would cost each statement more than all its counts together.
-SHORTEST_WAIT = 0.0001
+# Seconds. A request that got a connection at once did not wait; recording it would
+# cost each statement more than all its counts together.
+MIN_RECORDED_WAIT = 0.0001
 
 
 class InstanceMetrics:
@@ -45,7 +45,7 @@
         self._failovers: Counter = Counter()
         self._settings_revision = 0
         self._get_pool_use: Callable[[], tuple[PoolUse, ...]] = tuple
-        # A registry of its own lets two instances share a process.
+        # Separate registries allow two instances in one process.
         self._registry = CollectorRegistry()
         reader = PrometheusMetricReader(
             scope_info_enabled=False, registry=self._registry
@@ -84,7 +84,7 @@
 
     @property
     def meter(self) -> Meter:
-        """The meter, for the instruments that other parts bring."""
+        """The meter, for the instruments of other components."""
         return self._provider.get_meter("beryltrack")
 
     def count_request(
@@ -94,7 +94,7 @@
         self._requests[kind, outcome, target] += 1
 
     def count_by_priority(self, end: RequestSummary) -> None:
-        """Count nothing: on PostgreSQL's side routes have no priority."""
+        """Count nothing: routes of PostgreSQL groups have no priority."""
 
     def record_wait_by_priority(
         self, priority: int, has_account: bool, seconds: float
@@ -106,12 +106,12 @@
         self._failovers[group] += 1
 
     def record_failover_gap(self, group: str, seconds: float) -> None:
-        """Record the time from the last sign of a lost primary until the next leads."""
+        """Record the time from a lost primary's last answer until the next leads."""
         self._failover_gap.record(seconds, {"group": group})
 
     def record_queue_time(self, seconds: float) -> None:
         """Record how long a request waited for a connection, if it did."""
-        if seconds >= SHORTEST_WAIT:
+        if seconds >= MIN_RECORDED_WAIT:
             self._queue_time.record(seconds)
 
     def record_confirm_wait(self, seconds: float) -> None:
@@ -119,19 +119,19 @@
         self._confirm_wait.record(seconds)
 
     def set_settings_revision(self, revision: int) -> None:
-        """Note the revision of the settings in force."""
+        """Record the revision of the settings in force."""
         self._settings_revision = revision
 
     def set_pool_source(self, get_pool_use: Callable[[], tuple[PoolUse, ...]]) -> None:
-        """Tell where a scrape finds the use of the pools."""
+        """Set the function that returns the use of the pools for a scrape."""
         self._get_pool_use = get_pool_use
 
     def render(self) -> bytes:
-        """Return all metrics in the text form of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Stop the provider; nothing is recorded any more."""
+        """Shut the provider down; nothing is recorded afterwards."""
         self._provider.shutdown()
 
     def _create_instruments(self) -> None:
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -1,4 +1,4 @@
-"""One instance on the users' platform: all its tasks, its start and its end."""
+"""One instance on the users' platform: all its tasks, its start and its shutdown."""
 
 import logging
 import random
@@ -25,8 +25,8 @@
 from beryltrack.daemon.groups import GroupTable
 from beryltrack.daemon.line_group_factory import LineGroupFactory
 from beryltrack.daemon.load_status import LoadStatus, LoadView, make_status_page
+from beryltrack.daemon.members import BATCH_DELAY, LivenessCheckFactory, MemberTask
 from beryltrack.daemon.members import KIND as MEMBERS_KIND
-from beryltrack.daemon.members import WATCH_GAP, MemberPort, MemberTask
 from beryltrack.daemon.node_accounts import NodeAccounts
 from beryltrack.daemon.node_policies import make_policies
 from beryltrack.daemon.node_site import NodeSite
@@ -73,35 +73,35 @@
 log = logging.getLogger(__name__)
 
 METRICS_PORT = 9464
-"""Port of the metrics page, the usual one of OpenTelemetry's exporter; the deploy
-file names it too."""
+"""Port of the metrics page, the default of OpenTelemetry's exporter; the deploy file
+names it too."""
 
 METRICS_PATH = b"/metrics"
 STATUS_PATH = b"/status"
 
-CALLERS_PORT_PAUSE = 1.0
-"""Seconds between two tries to listen to callers on a port that was taken while the
+CALLERS_PORT_RETRY_DELAY = 1.0
+"""Seconds between two attempts to listen for callers on a port that was taken while the
 instance started."""
 
-NEWER_SETTINGS_TIME = 5.0
-"""Seconds for which an instance that has started looks for newer settings than those of
-a store that may have been restored from a backup."""
+NEWER_SETTINGS_TIMEOUT = 5.0
+"""Seconds after the start for which an instance asks others for newer settings, as the
+store may have been restored from a backup."""
 
-BALANCER_TIME = 2.6
-"""Seconds that the balancer may take to notice that an instance leaves: two
-questions, one a second."""
+BALANCER_DELAY = 2.6
+"""Seconds that the load balancer may take to notice that an instance leaves: two
+health checks, one a second."""
 
-FINISH_PART = 0.7
-"""Part of the grace after which open transactions are ended between two statements:
-what was taken before has a second left to be answered, a statement's usual limit.
-Transactions may count on half of the grace."""
+FINISH_FRACTION = 0.7
+"""Fraction of the grace period after which open transactions are ended between two
+statements: a statement accepted before has a second left to be answered, the usual
+limit of a statement. Transactions may rely on half of the grace period."""
 
-LAST_PART = 0.12
-"""Part of the grace that is left when the last callers are cut off."""
+ABORT_FRACTION = 0.12
+"""Fraction of the grace period that is left when the last callers are cut off."""
 
 
 class NodeState(Enum):
-    """Where an instance stands between its start and its end."""
+    """The lifecycle state of an instance."""
 
     STARTING = "starting"
     LIVE = "live"
@@ -116,11 +116,11 @@
     reactor : reactor
         Source of sockets and timers.
     settings : NodeSettings
-        What its settings file says.
+        Its settings file.
     rng : random.Random
         Source of jitter.
     write_line : callable
-        Takes the lines of the log of requests.
+        Writes a line of the request log.
     """
 
     def __init__(
@@ -136,22 +136,22 @@
         self._reactor = reactor
         self._rng = rng
         self._seconds = get_monotonic_clock(reactor)
-        # The look at overdue requests takes its turns.
-        self._awake = get_pause_aware_clock(reactor)
+        # The check for overdue requests drives its ticks.
+        self._pause_aware_clock = get_pause_aware_clock(reactor)
         self._rejects = RejectLog()
         clients = make_store_clients(reactor, settings, rng, self._rejects)
         self._eras: EraTracker = clients.eras
         self._policies = make_policies(
             settings.is_fenced, settings.disabled, settings.load
         )
-        copies = settings.cache_listen if self._policies.shares_copies else None
-        # Later processes of an instance have higher numbers, also without a disk.
+        cache_endpoint = settings.cache_listen if self._policies.shares_copies else None
+        # A later process of the instance has a higher number, also without a disk.
         self._incarnation = int(time.time() * 1000)
         own = Peer(
             settings.name,
             settings.zone,
             settings.relay_listen,
-            copies,
+            cache_endpoint,
             settings.quota_listen,
             settings.capacity,
         )
@@ -159,7 +159,7 @@
         directory = RelayDirectory(
             own,
             self._seconds,
-            options.FIRST_INSTANCES,
+            options.ASSUMED_INSTANCES,
             self._policies.account_owners,
             self._policies.choose_owners,
         )
@@ -167,7 +167,7 @@
         self._accounts = NodeAccounts(
             self._traffic, settings, directory, rng, self._policies.probes_owners
         )
-        self._kit = LineGroupFactory(
+        self._group_factory = LineGroupFactory(
             reactor,
             settings.name,
             clients.promotion,
@@ -180,7 +180,7 @@
             self._incarnation,
             self._traffic,
         )
-        self._groups = GroupTable(reactor, self._kit)
+        self._groups = GroupTable(reactor, self._group_factory)
         self._connections = GroupConnections(
             settings.name,
             directory,
@@ -189,18 +189,18 @@
             self._accounts.has_answered,
         )
         self._load = LoadView(
-            directory, lambda: self._groups.runtimes, self._kit.owner_loads
+            directory, lambda: self._groups.runtimes, self._group_factory.owner_loads
         )
-        directory.set_reachability_observer(self._connections.share)
+        directory.set_reachability_observer(self._connections.apply_shares)
         self._groups.subscribe_started(self._connections.start_group)
-        self._configured_by: dict[str, PlatformObject] = {}
-        self._learned: Snapshot = {}
+        self._configuration_objects: dict[str, PlatformObject] = {}
+        self._snapshot: Snapshot = {}
         self._site = NodeSite(self._seconds)
         self._configuration = ConfigurationTask(
-            reactor, read_configuration, ROW_TABLES, self._put_in_force
+            reactor, read_configuration, ROW_TABLES, self._apply_configuration
         )
-        self._look_call = None
-        self._callers_call = None
+        self._expiry_call = None
+        self._listen_retry_call = None
         self._services = make_services(
             reactor,
             settings.zone,
@@ -218,14 +218,14 @@
             ways=directory,
             is_crowded=lambda: directory.is_crowded,
         )
-        self._kit.set_retries(self._services.retries)
+        self._group_factory.set_retry_budget(self._services.retries)
         handler = RequestTask(self._services, self._get_site, self._find_group)
         bounds = CallerBounds(self._get_site)
         self._callers = LineCallerFactory(reactor, handler, bounds)
         self._relay = RelayHandler(
             reactor.seconds,
             self._connections.get_lender,
-            options.RELAY_TIME,
+            options.RELAY_TIMEOUT,
             LoadReporter(self._seconds, self._policies.uses_owner_reports),
             self._incarnation,
             self._policies.routing.lagging_pause,
@@ -242,20 +242,20 @@
                 callback,
                 rng,
                 compute_watch_timeout(limit),
-                gap,
+                batch_delay,
             )
-            for kind, callback, limit, gap in (
+            for kind, callback, limit, batch_delay in (
                 (
                     CONFIG_KIND,
-                    self._take_configuration,
+                    self._handle_configuration,
                     settings.change_limit,
-                    options.SETTINGS_GAP,
+                    options.SETTINGS_BATCH_DELAY,
                 ),
                 (
                     DATABASES_KIND,
-                    self._take_databases,
+                    self._handle_databases,
                     settings.drain_limit,
-                    options.DATABASES_GAP,
+                    options.DATABASES_BATCH_DELAY,
                 ),
             )
         ]
@@ -263,7 +263,7 @@
             reactor,
             self._seconds,
             lambda: self._groups.runtimes,
-            self._connections.give_up,
+            self._connections.abort_overdue,
             self._connections.is_silent,
             self._policies.overdue_after,
         )
@@ -273,28 +273,28 @@
             clients.lagging_store,
             own,
             settings.member_listen,
-            self._take_members,
+            self._handle_members,
             rng,
             # All instances of a fleet that starts have registered by then.
-            WATCH_GAP if settings.is_first_start else 0.0,
+            BATCH_DELAY if settings.is_first_start else 0.0,
             self._rejects,
         )
         shared = (*self._feeds, self._members.feed)
         self._copies = FleetCopies(self._traffic, shared, own, settings.cache_sources)
         self._snapshots = SnapshotTask(
-            reactor, settings.snapshot_sources, self._take_snapshot, rng
+            reactor, settings.snapshot_sources, self._apply_snapshot, rng
         )
         self._ports = []
-        self.metrics.set_sample_source(self._get_gauges)
+        self.metrics.set_sample_source(self._get_samples)
 
     @property
     def is_ready(self) -> bool:
-        """True if the instance takes callers."""
+        """True if the instance accepts callers."""
         return self.state is NodeState.LIVE
 
     @property
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """Where the instance listens, at its start or later."""
+        """All addresses on which the instance listens, at its start or later."""
         settings = self.settings
         each = (
             settings.ready_listen,
@@ -310,13 +310,13 @@
 
     @property
     def _metrics_listen(self) -> Endpoint:
-        """Where metrics and status are asked for."""
+        """The address of the metrics and status pages."""
         return Endpoint(self.settings.listen.host, METRICS_PORT)
 
     def start(self) -> None:
-        """Learn the settings, and listen to callers once they are known.
+        """Fetch the settings, and listen for callers once they are known.
 
-        A caller that came before would be told that its database does not exist.
+        A caller that connected earlier would be told that its database does not exist.
         """
         ready = {READY_PATH: make_ready_page(lambda: self.is_ready)}
         self._listen(self.settings.ready_listen, PlainPages(self._reactor, ready))
@@ -325,13 +325,13 @@
             STATUS_PATH: make_status_page(self._get_status),
         }
         self._listen(self._metrics_listen, PlainPages(self._reactor, pages))
-        self._listen(self.settings.member_listen, MemberPort())
+        self._listen(self.settings.member_listen, LivenessCheckFactory())
         self._listen(self.settings.relay_listen, self._relays)
         if self.settings.snapshot_listen is not None:
             port = SnapshotServer(self._get_snapshot)
             self._listen(self.settings.snapshot_listen, port)
         if self._own.cache_endpoint is not None:
-            self._listen(self._own.cache_endpoint, self._copies.port)
+            self._listen(self._own.cache_endpoint, self._copies.publisher)
             self._copies.start()
         if self._own.quota_endpoint is not None:
             self._listen(self._own.quota_endpoint, self._accounts.port)
@@ -340,38 +340,43 @@
             self._snapshots.start()
         self._services.admission.start()
         self._overdue.start()
-        self._awake.subscribe(self._report_pause)
+        self._pause_aware_clock.subscribe(self._report_pause)
         for feed in self._feeds:
             feed.start()
         self._members.start()
-        log.info("daemon: Instance %s starts.", self.settings.name)
+        log.info("daemon: Instance %s is starting.", self.settings.name)
         for mechanism in sorted(each.value for each in self.settings.disabled):
-            log.warning("daemon: %s is switched off.", mechanism)
+            log.warning("daemon: Mechanism %s is disabled by the settings.", mechanism)
 
     async def leave(self) -> None:
         """Shut down without cutting off a request in flight.
 
-        The balancer is told first, and callers are served until it has noticed.
-        Then each is told to go between two transactions.
+        The ready page fails first, and callers are served until the load balancer has
+        noticed. Then each caller is disconnected between two transactions.
         """
         self.state = NodeState.LEAVING
-        log.info("daemon: Instance %s leaves.", self.settings.name)
+        log.info("daemon: Instance %s is shutting down.", self.settings.name)
         grace = self.settings.grace
         Deferred.fromCoroutine(self._members.leave())
         self._relay.leave()
         self._accounts.leave()
         relays_left = self._relays.leave()
-        await deferLater(self._reactor, min(BALANCER_TIME, grace / 2))
+        await deferLater(self._reactor, min(BALANCER_DELAY, grace / 2))
         leaving = gatherResults([self._callers.leave(), relays_left])
-        limit = grace * (1 - LAST_PART) - min(BALANCER_TIME, grace / 2)
+        limit = grace * (1 - ABORT_FRACTION) - min(BALANCER_DELAY, grace / 2)
         leaving.addTimeout(limit, self._reactor)
         finishing = self._reactor.callLater(
-            grace * FINISH_PART - min(BALANCER_TIME, grace / 2), self._finish_callers
+            grace * FINISH_FRACTION - min(BALANCER_DELAY, grace / 2),
+            self._finish_callers,
         )
         try:
             await leaving
         except TimeoutError:
-            log.warning("daemon: Callers are cut off at the end of the grace.")
+            log.warning(
+                "daemon: Grace period of %g s is nearly over, callers with open "
+                "transactions are cut off.",
+                grace,
+            )
         if finishing.active():
             finishing.cancel()
         self._callers.abort()
@@ -379,8 +384,11 @@
         await self.stop()
 
     def _finish_callers(self) -> None:
-        """Take no further statements, so that none is cut off at the end."""
-        log.info("daemon: Open transactions end between two statements from now on.")
+        """Accept no further statements, so that none is cut off at the end."""
+        log.info(
+            "daemon: Grace period is ending, open transactions are ended between two "
+            "statements."
+        )
         self._callers.finish()
         self._relays.finish()
 
@@ -395,15 +403,15 @@
         self._snapshots.stop()
         self._services.admission.stop()
         self._overdue.stop()
-        self._awake.unsubscribe(self._report_pause)
+        self._pause_aware_clock.unsubscribe(self._report_pause)
         for port in self._ports:
             await maybeDeferred(port.stopListening)
-        log.info("daemon: Instance %s has left.", self.settings.name)
+        log.info("daemon: Instance %s has shut down.", self.settings.name)
 
     def _report_pause(self, pause: Pause) -> None:
-        """Log what was open over a pause of this process."""
+        """Log a pause of this process and the transactions open during it."""
         log.warning(
-            "daemon: Paused for %.1f s with %d transactions open.",
+            "daemon: Process was paused for %.1f s with %d transactions open.",
             pause.length,
             self._callers.transaction_count,
         )
@@ -428,61 +436,61 @@
         route = self._site.get_route(database)
         return self._groups.get(route.group) if route is not None else None
 
-    def _take_configuration(self, objects: dict[str, PlatformObject]) -> None:
-        """Take in what operators have configured."""
+    def _handle_configuration(self, objects: dict[str, PlatformObject]) -> None:
+        """Queue a new configuration for parsing."""
         if CONFIG_PATH in objects:
             self._configuration.read(objects[CONFIG_PATH])
 
-    def _put_in_force(self, read: ConfigurationRead) -> None:
-        """Put what operators have configured in force; never go back to older."""
+    def _apply_configuration(self, read: ConfigurationRead) -> None:
+        """Put a parsed configuration in force, unless a newer one already is."""
         self._rejects.report(read.findings)
         configuration = read.configuration
-        if configuration is None or not self._site.take_configuration(configuration):
+        if configuration is None or not self._site.update_configuration(configuration):
             return
-        self._configured_by = {CONFIG_PATH: read.item}
+        self._configuration_objects = {CONFIG_PATH: read.item}
         self._rejects.report(self._accounts.set_accounts(configuration.accounts))
         log.info("settings: Version %d is in force.", self._site.version)
         self._apply()
 
-    def _take_databases(self, objects: dict[str, PlatformObject]) -> None:
-        """Take in which databases there are."""
+    def _handle_databases(self, objects: dict[str, PlatformObject]) -> None:
+        """Handle a new list of the databases."""
         pairs = [read_entry(item) for item in objects.values()]
         self._rejects.report(finding for _, findings in pairs for finding in findings)
         entries = tuple(entry for entry, _ in pairs if entry is not None)
         era = get_latest_era(item.version for item in objects.values())
-        self._site.take_databases(entries, era)
+        self._site.update_databases(entries, era)
         self._apply()
 
     def _get_snapshot(self) -> Snapshot:
-        """Return the copies of the store's objects that this instance goes by."""
+        """Return the copies of the store's objects that this instance works with."""
         _, databases = (feed.objects for feed in self._feeds)
         copies = {
-            # A store that was restored from a backup may have older settings a while.
-            CONFIG_KIND: self._configured_by,
+            # A store restored from a backup may have older settings for a while.
+            CONFIG_KIND: self._configuration_objects,
             DATABASES_KIND: databases,
             MEMBERS_KIND: self._members.objects,
         }
         return {
-            kind: each or self._learned.get(kind, {}) for kind, each in copies.items()
+            kind: each or self._snapshot.get(kind, {}) for kind, each in copies.items()
         }
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
-        """Go by another instance's copies until the store tells more.
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        """Use another instance's copies until the store answers.
 
-        Without this an instance that starts while the store is away takes no callers
-        before it is back.
+        Without them an instance that starts during an outage of the store would accept
+        no callers before its return.
         """
-        self._learned = snapshot
+        self._snapshot = snapshot
         if not self._connections.has_members and snapshot.get(MEMBERS_KIND):
-            self._members.learn(snapshot[MEMBERS_KIND])
+            self._members.apply_copy(snapshot[MEMBERS_KIND])
         if not self._site.has_databases and snapshot.get(DATABASES_KIND):
-            self._take_databases(snapshot[DATABASES_KIND])
-        self._take_configuration(snapshot.get(CONFIG_KIND, {}))
+            self._handle_databases(snapshot[DATABASES_KIND])
+        self._handle_configuration(snapshot.get(CONFIG_KIND, {}))
         if self.state is NodeState.LIVE:
             self._snapshots.stop()
 
-    def _take_members(self, peers: tuple[Peer, ...]) -> None:
-        """Take in which instances there are."""
+    def _handle_members(self, peers: tuple[Peer, ...]) -> None:
+        """Handle a new list of the instances."""
         self._traffic.set_peers(peers)
         self._copies.set_peers(peers)
         self._connections.set_members(peers)
@@ -499,48 +507,53 @@
         groups = (runtime.settings for runtime in self._groups.runtimes)
         self._traffic.set_databases(item for each in groups for item in each.databases)
         self._connections.set_accounts(self._accounts.get_account_index() is not None)
-        self._connections.share()
-        self._look_again(now)
+        self._connections.apply_shares()
+        self._schedule_expiry_check(now)
         if self.state is NodeState.STARTING:
-            self._let_callers_in()
+            self._listen_to_callers()
 
-    def _let_callers_in(self) -> None:
-        """Listen to callers, now or as soon as their port is free."""
+    def _listen_to_callers(self) -> None:
+        """Listen for callers, now or as soon as their port is free."""
         try:
             self._listen(self.settings.listen, self._callers)
         except CannotListenError as error:
-            log.warning("daemon: Callers are not listened to yet: %s", error)
-            if self._callers_call is None or not self._callers_call.active():
-                self._callers_call = self._reactor.callLater(
-                    CALLERS_PORT_PAUSE, self._apply
+            log.warning(
+                "daemon: Cannot listen for callers, retrying within %g s: %s",
+                CALLERS_PORT_RETRY_DELAY,
+                error,
+            )
+            if self._listen_retry_call is None or not self._listen_retry_call.active():
+                self._listen_retry_call = self._reactor.callLater(
+                    CALLERS_PORT_RETRY_DELAY, self._apply
                 )
             return
         self.state = NodeState.LIVE
-        self._stop_snapshots()
+        self._finish_snapshots()
         log.info("daemon: Instance %s is ready.", self.settings.name)
 
-    def _stop_snapshots(self) -> None:
-        """Ask no other instance for its copies any more, but for the settings.
+    def _finish_snapshots(self) -> None:
+        """Stop fetching other instances' copies, after a last check for newer settings.
 
-        A store that has eras may have been restored from a backup just now: the others
-        then have newer settings in force, which operators have yet to write again.
+        A store that has eras may just have been restored from a backup: the others then
+        have newer settings in force, which operators have yet to write again. An era is
+        the number of times that the store was restored.
         """
         if not self._eras.era:
             self._snapshots.stop()
             return
         self._snapshots.fetch_now()
-        self._reactor.callLater(NEWER_SETTINGS_TIME, self._snapshots.stop)
+        self._reactor.callLater(NEWER_SETTINGS_TIMEOUT, self._snapshots.stop)
 
-    def _look_again(self, now: float) -> None:
-        """Look at the databases again when one that is missing counts as gone."""
-        if self._look_call is not None and self._look_call.active():
-            self._look_call.cancel()
+    def _schedule_expiry_check(self, now: float) -> None:
+        """Schedule the next check of the databases, when a missing one expires."""
+        if self._expiry_call is not None and self._expiry_call.active():
+            self._expiry_call.cancel()
         due = self._site.get_due(now)
         if due is not None:
-            self._look_call = self._reactor.callLater(due - now + 0.01, self._apply)
+            self._expiry_call = self._reactor.callLater(due - now + 0.01, self._apply)
 
-    def _get_gauges(self) -> Iterable[MetricSample]:
-        """Return the values of the moment."""
+    def _get_samples(self) -> Iterable[MetricSample]:
+        """Return the current values of the instance's metrics."""
         yield "beryltrack_settings_version", "", self._site.version
         yield "beryltrack_callers", "", len(self._callers.callers)
         yield "beryltrack_store_is_followed", "", int(not self._copies.source)
@@ -561,7 +574,7 @@
         yield from render_gates(self._load.gates.list_gates())
 
     def _get_status(self) -> LoadStatus:
-        """Return who decides for which group, and what waits."""
+        """Return the status page's content: owners, queues and limits."""
         settings = self.settings
         return self._load.build(
             settings.name, settings.zone, self.state.value, self._site.version
--- a/beryltrack/daemon/node_accounts.py
+++ b/beryltrack/daemon/node_accounts.py
@@ -1,4 +1,8 @@
-"""An instance's part in the accounts of the fleet: their keys, rights and counts."""
+"""The accounts of callers at one instance: keys, quota shares and counts.
+
+Each account's limit holds for the whole fleet. The owner of the account's hash slot
+runs its operations with quota shares that the other instances lend to it.
+"""
 
 import logging
 import random
@@ -23,32 +27,33 @@
 
 log = logging.getLogger(__name__)
 
-TELL_PERIOD = 1.0
-"""Seconds between two lines about an account of which operations are refused."""
+REFUSAL_REPORT_PERIOD = 1.0
+"""Seconds between two log lines about an account whose operations are refused."""
 
-MOST_TOLD = 5
-"""Accounts that a line is written of each time, those with most refusals: all of 10,000
-accounts could be over their limits together."""
+MAX_REPORTED_ACCOUNTS = 5
+"""Accounts that are logged each time, those with the most refusals: all of 10,000
+accounts may exceed their limits at once."""
 
 SOURCE = "settings"
-"""What findings about accounts name as their place."""
+"""Source that findings about accounts name."""
 
 
 class NodeAccounts:
-    """The accounts as one instance knows them.
+    """The accounts at one instance.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
         Source of connections and timers.
     settings : NodeSettings
-        What the settings file of the process says.
+        The settings file of the process.
     directory : RelayDirectory
-        Says which instance runs an account's operations.
+        Chooses the instance that runs an account's operations.
     rng : random.Random
         Source of jitter.
     probes_owners : bool
-        False if an owner that was out of reach is asked again after a while.
+        True if an unreachable owner is used again only after it answers a probe;
+        False if after a fixed time.
     """
 
     def __init__(
@@ -59,7 +64,7 @@
         rng: random.Random,
         probes_owners: bool = True,
     ):
-        self._book: AccountIndex | None = None
+        self._account_index: AccountIndex | None = None
         self._directory = directory
         self._seconds = get_monotonic_clock(reactor)
         self.quota = QuotaDecider(self._get_account, settings.tolerance)
@@ -83,38 +88,38 @@
             directory,
             probes_owners,
         )
-        self._telling = LoopingCall(self._tell_refusals)
-        self._telling.clock = reactor
+        self._refusal_report_loop = LoopingCall(self._report_refusals)
+        self._refusal_report_loop.clock = reactor
         directory.set_quota_holder_source(lending.get_holder)
         directory.set_owner_observer(self._task.renew_soon)
 
     @property
     def port(self) -> LoanBorrowerFactory:
-        """What takes the rights of other instances."""
+        """The listener that receives the quota shares of other instances."""
         return self._task.port
 
     def start(self) -> None:
-        """Begin to probe owners that are passed over."""
+        """Start to probe avoided owners."""
         self._probes.start()
 
     def get_account_index(self) -> AccountIndex | None:
         """Return the accounts in force, None where callers need no key."""
-        return self._book
+        return self._account_index
 
     def set_accounts(
         self, accounts: tuple[AccountSettings, ...] | None
     ) -> list[Finding]:
-        """Take in all accounts; return what is wrong with them."""
+        """Set all accounts; return the findings about them."""
         if accounts is None:
-            self._book = None
+            self._account_index = None
             return []
-        self._book, findings = build_account_index(accounts, SOURCE)
+        self._account_index, findings = build_account_index(accounts, SOURCE)
         self.quota.drop_removed_accounts()
         self._start()
         return findings
 
     def set_members(self, peers: tuple[Peer, ...]) -> None:
-        """Take in which instances there are."""
+        """Set the members of the fleet."""
         self._lending.set_members((peer.name for peer in peers), self._seconds())
         self._start()
 
@@ -123,55 +128,56 @@
         return self._task.has_answered(name, since)
 
     def leave(self) -> None:
-        """Give back what others have lent, so that they lend it to the next owner."""
+        """Return borrowed quota shares, so that they are lent to the next owner."""
         self._task.port.leave()
 
     def stop(self) -> None:
-        """Lend no more."""
+        """Stop lending, probing and reporting."""
         self._task.stop()
         self._probes.stop()
-        if self._telling.running:
-            self._telling.stop()
+        if self._refusal_report_loop.running:
+            self._refusal_report_loop.stop()
 
-    def _tell_refusals(self) -> None:
-        """Log of which accounts operations were refused, and what that rested on."""
+    def _report_refusals(self) -> None:
+        """Log the accounts with most refusals, their limits and the share used here."""
         refusals = self.quota.take_refusals(self._seconds())
         refusals.sort(key=lambda each: -each.refused)
-        for each in refusals[:MOST_TOLD]:
+        for each in refusals[:MAX_REPORTED_ACCOUNTS]:
             log.info(
-                "accounts: %s is over its limit: %d refused, %d run; %.1f a second and "
-                "%.0f at once in the fleet, %.2f of that here.",
+                "accounts: Account %s exceeds its limit: %d operations refused, %d "
+                "run; the fleet's limit is %.1f a second with bursts of %.0f, this "
+                "instance's share is %.2f.",
                 *each,
             )
 
     def get_samples(self) -> Iterable[MetricSample]:
-        """Return how many operations ran and were refused here, by account."""
+        """Return the operations run and refused here by account, and the lenders."""
         for name, counts in self.quota.counts.items():
             labels = format_label("account", name)
             yield "beryltrack_account_operations_total", labels, counts.run
             yield "beryltrack_account_refusals_total", labels, counts.refused
-        if self._book is not None:
+        if self._account_index is not None:
             lenders = len(self.quota.shares.lenders)
             yield "beryltrack_account_lenders", "", lenders
 
     def _start(self) -> None:
-        """Lend once there are accounts and the members are known."""
-        if self._book is not None and self._directory.has_members:
+        """Start to lend once there are accounts and the members are known."""
+        if self._account_index is not None and self._directory.has_members:
             self._task.start()
-            if not self._telling.running:
-                self._telling.start(TELL_PERIOD, now=False)
+            if not self._refusal_report_loop.running:
+                self._refusal_report_loop.start(REFUSAL_REPORT_PERIOD, now=False)
 
     def _get_account(self, name: str) -> AccountSettings | None:
         """Return an account of the settings in force."""
-        return (self._book or NO_ACCOUNTS).by_name.get(name)
+        return (self._account_index or NO_ACCOUNTS).by_name.get(name)
 
     def _choose_owner(self, slot: int) -> str | None:
-        """Return the name of the instance that is to run a slot's accounts."""
+        """Return the name of the owner of an account hash slot, None if no accounts."""
         if not self._directory.has_accounts:
             return None
         return self._directory.choose_slot_owner(slot).name
 
     def _get_endpoint(self, name: str) -> Endpoint | None:
-        """Return where an instance takes rights."""
+        """Return where an instance receives quota shares."""
         peer = self._directory.get_peer(name)
         return None if peer is None else peer.quota_endpoint
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -1,7 +1,7 @@
 """The policies of one instance on the users' platform.
 
-They follow from whether promotions are fenced and from the mechanisms that are switched
-off; `node_options` has the figures and where they come from.
+They depend on whether promotions are fenced and on the disabled mechanisms;
+`node_options` has the values and their reasons.
 """
 
 import math
@@ -22,58 +22,59 @@
 from beryltrack.routing.decider import RoutingPolicy
 from beryltrack.settings.mechanisms import Mechanism
 
-SHORT_PROOFS = 0.5
-"""Seconds for which a write needs no new proof without `Mechanism.LONG_PROOFS`."""
+SHORT_PROOF_VALIDITY = 0.5
+"""Seconds for which a proof is valid for writes without `Mechanism.LONG_PROOFS`."""
 
-EAGER_GUARD = 0.4
-"""Seconds between two questions to an idle primary without `Mechanism.CALM_GUARD`."""
+SHORT_PROBE_INTERVAL = 0.4
+"""Seconds between two probes of an idle primary without `Mechanism.CALM_GUARD`."""
 
-SHORT_QUEUE = 0.25
-"""Longest expected wait without `Mechanism.LONG_QUEUE`, seconds."""
+SHORT_MAX_WAIT = 0.25
+"""Maximum expected wait without `Mechanism.LONG_QUEUE`, seconds."""
 
-LONG_IDLE = 10.0
-"""Seconds that surplus connections stay without `Mechanism.FEW_CONNECTIONS`."""
+LONG_IDLE_TIMEOUT = 10.0
+"""Seconds that surplus connections stay open without `Mechanism.FEW_CONNECTIONS`."""
 
-UNBOUNDED = 1e9
-"""Retries of a budget that never ends."""
+UNBOUNDED_RETRIES = 1e9
+"""Retries in a budget that is never exhausted."""
 
 
 class NodePolicies(NamedTuple):
-    """What steers the decisions of an instance.
+    """The policies of an instance.
 
     Parameters
     ----------
     pools, account_pools, relayed_pools : PoolPolicy
-        Connections to databases, the same where they belong to accounts, and sessions
-        at other instances.
+        Connections to databases, the same if they belong to accounts, and sessions at
+        other instances.
     routing : RoutingPolicy
-        Where requests run.
+        Choice of the database for a request.
     probes : ProbePolicy
-        How often databases are asked.
+        Intervals of the probes of databases.
     failover : FailoverPolicy
-        When a primary is replaced.
+        Times of the failover.
     retries : RetryPolicy
-        What is run again.
+        Which requests are repeated, and how often.
     admission : AdmissionPolicy
-        How many requests are taken on.
+        Limit of the concurrent requests.
     load : LoadPolicy
-        What runs at a database through an owner, and in which order.
+        Concurrency and order of operations at an owner's gates.
     overdue_after : float
-        Seconds after which a statement makes its primary be asked.
+        Seconds after which a running statement causes a probe of its primary.
     uses_owner_reports : bool
-        True if owners tell of their load, and what they can't do is refused in front.
+        True if owners report their load, and the receiving instance refuses operations
+        that an owner cannot serve in time.
     uses_indirect_paths : bool
         True if databases may be reached through other instances.
     uses_snapshots : bool
-        True if an instance that starts may go by another one's copies.
+        True if an instance that starts may use another one's copies.
     shares_copies : bool
-        True if instances may tell each other what the store holds.
+        True if instances may forward the store's objects to each other.
     account_owners : SlotOwnerPolicy
         Which owners count and run the operations of accounts.
     choose_owners : callable
         Chooses the owners of a group whose connections belong to no account.
     probes_owners : bool
-        True if an owner out of reach is passed over until it answers a probe.
+        True if an unreachable owner is avoided until it answers a probe.
     """
 
     pools: PoolPolicy
@@ -105,11 +106,11 @@
     Parameters
     ----------
     is_fenced : bool
-        True if promotions are fenced, and a replaced primary leads no more.
+        True if promotions are fenced: a replaced primary then refuses writes.
     disabled : frozenset of Mechanism
-        What it does without.
+        The mechanisms that are switched off.
     load : LoadPolicy, optional
-        The figures under load that its operators have set.
+        The load settings of its operators.
     """
     policies = NodePolicies(
         options.POOLS,
@@ -135,54 +136,63 @@
         probes_owners=Mechanism.OWNER_PROBES not in disabled,
     )
     for mechanism in sorted(disabled, key=lambda each: each.value):
-        if mechanism in _WITHOUT:
-            policies = _WITHOUT[mechanism](policies)
+        if mechanism in _CHANGES_WHEN_DISABLED:
+            policies = _CHANGES_WHEN_DISABLED[mechanism](policies)
     return policies
 
 
-def _change_pools(policies: NodePolicies, **figures: object) -> NodePolicies:
-    """Return policies whose pools have other figures."""
+def _change_pools(policies: NodePolicies, **values: object) -> NodePolicies:
+    """Return policies with other values for all pools."""
     return policies._replace(
-        pools=policies.pools._replace(**figures),
-        account_pools=policies.account_pools._replace(**figures),
-        relayed_pools=policies.relayed_pools._replace(**figures),
+        pools=policies.pools._replace(**values),
+        account_pools=policies.account_pools._replace(**values),
+        relayed_pools=policies.relayed_pools._replace(**values),
     )
 
 
-def _refuse_late(policies: NodePolicies) -> NodePolicies:
-    """Return policies by which only what is over its time is refused."""
+def _disable_early_refusal(policies: NodePolicies) -> NodePolicies:
+    """Return policies by which operations are refused only after their deadline."""
     load = policies.load._replace(refuses_early=False)
     return _change_pools(policies._replace(load=load), refuses_early=False)
 
 
-def _change(name: str, **figures: object):
-    """Return what gives one of the policies other figures."""
+def _make_change(name: str, **values: object):
+    """Return a function that sets other values in one of the policies."""
 
     def change(policies: NodePolicies) -> NodePolicies:
-        return policies._replace(**{name: getattr(policies, name)._replace(**figures)})
+        return policies._replace(**{name: getattr(policies, name)._replace(**values)})
 
     return change
 
 
-_WITHOUT = {
-    Mechanism.ADMISSION_BOUND: _change("admission", most_delay=math.inf),
-    Mechanism.CALM_GUARD: _change("probes", idle_primary_interval=EAGER_GUARD),
+_CHANGES_WHEN_DISABLED = {
+    Mechanism.ADMISSION_BOUND: _make_change("admission", most_delay=math.inf),
+    Mechanism.CALM_GUARD: _make_change(
+        "probes", idle_primary_interval=SHORT_PROBE_INTERVAL
+    ),
     Mechanism.DEADLINE_ORDER: lambda each: _change_pools(each, by_deadline=False),
-    Mechanism.EARLY_REFUSAL: _refuse_late,
-    Mechanism.FEW_CONNECTIONS: _change("pools", open_delay=0.0, idle_timeout=LONG_IDLE),
-    Mechanism.EXPECTED_TIME: _change("routing", ranks_by_time=False),
-    Mechanism.KEPT_CONNECTIONS: _change("account_pools", retained_fraction=0.0),
-    Mechanism.PARALLEL_PROOFS: _change("routing", runs_unproven=False),
-    Mechanism.REPLICA_PAUSE: _change("routing", lagging_pause=0.0),
+    Mechanism.EARLY_REFUSAL: _disable_early_refusal,
+    Mechanism.FEW_CONNECTIONS: _make_change(
+        "pools", open_delay=0.0, idle_timeout=LONG_IDLE_TIMEOUT
+    ),
+    Mechanism.EXPECTED_TIME: _make_change("routing", ranks_by_time=False),
+    Mechanism.KEPT_CONNECTIONS: _make_change("account_pools", retained_fraction=0.0),
+    Mechanism.PARALLEL_PROOFS: _make_change("routing", runs_unproven=False),
+    Mechanism.REPLICA_PAUSE: _make_change("routing", lagging_pause=0.0),
     Mechanism.LATE_STATEMENTS: lambda each: each._replace(overdue_after=math.inf),
-    Mechanism.LONG_PROOFS: _change("routing", confirmed_within=SHORT_PROOFS),
-    Mechanism.LONG_QUEUE: lambda each: _change_pools(each, max_wait=SHORT_QUEUE),
-    Mechanism.NEAR_REPLICAS: _change("routing", prefers_near=False),
-    Mechanism.OWN_REPLICAS: _change("routing", prefers_account_replica=False),
-    Mechanism.PRIORITY_ORDER: _change("load", is_ordered=False),
-    Mechanism.RETRIES: _change("retries", most_attempts=1),
-    Mechanism.RETRY_BUDGET: _change(
-        "retries", ratio=1.0, most_saved=UNBOUNDED, first_saved=UNBOUNDED
+    Mechanism.LONG_PROOFS: _make_change(
+        "routing", confirmed_within=SHORT_PROOF_VALIDITY
+    ),
+    Mechanism.LONG_QUEUE: lambda each: _change_pools(each, max_wait=SHORT_MAX_WAIT),
+    Mechanism.NEAR_REPLICAS: _make_change("routing", prefers_near=False),
+    Mechanism.OWN_REPLICAS: _make_change("routing", prefers_account_replica=False),
+    Mechanism.PRIORITY_ORDER: _make_change("load", is_ordered=False),
+    Mechanism.RETRIES: _make_change("retries", most_attempts=1),
+    Mechanism.RETRY_BUDGET: _make_change(
+        "retries",
+        ratio=1.0,
+        most_saved=UNBOUNDED_RETRIES,
+        first_saved=UNBOUNDED_RETRIES,
     ),
-    Mechanism.STATEMENT_LIMIT: _change("load", is_limited=False),
+    Mechanism.STATEMENT_LIMIT: _make_change("load", is_limited=False),
 }
--- a/beryltrack/daemon/node_process.py
+++ b/beryltrack/daemon/node_process.py
@@ -21,9 +21,10 @@
 
 
 def _read_settings() -> tuple[NodeSettings | None, list[Finding]]:
-    """Return the settings of this process, and what is wrong.
+    """Return the settings of this process and the findings.
 
-    None if it cannot start with them; with wrong figures of its load it can.
+    The settings are None if the process cannot start; invalid load settings are
+    replaced by their defaults.
     """
     settings, findings = read_node_settings(os.environ)
     disabled, wrong = read_disabled_mechanisms(os.environ)
@@ -35,9 +36,9 @@
 
 
 def _log_findings(findings: list[Finding]) -> None:
-    """Log what is wrong with the settings."""
+    """Log the findings about the settings."""
     for finding in findings:
-        log.error("daemon: Finding: %s", format_finding(finding))
+        log.error("daemon: Invalid setting: %s", format_finding(finding))
 
 
 def main() -> int:
@@ -57,8 +58,8 @@
     from beryltrack.daemon.node import Node
 
     use_monotonic_time(reactor)
-    # What was imported stays for good: it need not be looked at again, which saves
-    # 30 ms of processor time at each full collection.
+    # Imported modules are never freed: freezing them saves 30 ms of processor time at
+    # each full collection.
     gc.collect()
     gc.freeze()
     node = Node(reactor, settings, random.Random(), stream.write)
@@ -67,10 +68,12 @@
         found, wrong = _read_settings()
         _log_findings(wrong)
         if found is None or found == settings:
-            log.info("daemon: SIGHUP, the settings in force stay.")
+            log.info("daemon: SIGHUP received, the settings are unchanged or invalid.")
         else:
-            # Addresses and names of an instance are those of its whole life.
-            log.warning("daemon: SIGHUP, what has changed holds at the next start.")
+            # Names and addresses of an instance are fixed for its lifetime.
+            log.warning(
+                "daemon: SIGHUP received, changed settings apply at the next start."
+            )
 
     signal.signal(signal.SIGHUP, reload)
     return InstanceProcess(reactor, node, node.endpoints).run()
--- a/beryltrack/daemon/node_site.py
+++ b/beryltrack/daemon/node_site.py
@@ -1,4 +1,4 @@
-"""What an instance knows of its site: the settings and the databases in force."""
+"""The site as one instance knows it: the settings and the databases in force."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class NodeSite:
-    """The settings in force, and what they rest on. They never go back to older.
+    """Derives the settings in force; they never revert to an older version.
 
     Parameters
     ----------
@@ -36,38 +36,38 @@
 
     @property
     def version(self) -> int:
-        """The version of what operators have configured; 0 before it is known."""
+        """The version of the operators' configuration; 0 before it is known."""
         return self._configuration.version if self._configuration else 0
 
     @property
     def has_databases(self) -> bool:
-        """True once it is known which databases there are."""
+        """True once the databases are known."""
         return self._has_roster
 
     @property
     def is_known(self) -> bool:
-        """True once all is known that callers are served by."""
+        """True once both configuration and databases are known."""
         return self._configuration is not None and self._has_roster
 
     def get_route(self, name: str) -> RouteSettings | None:
         """Return the route of a database name."""
         return self._routes.get(name)
 
-    def take_configuration(self, configuration: SiteConfiguration) -> bool:
-        """Take in what operators have configured; return whether that is newer."""
+    def update_configuration(self, configuration: SiteConfiguration) -> bool:
+        """Set the operators' configuration; return whether it is newer."""
         known = self._configuration
         if known is not None and configuration.version <= known.version:
             return False
         self._configuration = configuration
         return True
 
-    def take_databases(self, entries: tuple[RosterEntry, ...], era: int) -> None:
-        """Take in which databases there are, and the era of the store that says so."""
+    def update_databases(self, entries: tuple[RosterEntry, ...], era: int) -> None:
+        """Set the databases, and the era of the store that lists them."""
         self._roster.observe(entries, self._seconds(), era)
         self._has_roster = True
 
     def apply(self, now: float) -> SiteSettings:
-        """Put what is known in force; return the settings."""
+        """Put the known configuration and databases in force; return the settings."""
         self._settings = make_site(
             self._configuration, self._roster, options.LOST_AFTER, now
         )
@@ -75,5 +75,5 @@
         return self._settings
 
     def get_due(self, now: float) -> float | None:
-        """Return when the databases are to be looked at again; None for never."""
+        """Return when the databases must be checked again; None for never."""
         return self._roster.get_due(now)
--- a/beryltrack/daemon/pages.py
+++ b/beryltrack/daemon/pages.py
@@ -1,4 +1,4 @@
-"""Pages that are made at each request, and the sites that serve them."""
+"""Pages that are rendered at each request, and the HTTP sites that serve them."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class Page(Resource):
-    """A page whose body a function makes at each request.
+    """A page whose body a function renders at each request.
 
     Parameters
     ----------
@@ -38,8 +38,8 @@
         return body
 
 
-def render_live(is_live: Callable[[], bool]) -> Page:
-    """Return the page that says whether an instance takes callers."""
+def make_live_page(is_live: Callable[[], bool]) -> Page:
+    """Return the health page: 200 if an instance accepts callers, else 503."""
 
     def render() -> tuple[int, bytes]:
         if is_live():
@@ -50,7 +50,7 @@
 
 
 def make_site(root: Resource) -> Site:
-    """Return a site that does not log each request, as a Site does otherwise."""
+    """Return a site that, unlike a plain `Site`, does not log each request."""
     site = Site(root)
     site.noisy = False
     site.log = lambda request: None
--- a/beryltrack/daemon/plain_pages.py
+++ b/beryltrack/daemon/plain_pages.py
@@ -1,7 +1,7 @@
-"""Pages over HTTP for processes whose memory and start are paid for.
+"""A minimal HTTP server for a few fixed pages, with low memory use and start-up time.
 
-The sites and resources of ``twisted.web.server`` take 50 ms of each start and 4 MB;
-a few fixed pages need none of them.
+The sites and resources of ``twisted.web.server`` would take 50 ms of each start and
+4 MB.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,16 +21,16 @@
 
 
 class Page(NamedTuple):
-    """An answer to a request for a page.
+    """The response to a request for a page.
 
     Parameters
     ----------
     code : int
         Status code.
     body : bytes
-        What it shows.
+        The content.
     content_type : bytes
-        The form of that.
+        Media type of the body.
     """
 
     code: int
@@ -39,7 +39,7 @@
 
 
 RenderPage = Callable[[], Page]
-"""Returns a page as it is now."""
+"""Renders the current state of a page."""
 
 
 class PlainPages(HTTPFactory):
@@ -50,7 +50,7 @@
     reactor : IReactorTime
         Source of timers.
     pages : mapping of bytes to callable
-        What renders each page, by its path.
+        Functions that render the pages, by path.
     """
 
     noisy = False
@@ -66,14 +66,14 @@
         return channel
 
     def log(self, request: Request) -> None:
-        """Log no request: they come each second."""
+        """Log nothing, as health checks arrive each second."""
 
 
 class PlainRequest(Request):
-    """One request for a page."""
+    """A request for a page; unknown paths are answered with 404."""
 
     def process(self) -> None:
-        """Answer it."""
+        """Render the page and send it."""
         render = self.channel.factory.pages.get(self.path)
         page = render() if render is not None else Page(NOT_FOUND)
         self.setResponseCode(page.code)
@@ -84,7 +84,7 @@
 
 
 def make_ready_page(is_ready: Callable[[], bool]) -> RenderPage:
-    """Return the page that says whether an instance takes callers."""
+    """Return the ready page: 200 if an instance accepts callers, else 503."""
 
     def render() -> Page:
         return Page(OK, b"ready\n") if is_ready() else Page(SERVICE_UNAVAILABLE)
--- a/beryltrack/daemon/ports.py
+++ b/beryltrack/daemon/ports.py
@@ -1,9 +1,8 @@
 """Waits until the ports on which an instance listens are free.
 
-A port may be taken for a moment as an instance starts: the process before it is still
-leaving, or the system has given the port to another program, as it does with the ports
-of its ephemeral range. An instance that ended for that would be missing until somebody
-starts it again.
+A port may be taken briefly as an instance starts: by the previous process that is still
+shutting down, or by another program, if the port is in the system's ephemeral range. An
+instance that ended for that would be missing until it is restarted.
 """
 
 import errno
@@ -19,19 +18,19 @@
 
 log = logging.getLogger(__name__)
 
-PORT_WAIT = 10.0
-"""Seconds for which taken ports are waited for; a process that leaves within its usual
-grace is gone by then."""
+PORT_WAIT_LIMIT = 10.0
+"""Maximum seconds to wait for taken ports; a previous process that shuts down within
+its usual grace period has ended by then."""
 
-PORT_PAUSE = 0.1
-"""Seconds between two looks at the ports."""
+PORT_CHECK_INTERVAL = 0.1
+"""Seconds between two checks of the ports."""
 
 
 def is_free(endpoint: Endpoint) -> bool:
-    """Return whether nobody has the port of an endpoint.
+    """Return whether the port of an endpoint is not in use.
 
-    An address that cannot be used for another reason counts as free: listening on it
-    tells the reason.
+    An address that cannot be bound for another reason counts as free: listening on it
+    raises the error.
 
     Parameters
     ----------
@@ -40,8 +39,8 @@
     """
     is_v6 = ipaddress.ip_address(endpoint.host).version == 6
     with socket.socket(socket.AF_INET6 if is_v6 else socket.AF_INET) as probe:
-        # Listening sockets are opened so: connections of an earlier process that
-        # the system still remembers do not hold the port.
+        # As for listening sockets: connections of an earlier process in TIME_WAIT do
+        # not block the port.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind(endpoint)
@@ -51,19 +50,23 @@
 
 
 async def wait_until_free(reactor: IReactorTime, endpoints: Iterable[Endpoint]) -> None:
-    """Wait until all ports are free, for `PORT_WAIT` seconds at most.
+    """Wait until all ports are free, for `PORT_WAIT_LIMIT` seconds at most.
 
     Parameters
     ----------
     reactor : IReactorTime
         The clock.
     endpoints : iterable of Endpoint
-        Where the instance is to listen.
+        The listening addresses of the instance.
     """
-    give_up_at = reactor.seconds() + PORT_WAIT
+    deadline = reactor.seconds() + PORT_WAIT_LIMIT
     taken = [endpoint for endpoint in endpoints if not is_free(endpoint)]
     for endpoint in taken:
-        log.warning("daemon: Port %d is taken, waiting for it.", endpoint.port)
-    while taken and reactor.seconds() < give_up_at:
-        await deferLater(reactor, PORT_PAUSE)
+        log.warning(
+            "daemon: Port %d is taken, waiting up to %g s for it.",
+            endpoint.port,
+            PORT_WAIT_LIMIT,
+        )
+    while taken and reactor.seconds() < deadline:
+        await deferLater(reactor, PORT_CHECK_INTERVAL)
         taken = [endpoint for endpoint in taken if not is_free(endpoint)]
--- a/beryltrack/daemon/postgres_group_factory.py
+++ b/beryltrack/daemon/postgres_group_factory.py
@@ -1,4 +1,4 @@
-"""The parts of a group whose databases speak the PostgreSQL protocol."""
+"""Creates the parts of groups whose databases speak the PostgreSQL protocol."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class PostgresGroupFactory:
-    """Makes the tasks and pools of PostgreSQL groups; see `GroupFactory`.
+    """Creates the tasks and pools of PostgreSQL groups; see `GroupFactory`.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
         Source of jitter.
     """
 
-    keeps_members = False
+    supports_member_changes = False
     losses = DEFAULT_POLICY
 
     def __init__(self, reactor, node_name: str, rng: random.Random):
@@ -63,7 +63,7 @@
 
 
 def _translate_refusal(failure: Failure) -> Failure:
-    """Return a target's refusal of a connection in the form that pools know."""
+    """Convert a target's refusal of a connection to the error that pools expect."""
     if failure.check(SqlException):
         return Failure(ConnectRefused(failure.value.error.sqlstate))
     return failure
--- a/beryltrack/daemon/process.py
+++ b/beryltrack/daemon/process.py
@@ -16,7 +16,7 @@
     Parameters
     ----------
     settings : InstanceSettings
-        What its settings file says.
+        Its settings file.
 
     Returns
     -------
--- a/beryltrack/daemon/proxy.py
+++ b/beryltrack/daemon/proxy.py
@@ -43,7 +43,7 @@
 
 
 class ProxyState(Enum):
-    """Where a proxy stands between its start and its end."""
+    """The lifecycle state of a proxy."""
 
     STARTING = "starting"
     LIVE = "live"
@@ -58,7 +58,7 @@
     reactor : reactor
         Source of sockets and timers.
     settings : InstanceSettings
-        What its settings file says.
+        Its settings file.
     rng : random.Random
         Source of jitter.
     """
@@ -95,7 +95,7 @@
         handler.set_forwarder(ForwardToOwners(self.fleet.forwarder))
         register_counters(self.metrics.meter, self.fleet.peers.counters)
         self._cleaner = LedgerCleaner(
-            self.services, lambda: self.groups.runtimes, self.fleet.is_chosen, rng
+            self.services, lambda: self.groups.runtimes, self.fleet.is_duty_holder, rng
         )
         self.callers = CallerFactory(
             reactor, handler, self._get_site, _load_certificate(settings.certificate)
@@ -106,25 +106,25 @@
         self._registration: RegistrationTask | None = None
         self.metrics.set_pool_source(self._get_pool_use)
         self.groups.subscribe_started(self._count_failovers)
-        self._awake = get_pause_aware_clock(reactor)
-        self._turning = LoopingCall(self._awake.record_tick)
-        self._turning.clock = reactor
+        self._pause_aware_clock = get_pause_aware_clock(reactor)
+        self._tick_loop = LoopingCall(self._pause_aware_clock.record_tick)
+        self._tick_loop.clock = reactor
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where callers connect."""
+        """The address for callers."""
         return self._endpoints[0]
 
     @property
     def health_endpoint(self) -> Endpoint:
-        """Where health, metrics and status are asked for."""
+        """The address of the health, metrics and status pages."""
         return self._endpoints[1]
 
     def start(self) -> None:
-        """Listen, and learn the settings."""
-        self._awake.start_detection()
-        self._awake.subscribe(self._report_pause)
-        self._turning.start(TICK_PERIOD)
+        """Listen, and fetch the settings."""
+        self._pause_aware_clock.start_detection()
+        self._pause_aware_clock.subscribe(self._report_pause)
+        self._tick_loop.start(TICK_PERIOD)
         self.settings_task.subscribe(self._apply)
         self.settings_task.start()
         self.services.admission.start()
@@ -144,8 +144,8 @@
     async def leave(self) -> None:
         """Shut down without cutting off a request in flight.
 
-        New callers are refused, callers are told to go between two
-        transactions, and what is still open at the drain limit is cut off.
+        New callers are refused, callers are disconnected between two transactions, and
+        transactions that are still open at the drain limit are cut off.
         """
         self.state = ProxyState.LEAVING
         log.info("daemon: Instance %s leaves.", self.settings.name)
@@ -156,16 +156,20 @@
         try:
             await leaving
         except TimeoutError:
-            log.warning("daemon: Drain limit reached, callers are cut off.")
+            log.warning(
+                "daemon: Drain limit of %g s reached, callers with open transactions "
+                "are cut off.",
+                self.settings.drain_limit,
+            )
             self.callers.abort()
         await self.stop()
 
     async def stop(self) -> None:
         """Close everything."""
-        if self._turning.running:
-            self._turning.stop()
-            self._awake.unsubscribe(self._report_pause)
-            self._awake.stop_detection()
+        if self._tick_loop.running:
+            self._tick_loop.stop()
+            self._pause_aware_clock.unsubscribe(self._report_pause)
+            self._pause_aware_clock.stop_detection()
         self.callers.abort()
         self.settings_task.stop()
         self.services.admission.stop()
@@ -175,10 +179,10 @@
         await self._registration.stop()
         await self.platform.close()
         for port in self._ports:
-            # A port that is closed already gives no Deferred.
+            # A port that is already closed returns no Deferred.
             await maybeDeferred(port.stopListening)
         self.metrics.close()
-        log.info("daemon: Instance %s has left.", self.settings.name)
+        log.info("daemon: Instance %s has shut down.", self.settings.name)
 
     def get_status(self) -> InstanceStatus:
         """Return the instance's status."""
@@ -194,7 +198,7 @@
         """Open one listening socket."""
         port = self._reactor.listenTCP(endpoint.port, factory, interface=endpoint.host)
         self._ports.append(port)
-        # A port that was chosen by the system is known only while it is open.
+        # A port that the system chose is known only while it is open.
         address = port.getHost()
         self._endpoints.append(Endpoint(address.host, address.port))
 
@@ -221,9 +225,9 @@
         log.info("daemon: Settings of revision %d are in force.", site.revision)
 
     def _report_pause(self, pause: Pause) -> None:
-        """Log what was open over a pause of this process."""
+        """Log a pause of this process and the transactions open during it."""
         log.warning(
-            "daemon: Paused for %.1f s with %d transactions open.",
+            "daemon: Process was paused for %.1f s with %d transactions open.",
             pause.length,
             self.callers.transaction_count,
         )
--- a/beryltrack/daemon/reports.py
+++ b/beryltrack/daemon/reports.py
@@ -1,4 +1,4 @@
-"""Makes the status of an instance from its tasks."""
+"""Builds the status of an instance from its tasks."""
 
 import math
 from collections.abc import Iterable
@@ -29,7 +29,7 @@
     Parameters
     ----------
     settings : InstanceSettings
-        What its settings file says.
+        Its settings file.
     state : str
         ``starting``, ``live`` or ``leaving``.
     settings_task : SettingsTask
--- a/beryltrack/daemon/status.py
+++ b/beryltrack/daemon/status.py
@@ -1,6 +1,6 @@
-"""The status that an instance reports of itself, and its JSON form.
+"""The status that an instance reports about itself, and its JSON form.
 
-The daemon fills these tuples, the operators' tool reads them.
+The daemon fills these tuples, the operators' tool parses them.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class ObjectVersion(NamedTuple):
-    """A settings object that is known to an instance.
+    """Path and version of a settings object that an instance knows.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
     age : float or None
         Upper bound of the staleness of its data, seconds; None if unknown.
     reachable : bool
-        True if it answered lately.
+        True if it answered recently.
     draining : bool
         True if it gets no new work.
     """
@@ -75,7 +75,7 @@
 
 
 class InstanceStatus(NamedTuple):
-    """All that an instance reports of itself.
+    """The complete status of an instance.
 
     Parameters
     ----------
@@ -90,7 +90,7 @@
     settings : tuple of ObjectVersion
         The settings objects that it knows.
     findings : tuple of Finding
-        What is wrong with them.
+        The problems found in them.
     groups : tuple of GroupReport
         The groups that it serves.
     counters : Counters
--- a/beryltrack/daemon/store_clients.py
+++ b/beryltrack/daemon/store_clients.py
@@ -1,4 +1,4 @@
-"""The clients of the platform's services: the object store and the promotions."""
+"""The clients of the platform's services: object store and promotion service."""
 
 import random
 from typing import NamedTuple
@@ -22,7 +22,7 @@
 
 
 class StoreClients(NamedTuple):
-    """What an instance calls.
+    """The clients of one instance.
 
     Parameters
     ----------
@@ -30,13 +30,13 @@
         The object store.
     lagging_store : LaggingFeed
         The same over the same connections; its lists may be seconds old, at a tenth
-        of the price.
+        of the cost.
     promotion : PromotionCalls
         Carries out promotions.
     authority : PromotionAuthority
-        Gives the permits for them.
+        Grants the permits for them.
     eras : EraTracker
-        The era of the store, as answers to any of these clients tell.
+        The era of the store, as reported in the answers to any of these clients.
     """
 
     store: PlatformStore
@@ -54,13 +54,13 @@
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Carries connections and timeouts.
+        Source of connections and timers.
     settings : NodeSettings
-        Where the services listen, and whether promotions are fenced.
+        Addresses of the services, and whether promotions are fenced.
     rng : random.Random
         Source of jitter, and of the name of this process.
     rejects : RejectLog
-        Takes what is wrong with objects that cannot be decoded.
+        Logs the problems of objects that cannot be decoded.
     """
 
     def make_client(
@@ -82,7 +82,7 @@
         authority = StoreAuthority(store, settings.name, eras)
     else:
         promotions = make_client(settings.promotion, CONNECT_TIMEOUT)
-        # A permit that is not written in time is of no use: the next one is tried.
+        # A permit that is written after its validity is useless: the next is tried.
         permits = PlatformStore(
             make_client(settings.store, CONNECT_TIMEOUT, PERMIT_VALIDITY, eras), rejects
         )
--- a/beryltrack/daemon/tour.py
+++ b/beryltrack/daemon/tour.py
@@ -1,4 +1,4 @@
-"""A visible tour of a local site: what the promises look like to a caller."""
+"""A demonstration on a local site: the consistency guarantees as a caller sees them."""
 
 import json
 import logging
@@ -28,22 +28,22 @@
     Parameters
     ----------
     text : str
-        What was tried.
-    held : bool
-        True if the outcome was the one promised.
+        Description of the step.
+    has_passed : bool
+        True if the outcome was as guaranteed.
     seconds : float
-        How long it took.
+        Its duration, seconds.
     """
 
     text: str
-    held: bool
+    has_passed: bool
     seconds: float
 
 
 async def run_tour(
     reactor, proxies: list[Endpoint], group: str, user: str, control_url: str
 ) -> bool:
-    """Write and read through two proxies, before and after a primary is lost.
+    """Write and read through two proxies, before and after the loss of a primary.
 
     Parameters
     ----------
@@ -52,14 +52,14 @@
     proxies : list of Endpoint
         The proxies.
     group, user : str
-        Whom to log on as.
+        Database name and user for the log-on.
     control_url : str
-        Where the stand-ins take faults.
+        URL for fault injection in the stand-ins.
 
     Returns
     -------
     bool
-        True if every step held.
+        True if every step passed.
     """
     first, second = [
         await connect_target(reactor, endpoint, group, user, "", CONNECT_TIMEOUT)
@@ -75,20 +75,20 @@
     ]
     first.close()
     second.close()
-    return all(step.held for step in steps)
+    return all(step.has_passed for step in steps)
 
 
 async def _time(text: str, step) -> TourStep:
     """Carry out a step, log it and return it."""
     started_at = time.monotonic()
     try:
-        held = await step
+        has_passed = await step
     except SqlException as error:
         log.error("tour: %s: %s", text, error)
-        held = False
-    done = TourStep(text, held, time.monotonic() - started_at)
-    verdict = "held" if done.held else "FAILED"
-    log.info("tour: %s: %s after %.1f ms.", done.text, verdict, done.seconds * 1000)
+        has_passed = False
+    done = TourStep(text, has_passed, time.monotonic() - started_at)
+    outcome = "held" if done.has_passed else "FAILED"
+    log.info("tour: %s: %s after %.1f ms.", done.text, outcome, done.seconds * 1000)
     return done
 
 
@@ -102,7 +102,7 @@
 
 
 async def _create(connection: TargetConnection) -> bool:
-    """Declare a new session and create the table of the tour."""
+    """Declare a new session and create the tour's table."""
     await _run(connection, DECLARE_NEW)
     await _run(connection, "CREATE TABLE tour (id integer PRIMARY KEY)")
     return True
@@ -115,7 +115,7 @@
 
 
 async def _read(writer: TargetConnection, reader: TargetConnection, count: int) -> bool:
-    """Hand the writer's session to the reader and count the rows there."""
+    """Pass the writer's session token to the reader and count the rows there."""
     [[token]] = await _run(writer, f"SHOW {SESSION_SETTING}")
     await _run(reader, f"SET {SESSION_SETTING} = {quote_literal(token)}")
     rows = await _run(reader, "SELECT count(*) FROM tour")
@@ -123,7 +123,7 @@
 
 
 async def _stop_primary(control_url: str) -> bool:
-    """Stop the database that leads."""
+    """Stop the primary; return whether the stand-ins accepted the fault."""
     answer = await treq.get(f"{control_url}/state")
     state = await answer.json()
     primary = next(
--- a/beryltrack/daemon/zone_traffic.py
+++ b/beryltrack/daemon/zone_traffic.py
@@ -1,8 +1,8 @@
-"""Counts the bytes that pass between availability zones, by what they are for.
+"""Counts the bytes that pass between availability zones, by purpose.
 
-Such bytes are paid for. Each is counted once in a fleet, by the instance that opened
-the connection: what it sends there and what it receives, without the headers of
-packets. Connections within a zone are left as they are.
+Cloud providers bill such traffic. Each byte is counted once in a fleet, by the instance
+that opened the connection, for both directions and without packet headers. Connections
+within a zone are not wrapped.
 """
 
 from collections import Counter
@@ -19,38 +19,38 @@
 SENT, RECEIVED = "sent", "received"
 
 STATEMENTS = "statements"
-"""Statements that run through another instance, and their answers."""
+"""Statements relayed through another instance, and their answers."""
 
 DATABASES = "databases"
-"""Statements and control requests straight to a database."""
+"""Statements and control requests sent directly to a database."""
 
 COPIES = "copies"
-"""Copies of the store's objects."""
+"""Cached copies of the store's objects."""
 
-RIGHTS = "rights"
-"""Rights to run accounts' operations."""
+QUOTA_SHARES = "rights"
+"""Quota shares of accounts."""
 
 
 class CountingProtocol(ProtocolWrapper):
-    """Counts what passes over one connection."""
+    """Counts the bytes of one connection."""
 
     def write(self, data: bytes) -> None:
-        """Send something."""
+        """Count and send data."""
         self.factory.count(SENT, len(data))
         super().write(data)
 
     def writeSequence(self, data: Iterable[bytes]) -> None:  # noqa: N802
-        """Send several pieces."""
+        """Count and send several pieces of data."""
         self.write(b"".join(data))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take in something."""
+        """Count and deliver received data."""
         self.factory.count(RECEIVED, len(data))
         super().dataReceived(data)
 
 
 class CountingFactory(WrappingFactory):
-    """Has the bytes of a connection counted for a purpose.
+    """Wraps the protocol of a connection to count its bytes for a purpose.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     counts : Counter
         Bytes by purpose and direction.
     purpose : str
-        What the connection is for.
+        The purpose of the connection.
     """
 
     noisy = False
@@ -71,7 +71,7 @@
         self._purpose = purpose
 
     def count(self, direction: str, number: int) -> None:
-        """Add bytes."""
+        """Add a number of bytes."""
         self._counts[self._purpose, direction] += number
 
     def buildProtocol(self, addr: IAddress) -> Protocol | None:  # noqa: N802
@@ -81,12 +81,12 @@
 
 
 class ZoneTraffic:
-    """Opens connections as a reactor does, and counts those to other zones.
+    """Opens connections like a reactor, and counts the bytes to and from other zones.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Opens them.
+        Opens the connections.
     zone : str
         Availability zone of this instance.
     """
@@ -101,7 +101,7 @@
         self._counts: Counter[tuple[str, str]] = Counter()
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Take in where the instances of other zones take connections."""
+        """Set the addresses of instances, to recognise those in other zones."""
         places = (
             (endpoint, purpose)
             for peer in peers
@@ -109,24 +109,24 @@
             for endpoint, purpose in (
                 (peer.relay_endpoint, STATEMENTS),
                 (peer.cache_endpoint, COPIES),
-                (peer.quota_endpoint, RIGHTS),
+                (peer.quota_endpoint, QUOTA_SHARES),
             )
         )
         self._peers = {place: purpose for place, purpose in places if place is not None}
 
     def set_databases(self, databases: Iterable[DatabaseSettings]) -> None:
-        """Take in where the databases of other zones are."""
+        """Set the addresses of databases, to recognise those in other zones."""
         self._databases = {
             each.endpoint: DATABASES for each in databases if each.zone != self._zone
         }
 
-    def connectTCP(self, host: str, port: int, factory, *words, **options):  # noqa: N802
-        """Open a connection."""
+    def connectTCP(self, host: str, port: int, factory, *args, **kwargs):  # noqa: N802
+        """Open a connection, counted if it leads to another zone."""
         place = Endpoint(host, port)
         purpose = self._peers.get(place) or self._databases.get(place)
         if purpose is not None:
             factory = CountingFactory(factory, self._counts, purpose)
-        return self._reactor.connectTCP(host, port, factory, *words, **options)
+        return self._reactor.connectTCP(host, port, factory, *args, **kwargs)
 
     def get_samples(self) -> Iterable[MetricSample]:
         """Return the bytes to and from other zones, by purpose and direction."""
--- a/tests/daemon/test_account_ways.py
+++ b/tests/daemon/test_account_ways.py
@@ -37,7 +37,7 @@
         self.directory.set_peers([make_peer(each) for each in range(6)])
         self.directory.set_accounts(62)
         self.quota = QuotaDecider({"a": ACCOUNT}.get)
-        kit = LineGroupFactory(
+        factory = LineGroupFactory(
             self.reactor,
             own.name,
             None,
@@ -50,7 +50,7 @@
             7,
             ZoneTraffic(self.reactor, own.zone),
         )
-        self.access = kit.make_pool(GROUP, DATABASE)
+        self.access = factory.make_pool(GROUP, DATABASE)
         self.access.set_limit(9)
 
     def get_opened(self):
--- a/tests/daemon/test_callers_port.py
+++ b/tests/daemon/test_callers_port.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet.error import CannotListenError
 
-from beryltrack.daemon.node import CALLERS_PORT_PAUSE, NodeState
+from beryltrack.daemon.node import CALLERS_PORT_RETRY_DELAY, NodeState
 from tests.daemon import test_silent_store as silent_store
 
 
@@ -29,8 +29,8 @@
 def test_callers_are_let_in_once_their_port_is_free(make_site):
     """Guards against an instance that never gets ready, as nothing tries again."""
     site = make_site()
-    site.advance(3 * CALLERS_PORT_PAUSE)
+    site.advance(3 * CALLERS_PORT_RETRY_DELAY)
     assert site.node.state is NodeState.STARTING
     site.clock.taken = None
-    site.advance(2 * CALLERS_PORT_PAUSE)
+    site.advance(2 * CALLERS_PORT_RETRY_DELAY)
     assert site.node.state is NodeState.LIVE
--- a/tests/daemon/test_configuration.py
+++ b/tests/daemon/test_configuration.py
@@ -95,7 +95,7 @@
     task = ConfigurationTask(Clock(), read_configuration, ROW_TABLES, take)
     task.read(make_item(7, 1))
     task.read(make_item(8, 1))
-    assert len(taken) == 2 and "met a defect" in caplog.text
+    assert len(taken) == 2 and "Applying a configuration failed" in caplog.text
 
 
 def test_a_defect_in_a_slice_holds_up_no_other(caplog):
@@ -108,7 +108,7 @@
     task.read(make_item(7, 1))
     task.read(make_item(8, 1))
     assert [each.item.version for each in taken] == [7, 8]
-    assert "met a defect" in caplog.text
+    assert "Parsing a configuration in slices failed" in caplog.text
 
 
 def test_nothing_is_read_after_the_end(read):
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -79,7 +79,7 @@
 
 def test_members_share_the_connections_of_a_database(site):
     site.connections.set_members(tuple(make_peer(each) for each in (1, 2)))
-    site.connections.share()
+    site.connections.apply_shares()
     # Two of the twenty are reserved.
     assert site.pool.limit == 9 and site.pool.policy == site.policies.pools
 
@@ -87,7 +87,7 @@
 def test_a_database_that_is_out_of_reach_has_sessions_at_others(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
     site.directory.mark_unreachable("a")
-    site.connections.share()
+    site.connections.apply_shares()
     assert set(site.pool.ways) == {"front-1", "front-2"}
     # Where no other reaches it either, an attempt of its own is the quickest answer.
     assert site.pool.limit == 9
@@ -114,7 +114,7 @@
     site.connections.set_accounts(True)
     owners = site.directory.get_candidates("orders", 20)
     assert owners == site.directory.get_candidates("another", 20) and len(owners) == 1
-    site.connections.share()
+    site.connections.apply_shares()
     assert site.pool.policy == site.policies.account_pools
     site.connections.set_accounts(False)
     assert not site.directory.has_accounts
@@ -134,7 +134,7 @@
     peers = [make_peer(each)._replace(capacity=others) for each in range(2, 9)]
     site.connections.set_members((make_peer(1), *peers))
     site.connections.set_accounts(True)
-    site.connections.share()
+    site.connections.apply_shares()
     return site
 
 
@@ -147,7 +147,7 @@
 
 def test_where_all_own_all_groups_no_statements_are_limited(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
-    site.connections.share()
+    site.connections.apply_shares()
     assert site.pool.capacity is None
 
 
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -9,7 +9,7 @@
 
 from beryltrack.daemon import lifecycle
 from beryltrack.daemon.lifecycle import EXIT_DONE, EXIT_FAILED, InstanceProcess
-from beryltrack.daemon.ports import PORT_PAUSE
+from beryltrack.daemon.ports import PORT_CHECK_INTERVAL
 from beryltrack.settings.messages import Endpoint
 
 HOST = "127.0.0.1"
@@ -110,7 +110,7 @@
         def free(reactor, _):
             assert instance.calls == []
             taken.close()
-            reactor.advance(PORT_PAUSE)
+            reactor.advance(PORT_CHECK_INTERVAL)
             assert instance.calls == ["start"]
 
         steps = [free, lambda _, terminate: terminate()]
@@ -125,9 +125,9 @@
         endpoint = Endpoint(*taken.getsockname())
         steps = [
             lambda _, terminate: terminate(),
-            lambda reactor, _: reactor.advance(PORT_PAUSE),
+            lambda reactor, _: reactor.advance(PORT_CHECK_INTERVAL),
         ]
         code, reactor = run(handlers, instance, steps, [endpoint])
-        reactor.advance(PORT_PAUSE)
+        reactor.advance(PORT_CHECK_INTERVAL)
     assert code == EXIT_DONE and instance.calls == []
     assert reactor.getDelayedCalls() == []
--- a/tests/daemon/test_line_kit.py
+++ b/tests/daemon/test_line_kit.py
@@ -39,7 +39,7 @@
         names = (f"g{each}" for each in range(100))
         group = next(each for each in names if not directory.is_owner(each, 40))
         self.owner = directory.choose_via(group, "db-1", 40).name
-        self.kit = LineGroupFactory(
+        self.factory = LineGroupFactory(
             self.clock,
             "me",
             None,
@@ -53,7 +53,7 @@
             ZoneTraffic(self.clock, "z"),
         )
         settings = GroupSettings(group, "", (DATABASE,), "", "", 0.0, 0.5)
-        self.access = self.kit.make_pool(settings, DATABASE)
+        self.access = self.factory.make_pool(settings, DATABASE)
 
     def connect(self, reactor, endpoint, *words):
         self.opened.append(endpoint.host)
@@ -61,7 +61,7 @@
 
     def tell(self, wait):
         told = TimedReport(DatabaseReport(4, 4, (wait,), 0.01, 7), 1.0)
-        self.kit.owner_loads.observe(self.owner, "db-1", told, self.clock.seconds())
+        self.factory.owner_loads.observe(self.owner, "db-1", told, self.clock.seconds())
 
 
 def test_what_an_owner_told_keeps_operations_from_asking_it(monkeypatch):
@@ -90,8 +90,8 @@
 
 def test_the_own_load_of_a_database_is_known_by_its_pools(monkeypatch):
     site = Site(monkeypatch)
-    assert site.kit.owner_loads.get_service_time("db-1") == 0.0
+    assert site.factory.owner_loads.get_service_time("db-1") == 0.0
     report = DatabaseReport(4, 4, (0.2,), 0.03, 7)
     monkeypatch.setattr(type(site.access), "get_report", lambda access: report)
-    assert site.kit.owner_loads.get_service_time("db-1") == 0.03
-    assert site.kit.owner_loads.get_wait("", "db-1", 2) == 0.2
+    assert site.factory.owner_loads.get_service_time("db-1") == 0.03
+    assert site.factory.owner_loads.get_wait("", "db-1", 2) == 0.2
--- a/tests/daemon/test_load_status.py
+++ b/tests/daemon/test_load_status.py
@@ -7,7 +7,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from beryltrack.connections.messages import PoolLoad, RefusalReason
-from beryltrack.daemon.load_status import LoadView, make_status_page, simplify
+from beryltrack.daemon.load_status import LoadView, make_status_page, to_json_value
 from beryltrack.daemon.plain_pages import JSON
 from beryltrack.load.gate_status import GateStatus
 from beryltrack.load.gate_task import GateCounters
@@ -94,7 +94,7 @@
 
 def test_reasons_and_infinite_numbers_have_a_form_in_json():
     gate = GateStatus("g", "a", 1, 0, (), (math.inf,), {RefusalReason.TOO_LATE: 2})
-    shown = json.loads(json.dumps(simplify(gate)))
+    shown = json.loads(json.dumps(to_json_value(gate)))
     assert shown["waits"] == [None] and shown["refused"] == {"too_late": 2}
 
 
--- a/tests/daemon/test_members.py
+++ b/tests/daemon/test_members.py
@@ -8,12 +8,12 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from beryltrack.daemon.members import (
+    BATCH_DELAY,
     CHECK_PERIOD,
     KIND,
-    MOST_MISSES,
-    WATCH_GAP,
+    MAX_MISSES,
     MemberTask,
-    get_next,
+    get_successor,
 )
 from beryltrack.objects.messages import ObjectList, PlatformObject
 from beryltrack.relay.owners import Peer
@@ -59,7 +59,7 @@
         reactor, store, store, own, endpoint, seen.append, random.Random(1)
     )
     task.start()
-    reactor.advance(WATCH_GAP)
+    reactor.advance(BATCH_DELAY)
     return reactor, store, seen, task
 
 
@@ -83,7 +83,7 @@
 
 def test_an_instance_that_takes_no_connections_is_removed():
     reactor, store, _, _ = start_member("a", "c")
-    for _ in range(MOST_MISSES):
+    for _ in range(MAX_MISSES):
         reactor.advance(CHECK_PERIOD)
         refuse_all(reactor)
     assert f"{KIND}/c" not in store.objects and f"{KIND}/a" in store.objects
@@ -97,5 +97,5 @@
 
 def test_each_looks_at_the_next_in_a_ring():
     names = ("a", "b", "c")
-    assert [get_next(names, name) for name in names] == ["b", "c", "a"]
-    assert get_next(("a",), "a") is None
+    assert [get_successor(names, name) for name in names] == ["b", "c", "a"]
+    assert get_successor(("a",), "a") is None
--- a/tests/daemon/test_pages.py
+++ b/tests/daemon/test_pages.py
@@ -8,7 +8,7 @@
 from twisted.web.test.requesthelper import DummyRequest
 
 from beryltrack.daemon.health import build_health_site
-from beryltrack.daemon.logs import PartFormatter
+from beryltrack.daemon.logs import ComponentFormatter
 from beryltrack.daemon.metrics import InstanceMetrics
 from beryltrack.daemon.status import encode_status, parse_status
 from beryltrack.metrics.messages import (
@@ -32,7 +32,7 @@
 def test_line_of_log_is_json_with_the_part_that_wrote_it():
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
-    handler.setFormatter(PartFormatter("p1"))
+    handler.setFormatter(ComponentFormatter("p1"))
     record = logging.LogRecord(
         "beryltrack.x", logging.INFO, "", 1, "routing: no replica of %s", ("a",), None
     )
--- a/tests/daemon/test_ports.py
+++ b/tests/daemon/test_ports.py
@@ -5,7 +5,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from beryltrack.daemon.ports import PORT_PAUSE, PORT_WAIT, is_free, wait_until_free
+from beryltrack.daemon.ports import (
+    PORT_CHECK_INTERVAL,
+    PORT_WAIT_LIMIT,
+    is_free,
+    wait_until_free,
+)
 from beryltrack.settings.messages import Endpoint
 
 HOST = "127.0.0.1"
@@ -27,9 +32,9 @@
     server, endpoint = take_port()
     with server:
         waiting = wait(clock, endpoint)
-        clock.advance(PORT_PAUSE)
+        clock.advance(PORT_CHECK_INTERVAL)
         assert not waiting.called
-    clock.advance(PORT_PAUSE)
+    clock.advance(PORT_CHECK_INTERVAL)
     assert waiting.called
 
 
@@ -40,9 +45,9 @@
     with second:
         with first:
             waiting = wait(clock, one, other)
-        clock.advance(PORT_PAUSE)
+        clock.advance(PORT_CHECK_INTERVAL)
         assert not waiting.called
-    clock.advance(PORT_PAUSE)
+    clock.advance(PORT_CHECK_INTERVAL)
     assert waiting.called
 
 
@@ -52,7 +57,9 @@
     server, endpoint = take_port()
     with server:
         waiting = wait(clock, endpoint)
-        clock.pump([PORT_PAUSE] * round(PORT_WAIT / PORT_PAUSE + 1))
+        clock.pump(
+            [PORT_CHECK_INTERVAL] * round(PORT_WAIT_LIMIT / PORT_CHECK_INTERVAL + 1)
+        )
         assert waiting.called
 
 
--- a/tests/daemon/test_restored_store.py
+++ b/tests/daemon/test_restored_store.py
@@ -322,5 +322,5 @@
         in text
     )
     assert "1 of 3 objects differ from the cached ones: servers/i-1." in text
-    gauges = dict(each[::2] for each in site.node._get_gauges() if not each[1])
+    gauges = dict(each[::2] for each in site.node._get_samples() if not each[1])
     assert gauges["beryltrack_store_era"] == 2
--- a/tests/daemon/test_unreadable_entries.py
+++ b/tests/daemon/test_unreadable_entries.py
@@ -39,7 +39,7 @@
         for peer in site.node._members._make_peers(site.node._members.feed.objects)
     ]
     assert names == ["front-1", "front-2"]
-    assert site.node._members._checking.running
+    assert site.node._members._check_loop.running
 
 
 def test_a_database_that_comes_back_empty_is_another_member(make_site):  # noqa: F811
