--- a/tests/daemon/examples.py
+++ b/tests/daemon/examples.py
@@ -1,4 +1,4 @@
-"""A status for the tests of the daemon's pages and of the tool."""
+"""An example status for the tests of the daemon's pages and of the operators' tool."""
 
 from beryltrack.daemon.status import (
     DatabaseReport,
--- a/tests/daemon/test_account_ways.py
+++ b/tests/daemon/test_account_ways.py
@@ -1,4 +1,4 @@
-"""How the parts of an instance say where an account's statements go."""
+"""Which instance runs an account's operations: quota, directory and pools together."""
 
 import random
 
@@ -53,52 +53,52 @@
         self.access = factory.make_pool(GROUP, DATABASE)
         self.access.set_limit(9)
 
-    def get_opened(self):
-        """Return where the last connection was opened to."""
+    def get_last_endpoint(self):
+        """Return the address of the last opened connection."""
         host, port, *_ = self.reactor.tcpClients[-1]
         return Endpoint(host, port)
 
     def acquire(self):
         self.access.acquire(9.0, Demand(account="a")).addErrback(lambda _: None)
-        return self.get_opened()
+        return self.get_last_endpoint()
 
-    def get_counting(self):
-        """Return who counts the account's operations in this zone."""
+    def get_counting_owner(self):
+        """Return the owner that counts the account's operations in this zone."""
         return self.directory.choose_account_owner("a")
 
 
 def find_owner():
     """Return the owner of the account in the zone z0."""
-    return Site(9, 0.1).get_counting()
+    return Site(9, 0.1).get_counting_owner()
 
 
 def test_an_account_runs_at_the_owner_of_the_zone():
     site = Site(9, 0.1)
-    assert site.get_counting().zone == "z0"
-    assert site.acquire() == site.get_counting().relay_endpoint
+    assert site.get_counting_owner().zone == "z0"
+    assert site.acquire() == site.get_counting_owner().relay_endpoint
 
 
-def test_what_that_owner_refused_goes_to_another_zones():
+def test_an_operation_that_its_owner_refused_goes_to_another_zones_owner():
     site = Site(9, 0.1)
-    first = site.get_counting()
+    first = site.get_counting_owner()
     assert site.directory.observe_quota_refusal("a", first.name)
     second = site.acquire()
     assert second != first.relay_endpoint
-    # What another instance sent here is not passed on for this reason.
+    # Relayed operations are not relayed again for this reason.
     site.access.lend(9.0, Demand(account="a"), False).addErrback(lambda _: None)
-    assert site.get_opened() == first.relay_endpoint
+    assert site.get_last_endpoint() == first.relay_endpoint
 
 
-def test_an_owner_that_may_run_no_more_sends_its_own_callers_operations_on():
+def test_an_owner_without_quota_forwards_its_own_callers_operations():
     owner = find_owner()
     site = Site(int(owner.name[1:]))
     assert site.acquire() == DATABASE.endpoint
-    # The first token is spent, and nobody has lent anything.
+    # The first token is spent, and no quota share is lent.
     assert site.acquire() not in (DATABASE.endpoint, owner.relay_endpoint)
     assert site.quota.counts["a"].run == 1
 
 
-def test_an_owner_that_may_run_no_more_refuses_what_others_sent():
+def test_an_owner_without_quota_refuses_relayed_operations():
     site = Site(int(find_owner().name[1:]))
     site.acquire()
     lending = site.access.lend(9.0, Demand(account="a"), False)
@@ -108,7 +108,7 @@
     assert failure[0].value.refusal.reason is RefusalReason.OVER_LIMIT
 
 
-def test_in_the_end_the_limit_is_the_answer():
+def test_an_operation_is_refused_once_all_owners_refused():
     site = Site(int(find_owner().name[1:]))
     site.acquire()
     for peer in site.directory.get_candidates("orders", 62):
@@ -119,8 +119,8 @@
         refused[0].raiseException()
 
 
-def test_an_owner_that_does_not_reach_a_database_counts_its_own_callers_too():
-    """Nobody has lent rights to the others of its zone: they would refuse."""
+def test_an_owner_that_cannot_reach_a_database_counts_its_own_callers():
+    """The other owners of its zone have no quota shares: they would refuse."""
     owner = find_owner()
     site = Site(int(owner.name[1:]))
     site.directory.mark_unreachable("db")
@@ -128,7 +128,7 @@
     assert site.quota.counts["a"].run == 1
 
 
-def test_an_owner_over_the_limit_that_goes_round_asks_another_zones():
+def test_an_owner_over_the_limit_with_an_indirect_path_asks_another_zones():
     owner = find_owner()
     site = Site(int(owner.name[1:]))
     site.directory.mark_unreachable("db")
--- a/tests/daemon/test_callers_port.py
+++ b/tests/daemon/test_callers_port.py
@@ -10,7 +10,7 @@
 
 
 class Reactor(silent_store.Reactor):
-    """Refuses one port for as long as the test says."""
+    """Refuses to listen on one port until the test frees it."""
 
     taken = 84
 
@@ -26,8 +26,8 @@
     return partial(silent_store.Site, monkeypatch)
 
 
-def test_callers_are_let_in_once_their_port_is_free(make_site):
-    """Guards against an instance that never gets ready, as nothing tries again."""
+def test_callers_are_accepted_once_their_port_is_free(make_site):
+    """Guards against an instance that never gets ready because it does not retry."""
     site = make_site()
     site.advance(3 * CALLERS_PORT_RETRY_DELAY)
     assert site.node.state is NodeState.STARTING
--- a/tests/daemon/test_configuration.py
+++ b/tests/daemon/test_configuration.py
@@ -1,4 +1,4 @@
-"""A large change of the configuration is read beside the callers' requests."""
+"""A large configuration is parsed in slices, so that callers are served meanwhile."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -21,17 +21,17 @@
 
 
 class CountingClock(Clock):
-    """A clock that counts the calls that it was asked for."""
+    """A clock that counts the scheduled calls."""
 
-    turns = 0
+    call_count = 0
 
     def callLater(self, *args, **kwargs):  # noqa: N802
-        self.turns += 1
+        self.call_count += 1
         return super().callLater(*args, **kwargs)
 
 
 class Read:
-    """The versions that were read, in simulated time."""
+    """A task and the versions that it parsed, in simulated time."""
 
     def __init__(self):
         self.clock, self.found = CountingClock(), []
@@ -45,10 +45,10 @@
         return [each.version for each in known if each is not None]
 
     def finish(self):
-        """Go on until nothing is left; return in how many turns it was read."""
+        """Parse all versions; return the number of slices after the first."""
         self.clock.advance(0)
         assert not self.clock.getDelayedCalls()
-        return self.clock.turns
+        return self.clock.call_count
 
 
 @pytest.fixture
@@ -61,7 +61,7 @@
     assert read.versions == [7]
 
 
-def test_a_large_one_is_read_in_turns_between_which_others_run(read):
+def test_a_large_configuration_is_read_in_slices(read):
     read.task.read(make_item(7, COUNT))
     assert read.versions == []
     assert read.finish() == COUNT // SLICE_ROWS
@@ -70,48 +70,48 @@
     assert read.versions == [7, 8]
 
 
-def test_versions_are_given_in_the_order_in_which_they_came(read):
-    """One that came later may be older, of a store that was restored."""
+def test_versions_are_reported_in_order_of_arrival(read):
+    """A later version may be older, after a restore of the store."""
     for version in (7, 9, 8):
         read.task.read(make_item(version, COUNT, 800 + version))
     read.finish()
     assert read.versions == [7, 9, 8]
 
 
-def test_one_that_cannot_be_read_holds_up_no_other(read):
+def test_an_invalid_version_does_not_block_the_next(read):
     for value in (None, {"routes": 3}, CONFIG | {"routes": [None, {}]}):
         read.task.read(PlatformObject("config/main", 1, value, False))
     read.task.read(make_item(2, 1))
     assert read.versions[-1:] == [2] and len(read.found) == 4
 
 
-def test_a_defect_where_it_is_taken_holds_up_no_other(caplog):
+def test_an_exception_of_the_callback_does_not_block_the_next_version(caplog):
     taken = []
 
-    def take(found):
+    def callback(found):
         taken.append(found)
         raise RuntimeError("a defect")
 
-    task = ConfigurationTask(Clock(), read_configuration, ROW_TABLES, take)
+    task = ConfigurationTask(Clock(), read_configuration, ROW_TABLES, callback)
     task.read(make_item(7, 1))
     task.read(make_item(8, 1))
     assert len(taken) == 2 and "Applying a configuration failed" in caplog.text
 
 
-def test_a_defect_in_a_slice_holds_up_no_other(caplog):
+def test_an_exception_in_a_slice_does_not_block_the_version(caplog):
     def parse(value):
         raise RuntimeError("a defect")
 
-    tables = {"routes": (Field("database_name", parse),)}
+    schemas = {"routes": (Field("database_name", parse),)}
     taken = []
-    task = ConfigurationTask(Clock(), read_configuration, tables, taken.append)
+    task = ConfigurationTask(Clock(), read_configuration, schemas, taken.append)
     task.read(make_item(7, 1))
     task.read(make_item(8, 1))
     assert [each.item.version for each in taken] == [7, 8]
     assert "Parsing a configuration in slices failed" in caplog.text
 
 
-def test_nothing_is_read_after_the_end(read):
+def test_nothing_is_read_after_the_stop(read):
     read.task.read(make_item(7, COUNT))
     read.task.stop()
     read.finish()
--- a/tests/daemon/test_deploy.py
+++ b/tests/daemon/test_deploy.py
@@ -1,4 +1,4 @@
-"""What is deployed suffices: each package that an instance needs is listed."""
+"""The deployment lists each package that an instance needs."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-# Imports all that an instance does, as if no other packages were there.
+# Imports all modules of an instance, with all other packages hidden.
 IMPORT_WITH = """
 import sys
 
@@ -28,7 +28,7 @@
     return {line.partition("==")[0].lower().replace("_", "-") for line in lines}
 
 
-def test_all_packages_that_an_instance_needs_are_listed():
+def test_all_packages_that_an_instance_imports_are_listed():
     listed = read_names("deploy/requirements.txt")
     hidden = {
         module
@@ -46,7 +46,7 @@
     assert ran.returncode == 0, ran.stderr
 
 
-def test_the_versions_are_those_of_the_tests():
+def test_deployed_versions_are_the_tested_ones():
     pinned = (ROOT / "requirements.txt").read_text().splitlines()
     deployed = (ROOT / "deploy/requirements.txt").read_text().splitlines()
     assert set(deployed) <= set(pinned)
--- a/tests/daemon/test_fleet.py
+++ b/tests/daemon/test_fleet.py
@@ -1,17 +1,17 @@
-"""Proxies act as one: they tell each other settings and who leads a group."""
+"""Proxies of a fleet share settings, group views and membership."""
 
 import time
 
 from tests.local_proxies import connect, run_proxies
 from tests.reactor_thread import run
 
-PATIENCE = 10.0
+TIMEOUT = 10.0
 
 
 def wait_until(condition):
-    give_up_at = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT
     while not run(condition):
-        assert time.monotonic() < give_up_at
+        assert time.monotonic() < deadline
         time.sleep(0.02)
 
 
@@ -25,16 +25,16 @@
         run(local.site.control.set_fault, "platform", "down")
         proxy = run(local.start_proxy, 2)
         wait_until(lambda: knows_owners(proxy))
-        # It holds no seat, so an owner of the group runs this for it.
+        # It holds no seat, so an owner of the group runs the statement.
         with connect(proxy) as caller:
             caller.execute("CREATE TABLE item (id integer)")
-        # What it does not own it does not watch either.
+        # It does not watch a group that it does not own.
         assert not run(lambda: proxy.groups.get("main").is_started)
         nodes = ("proxy-1", "proxy-2", "proxy-3")
         wait_until(lambda: all(p.fleet.nodes == nodes for p in local.proxies))
 
 
-def test_an_instance_that_leaves_is_told_at_once():
+def test_an_instance_that_leaves_is_removed_at_once():
     with run_proxies(count=2) as local:
         wait_until(lambda: len(local.proxies[0].fleet.nodes) == 2)
         run(local.proxies[1].fleet.leave)
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -1,4 +1,4 @@
-"""How pools share a database's connections, by the members that are known."""
+"""The pools' shares of a database's connections, by the known members."""
 
 from types import SimpleNamespace
 
@@ -17,16 +17,16 @@
 
 
 class Pool:
-    """Keeps what it was told."""
+    """Records its limit, policy, capacity and sessions."""
 
-    limit = policy = ways = capacity = None
+    limit = policy = vias = capacity = None
 
     @property
     def direct(self):
         return self
 
     def retain_sessions(self, names):
-        self.ways = names
+        self.vias = names
 
     def set_policy(self, policy):
         self.policy = policy
@@ -48,11 +48,11 @@
     """One instance's share of one group."""
 
     def __init__(self, disabled=frozenset()):
-        self.told = []
+        self.calls = []
         self.pool = Pool()
         task = SimpleNamespace(
-            set_nodes=lambda *words: self.told.append(words),
-            set_allowed_vias=lambda ways: self.told.append(ways),
+            set_nodes=lambda *args: self.calls.append(args),
+            set_allowed_vias=lambda vias: self.calls.append(vias),
         )
         self.runtime = SimpleNamespace(
             settings=GROUP,
@@ -84,12 +84,12 @@
     assert site.pool.limit == 9 and site.pool.policy == site.policies.pools
 
 
-def test_a_database_that_is_out_of_reach_has_sessions_at_others(site):
+def test_an_unreachable_database_is_used_through_other_owners(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
     site.directory.mark_unreachable("a")
     site.connections.apply_shares()
-    assert set(site.pool.ways) == {"front-1", "front-2"}
-    # Where no other reaches it either, an attempt of its own is the quickest answer.
+    assert set(site.pool.vias) == {"front-1", "front-2"}
+    # If no other instance reaches it either, its own attempt fails fastest.
     assert site.pool.limit == 9
     assert site.pool.is_stale(SimpleNamespace(via=""))
     assert site.connections.get_lender("orders", "a") is None
@@ -97,9 +97,9 @@
 
 def test_before_the_members_are_known_an_instance_is_no_candidate(site):
     site.connections.start_group(site.runtime)
-    assert site.told == [(("front-1",), False)] and not site.connections.has_members
+    assert site.calls == [(("front-1",), False)] and not site.connections.has_members
     site.connections.set_members((make_peer(1),))
-    assert site.connections.has_members and site.told[1] == (("front-1",), True)
+    assert site.connections.has_members and site.calls[1] == (("front-1",), True)
 
 
 def test_an_owner_lends_its_pool(site):
@@ -120,8 +120,8 @@
     assert not site.directory.has_accounts
 
 
-def test_an_owner_of_accounts_lends_ways_to_a_database_that_it_does_not_reach(site):
-    """The operations of its accounts are counted here, so that they pass through it."""
+def test_an_owner_of_accounts_relays_to_a_database_it_cannot_reach(site):
+    """It counts the operations of its accounts, so they must pass through it."""
     site.connections.set_members((make_peer(1),))
     site.connections.set_accounts(True)
     site.directory.mark_unreachable("a")
@@ -129,7 +129,7 @@
 
 
 def make_relayed(*disabled, others=0.1):
-    """Return an instance in a fleet of eight with accounts; others have a capacity."""
+    """Return an instance in a fleet of eight with accounts; others' capacity is set."""
     site = Site(frozenset(disabled))
     peers = [make_peer(each)._replace(capacity=others) for each in range(2, 9)]
     site.connections.set_members((make_peer(1), *peers))
@@ -138,20 +138,20 @@
     return site
 
 
-def test_an_owner_is_told_its_part_of_a_database():
+def test_an_owners_gate_gets_its_share_of_a_databases_slots():
     site = make_relayed()
     assert site.directory.get_candidates("orders", 20) == ("front-1",)
     # Three slots, one owner; two of twenty connections are reserved.
     assert site.pool.capacity == SharedCapacity(3, 1, 18)
 
 
-def test_where_all_own_all_groups_no_statements_are_limited(site):
+def test_without_a_gate_if_all_instances_own_all_groups(site):
     site.connections.set_members((make_peer(1), make_peer(2)))
     site.connections.apply_shares()
     assert site.pool.capacity is None
 
 
-def test_an_instance_that_owns_nothing_limits_nothing():
+def test_an_instance_that_owns_no_group_has_no_gate():
     site = make_relayed(others=9.0)
     assert not site.directory.is_owner("orders", 20) and site.pool.capacity is None
 
@@ -164,6 +164,6 @@
         ((Mechanism.STATEMENT_LIMIT, Mechanism.PRIORITY_ORDER), False),
     ],
 )
-def test_without_both_mechanisms_an_owner_serves_as_before(disabled, is_limited):
+def test_without_both_mechanisms_an_owner_has_no_gate(disabled, is_limited):
     site = make_relayed(*disabled)
     assert (site.pool.capacity is not None) is is_limited
--- a/tests/daemon/test_leaving.py
+++ b/tests/daemon/test_leaving.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown: nothing in flight is cut off, and nothing is left behind."""
+"""A graceful shutdown cuts off no transaction and removes the instance's status."""
 
 import urllib.error
 import urllib.request
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an instance's process, in simulated time."""
+"""The lifecycle of an instance's process, in simulated time."""
 
 import signal
 import socket
@@ -42,7 +42,7 @@
 
 
 class Instance:
-    """Counts its starts and ends."""
+    """Records its starts and shutdowns."""
 
     def __init__(self, error=None):
         self.calls = []
@@ -59,14 +59,14 @@
 
 @pytest.fixture
 def handlers(monkeypatch):
-    """Keep the handlers of signals here, so that the tests' own stay."""
+    """Record signal handlers without replacing those of the test process."""
     found = {}
     monkeypatch.setattr(lifecycle.signal, "signal", found.__setitem__)
     return found
 
 
 def run(handlers, instance, steps=(), endpoints=()):
-    """Run an instance; `steps` get the reactor and what sends SIGTERM."""
+    """Run an instance; `steps` get the reactor and a function that sends SIGTERM."""
     reactor = Reactor()
 
     def terminate():
@@ -83,12 +83,12 @@
 
 
 def test_a_repeated_sigterm_changes_nothing(handlers):
-    """Guards against a shutdown that fails as its signal comes again."""
+    """Guards against a shutdown that fails when the signal is repeated."""
     instance = Instance()
     code, reactor = run(handlers, instance, [lambda _, terminate: terminate()] * 3)
     assert code == EXIT_DONE and reactor.stops == 1
     assert instance.calls == ["start", "leave"]
-    # Later ones must not replace the exit code as the interpreter ends.
+    # Later signals must not replace the exit code as the interpreter ends.
     assert handlers[signal.SIGTERM] == signal.SIG_IGN
 
 
@@ -96,13 +96,13 @@
     "error", [CannotListenError(HOST, 5432, OSError()), ValueError("a defect")]
 )
 def test_an_instance_that_cannot_start_ends_its_process(handlers, error):
-    """Guards against a process that runs on without its ports and serves nobody."""
+    """Guards against a process that keeps running without its ports."""
     code, reactor = run(handlers, Instance(error))
     assert code == EXIT_FAILED and reactor.stops == 1
 
 
 def test_an_instance_starts_once_its_ports_are_free(handlers):
-    """Guards against an end of the process as a port is taken for a moment."""
+    """Guards against a process that ends because a port is taken for a moment."""
     instance = Instance()
     with socket.create_server((HOST, 0)) as taken:
         endpoint = Endpoint(*taken.getsockname())
@@ -119,7 +119,7 @@
 
 
 def test_sigterm_ends_an_instance_that_waits_for_its_ports(handlers):
-    """Guards against a wait for a port that outlives the order to end."""
+    """Guards against a wait for a port that ignores SIGTERM."""
     instance = Instance()
     with socket.create_server((HOST, 0)) as taken:
         endpoint = Endpoint(*taken.getsockname())
--- a/tests/daemon/test_line_kit.py
+++ b/tests/daemon/test_line_kit.py
@@ -1,4 +1,4 @@
-"""The pools of a database, wired to what the owners of its group told."""
+"""The pools of a line database and the load reports of its group's owners."""
 
 import random
 from types import SimpleNamespace
@@ -29,7 +29,7 @@
 
 
 class Site:
-    """An instance among seventy, which does not own the group that it uses."""
+    """One of seventy-one instances; it does not own the group that it uses."""
 
     def __init__(self, monkeypatch, *disabled):
         self.clock, self.opened = Clock(), []
@@ -55,40 +55,42 @@
         settings = GroupSettings(group, "", (DATABASE,), "", "", 0.0, 0.5)
         self.access = self.factory.make_pool(settings, DATABASE)
 
-    def connect(self, reactor, endpoint, *words):
+    def connect(self, reactor, endpoint, *args):
         self.opened.append(endpoint.host)
         return Deferred()
 
-    def tell(self, wait):
-        told = TimedReport(DatabaseReport(4, 4, (wait,), 0.01, 7), 1.0)
-        self.factory.owner_loads.observe(self.owner, "db-1", told, self.clock.seconds())
+    def report_wait(self, wait):
+        report = TimedReport(DatabaseReport(4, 4, (wait,), 0.01, 7), 1.0)
+        self.factory.owner_loads.observe(
+            self.owner, "db-1", report, self.clock.seconds()
+        )
 
 
-def test_what_an_owner_told_keeps_operations_from_asking_it(monkeypatch):
+def test_a_reported_long_wait_is_refused_without_asking_the_owner(monkeypatch):
     site = Site(monkeypatch)
-    site.tell(3.0)
+    site.report_wait(3.0)
     with pytest.raises(PoolRefused) as refused:
         get_result(site.access.acquire(0.8, DEMAND))
     assert refused.value.refusal.reason is RefusalReason.OWNER_FULL
     assert site.opened == []
 
 
-def test_an_owner_that_told_nothing_of_late_is_asked(monkeypatch):
+def test_an_owner_with_an_expired_report_is_asked(monkeypatch):
     site = Site(monkeypatch)
-    site.tell(3.0)
+    site.report_wait(3.0)
     site.clock.advance(1.0)
     site.access.acquire(1.8, DEMAND)
     assert site.opened == [site.owner]
 
 
-def test_without_reports_each_operation_asks(monkeypatch):
+def test_without_owner_reports_each_operation_asks_the_owner(monkeypatch):
     site = Site(monkeypatch, Mechanism.OWNER_REPORTS)
-    site.tell(3.0)
+    site.report_wait(3.0)
     site.access.acquire(0.8, DEMAND)
     assert site.opened == [site.owner]
 
 
-def test_the_own_load_of_a_database_is_known_by_its_pools(monkeypatch):
+def test_the_instances_own_load_comes_from_its_pools(monkeypatch):
     site = Site(monkeypatch)
     assert site.factory.owner_loads.get_service_time("db-1") == 0.0
     report = DatabaseReport(4, 4, (0.2,), 0.03, 7)
--- a/tests/daemon/test_load_status.py
+++ b/tests/daemon/test_load_status.py
@@ -1,4 +1,4 @@
-"""The status page: queues, limits, and who decides for whom."""
+"""The status page: queues, limits, and the owners of groups and accounts."""
 
 import json
 import math
@@ -26,7 +26,7 @@
 
 
 class OwnerLoads:
-    """Knows a wait of a tenth of a second for each step of priority."""
+    """Estimates a wait of a tenth of a second per step of priority."""
 
     def get_wait(self, owner, database, priority):
         return priority / 10
@@ -55,7 +55,7 @@
     return view.build("me", "z", "live", 58)
 
 
-def test_in_a_small_fleet_each_instance_decides_for_itself():
+def test_in_a_small_fleet_each_instance_is_its_own_owner():
     status = build(2)
     (group,) = status.groups
     assert (group.owners, group.way) == ((), "")
@@ -66,7 +66,7 @@
     assert status.gates == () and status.account_slots == {}
 
 
-def test_in_a_large_fleet_it_says_who_decides_and_what_wait_is_expected_there():
+def test_in_a_large_fleet_the_status_shows_owners_and_expected_waits():
     (group,) = build(60, limit=10).groups
     assert group.way in group.owners and "me" not in group.owners
     assert group.databases[0].waits == (0.0, 0.1, 0.2, 0.3)
@@ -79,7 +79,7 @@
     )
 
 
-def test_accounts_are_counted_by_the_owner_that_decides_for_them():
+def test_account_slots_are_counted_by_owner():
     slots = build(30, least_connections=40).account_slots
     assert sum(slots.values()) == 64 and len(slots) > 1
 
@@ -92,13 +92,13 @@
     assert status["gates"][0]["waits"] == [0.0, 0.25]
 
 
-def test_reasons_and_infinite_numbers_have_a_form_in_json():
+def test_refusal_reasons_and_infinite_numbers_convert_to_json():
     gate = GateStatus("g", "a", 1, 0, (), (math.inf,), {RefusalReason.TOO_LATE: 2})
     shown = json.loads(json.dumps(to_json_value(gate)))
     assert shown["waits"] == [None] and shown["refused"] == {"too_late": 2}
 
 
-def test_a_whole_instance_shows_its_groups_and_describes_all_its_metrics(monkeypatch):
+def test_a_running_instance_shows_its_groups_and_describes_its_metrics(monkeypatch):
     site = Site(monkeypatch)
     site.advance(2.0)
     status = site.node._get_status()
--- a/tests/daemon/test_members.py
+++ b/tests/daemon/test_members.py
@@ -1,4 +1,4 @@
-"""Instances register, and look after one another."""
+"""Instances register, and remove a successor that accepts no connections."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class Store:
-    """Objects in memory; watches wait for ever."""
+    """Objects in memory; watches never end."""
 
     def __init__(self):
         self.objects = {}
@@ -81,7 +81,7 @@
     assert [peer.name for peer in seen[-1]] == ["a", "b", "c"]
 
 
-def test_an_instance_that_takes_no_connections_is_removed():
+def test_an_instance_that_accepts_no_connections_is_removed():
     reactor, store, _, _ = start_member("a", "c")
     for _ in range(MAX_MISSES):
         reactor.advance(CHECK_PERIOD)
@@ -89,13 +89,13 @@
     assert f"{KIND}/c" not in store.objects and f"{KIND}/a" in store.objects
 
 
-def test_an_instance_that_leaves_takes_its_object_away():
+def test_an_instance_that_leaves_deregisters():
     _, store, _, task = start_member("a")
     Deferred.fromCoroutine(task.leave())
     assert f"{KIND}/b" not in store.objects
 
 
-def test_each_looks_at_the_next_in_a_ring():
+def test_the_successor_is_the_next_in_the_ring_of_names():
     names = ("a", "b", "c")
     assert [get_successor(names, name) for name in names] == ["b", "c", "a"]
     assert get_successor(("a",), "a") is None
--- a/tests/daemon/test_node_options.py
+++ b/tests/daemon/test_node_options.py
@@ -1,4 +1,4 @@
-"""The figures of an instance on the users' platform, where they decide something."""
+"""Decisions that depend on the options of an instance on the users' platform."""
 
 import pytest
 
@@ -33,10 +33,10 @@
     assert type(choice) is kind
 
 
-def test_a_primary_that_is_heard_of_is_not_asked():
-    pace = PollSchedule(options.PROBES)
+def test_a_primary_that_has_just_answered_is_not_probed():
+    schedule = PollSchedule(options.PROBES)
     delays = [
-        pace.compute_delay(
+        schedule.compute_delay(
             make_view(9.0),
             PRIMARY_VIEW,
             PollContext(False, False, True, heard_at),
--- a/tests/daemon/test_node_policies.py
+++ b/tests/daemon/test_node_policies.py
@@ -1,4 +1,4 @@
-"""What an instance's policies lose with each mechanism that is switched off."""
+"""The policies of an instance with each mechanism switched off."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from beryltrack.settings.mechanisms import Mechanism
 
 
-def test_with_all_mechanisms_the_figures_of_the_options_hold():
+def test_with_all_mechanisms_the_values_of_the_options_apply():
     policies = make_policies(True)
     assert policies.pools == options.POOLS
     assert policies.routing == options.ROUTING
@@ -15,7 +15,7 @@
     assert policies.uses_indirect_paths and policies.uses_snapshots
 
 
-def test_without_fences_other_figures_hold():
+def test_without_fencing_other_values_apply():
     policies = make_policies(False)
     assert policies.routing == options.UNFENCED_ROUTING
     assert policies.failover == options.UNFENCED_FAILOVER
@@ -26,7 +26,7 @@
     assert make_policies(True, frozenset({mechanism})) != make_policies(True)
 
 
-def test_switches_add_up():
+def test_switches_combine():
     both = {Mechanism.LONG_QUEUE, Mechanism.DEADLINE_ORDER}
     pools = make_policies(True, frozenset(both)).pools
     assert pools.max_wait < options.POOLS.max_wait and not pools.by_deadline
@@ -37,7 +37,7 @@
     assert not (policies.load.refuses_early or policies.pools.refuses_early)
 
 
-def test_the_limit_and_the_order_are_switched_off_apart():
+def test_limit_and_order_are_switched_off_separately():
     limit = make_policies(True, frozenset({Mechanism.STATEMENT_LIMIT})).load
     order = make_policies(True, frozenset({Mechanism.PRIORITY_ORDER})).load
     assert (limit.is_limited, limit.is_ordered) == (False, True)
--- a/tests/daemon/test_node_process.py
+++ b/tests/daemon/test_node_process.py
@@ -1,4 +1,4 @@
-"""What the process of an instance learns from its environment."""
+"""The settings that the process of an instance reads from its environment."""
 
 import json
 
@@ -34,7 +34,7 @@
     assert "magic" in capsys.readouterr().err
 
 
-def test_a_wrong_figure_of_the_load_is_a_finding_and_the_process_starts(environment):
+def test_an_invalid_load_setting_is_a_finding_and_the_process_starts(environment):
     environment.setenv(LOAD_VARIABLE, '{"per_slot": 2, "most_wait": -1}')
     settings, (finding,) = _read_settings()
     assert settings.load == LoadPolicy(per_slot=2.0)
--- a/tests/daemon/test_pages.py
+++ b/tests/daemon/test_pages.py
@@ -29,7 +29,7 @@
     return request.responseCode, body
 
 
-def test_line_of_log_is_json_with_the_part_that_wrote_it():
+def test_a_log_line_is_json_with_its_component():
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
     handler.setFormatter(ComponentFormatter("p1"))
@@ -49,7 +49,7 @@
     assert get_page(b"health", live=False)[0] == 503
 
 
-def test_status_comes_back_from_its_json_as_it_was():
+def test_status_survives_its_json_form():
     code, body = get_page(b"status")
     assert code == 200
     assert parse_status(json.loads(body)) == STATUS
@@ -104,7 +104,7 @@
     assert [line.split()[-1] for line in revisions] == ["12.0"]
 
 
-def test_each_instrument_has_a_text():
+def test_each_instrument_has_a_description():
     metrics = InstanceMetrics("p1")
     metrics.count_request(RequestKind.READ, RequestOutcome.DONE, TargetKind.REPLICA)
     metrics.record_queue_time(0.002)
--- a/tests/daemon/test_paused_instance.py
+++ b/tests/daemon/test_paused_instance.py
@@ -1,4 +1,4 @@
-"""An instance that is paused, as a process of its own."""
+"""An instance whose process is paused."""
 
 import signal
 import threading
@@ -15,8 +15,8 @@
 """Seconds; longer than any silence that counts as a loss."""
 
 
-def read_on(settings, stop):
-    """Keep the instance asking its databases."""
+def read_repeatedly(settings, stop):
+    """Read in a loop, so that the instance keeps probing its databases."""
     with open_caller(settings) as reader:
         while not stop.is_set():
             try:
@@ -35,7 +35,7 @@
     ):
         setup.execute("CREATE TABLE item (id integer PRIMARY KEY)")
         stop = threading.Event()
-        reader = threading.Thread(target=read_on, args=(settings, stop))
+        reader = threading.Thread(target=read_repeatedly, args=(settings, stop))
         reader.start()
         try:
             with open_caller(settings) as caller:
@@ -55,7 +55,7 @@
 
 
 def test_a_pause_ends_no_transaction_on_a_healthy_database(site):
-    """Guards against connections that are closed as an instance wakes."""
+    """Guards against connections that are closed when an instance resumes."""
     _, process, caller, setup = site
     for _ in range(3):
         pause(process)
@@ -64,7 +64,7 @@
     assert setup.execute("SELECT count(*) FROM item").fetchone() == (2,)
 
 
-def test_a_primary_that_is_replaced_during_a_pause_takes_no_write(site):
+def test_a_primary_that_is_replaced_during_a_pause_accepts_no_write(site):
     """Guards against a pause that lets a transaction outlive its primary."""
     local, process, caller, setup = site
     before = get_primary(local)
@@ -81,7 +81,7 @@
 
 
 def test_a_database_that_falls_silent_during_a_pause_is_lost_after_it(site):
-    """Guards against a pause that hides a lost primary: its transactions would hang."""
+    """Guards against a pause that hides the loss of a primary: callers would hang."""
     local, process, caller, setup = site
     before = get_primary(local)
     process.send_signal(signal.SIGSTOP)
--- a/tests/daemon/test_plain_pages.py
+++ b/tests/daemon/test_plain_pages.py
@@ -1,4 +1,4 @@
-"""Fixed pages over HTTP."""
+"""The minimal HTTP server and its ready page."""
 
 import pytest
 from twisted.internet.task import Clock
--- a/tests/daemon/test_ports.py
+++ b/tests/daemon/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are taken as an instance starts."""
+"""Waiting for ports that are taken as an instance starts."""
 
 import socket
 
@@ -17,7 +17,7 @@
 
 
 def take_port():
-    """Return a listening socket, as another program has one, and its address."""
+    """Return a listening socket like that of another program, and its address."""
     server = socket.create_server((HOST, 0))
     return server, Endpoint(*server.getsockname())
 
@@ -27,7 +27,7 @@
 
 
 def test_an_instance_waits_for_a_port_that_is_taken_at_its_start():
-    """Guards against an instance that ends as its port is taken for a moment."""
+    """Guards against an instance that ends because its port is taken for a moment."""
     clock = Clock()
     server, endpoint = take_port()
     with server:
@@ -38,8 +38,8 @@
     assert waiting.called
 
 
-def test_all_ports_are_waited_for():
-    """Guards against a start that looks at the first taken port only."""
+def test_the_start_waits_for_all_ports():
+    """Guards against a start that checks only the first taken port."""
     clock = Clock()
     (first, one), (second, other) = take_port(), take_port()
     with second:
@@ -51,8 +51,8 @@
     assert waiting.called
 
 
-def test_a_port_that_stays_taken_is_not_waited_for_without_end():
-    """Guards against an instance that never says why it does not start."""
+def test_the_wait_for_a_port_is_bounded():
+    """Guards against an instance that waits forever and reports no error."""
     clock = Clock()
     server, endpoint = take_port()
     with server:
@@ -64,14 +64,14 @@
 
 
 def test_a_start_with_free_ports_waits_for_nothing():
-    """Guards against a start that takes longer than it must."""
+    """Guards against a needless delay of the start."""
     server, endpoint = take_port()
     server.close()
     assert wait(Clock(), endpoint).called
 
 
 def test_a_connection_of_an_earlier_process_does_not_hold_its_port():
-    """Guards against waiting for closed connections that the system remembers."""
+    """Guards against waiting for connections in TIME_WAIT."""
     server, endpoint = take_port()
     with server, socket.create_connection(endpoint) as caller:
         accepted, _ = server.accept()
@@ -80,13 +80,13 @@
     assert is_free(endpoint)
 
 
-def test_an_address_that_is_not_ours_is_left_to_the_listening_to_refuse():
+def test_an_address_of_another_host_counts_as_free():
     """Guards against a wait that hides a wrong address in the settings."""
     assert is_free(Endpoint("192.0.2.1", 5432))
 
 
-def test_ports_of_ipv6_are_looked_at():
-    """Guards against a look that only knows IPv4."""
+def test_ports_of_ipv6_are_checked():
+    """Guards against a check that supports only IPv4."""
     with socket.create_server(("::1", 0), family=socket.AF_INET6) as server:
         host, port = server.getsockname()[:2]
         assert not is_free(Endpoint(host, port))
--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: its settings file, SIGTERM and its exit code."""
+"""The daemon as a process: settings file, SIGTERM and exit code."""
 
 import contextlib
 import json
@@ -16,18 +16,17 @@
 from tests.local_proxies import connect, run_proxies
 
 HOST = "127.0.0.1"
-PATIENCE = 20.0
+TIMEOUT = 20.0
 ENDPOINTS = ("listen", "peer_listen", "health_listen")
 
 
 @contextlib.contextmanager
-def keep_ports():
-    """Yield the fields of the addresses, on ports that nobody else is given.
+def reserve_ports():
+    """Yield the address settings, with ports that are reserved for the daemon.
 
-    A port that was only found free may be another program's by the time at which a
-    daemon listens, which is seconds on a busy machine. While a socket that does not
-    listen has the port, the system gives it to no other one, but a daemon that asks
-    for it may listen.
+    A port that is merely found free may be taken before the daemon listens, seconds
+    later on a busy machine. While a bound socket that does not listen holds the port,
+    the system assigns it to no other program, but the daemon can listen on it.
     """
     with contextlib.ExitStack() as sockets:
         endpoints = {}
@@ -68,22 +67,22 @@
 
 @contextlib.contextmanager
 def run_daemon(tmp_path, platform_url):
-    """Run one daemon; yield its process, its settings and what it has logged."""
-    with keep_ports() as endpoints:
+    """Run one daemon; yield its process, its settings and its log lines."""
+    with reserve_ports() as endpoints:
         settings = make_settings(platform_url, **endpoints)
         path = tmp_path / "proxy.json"
         path.write_text(json.dumps(settings))
         process = start(str(path))
-        # What it logs is read on, or it would block when the pipe is full.
+        # The log is read continuously: the daemon would block on a full pipe.
         logged = []
         reader = threading.Thread(target=lambda: logged.extend(process.stderr))
         reader.start()
-        give_up_at = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT
         try:
             while not is_live(settings["health_listen"]["port"]):
                 if process.poll() is not None:
                     reader.join()
-                assert process.poll() is None and time.monotonic() < give_up_at, logged
+                assert process.poll() is None and time.monotonic() < deadline, logged
                 time.sleep(0.02)
             yield process, settings, logged
         finally:
@@ -113,13 +112,13 @@
             caller.execute("BEGIN")
             caller.execute("INSERT INTO item VALUES (1)")
             process.send_signal(signal.SIGTERM)
-            # The idle caller is told to go, the open transaction is waited for.
+            # The idle caller is disconnected; the open transaction may finish.
             with pytest.raises(psycopg.OperationalError):
                 while True:
                     idle.execute("SELECT 1")
             caller.execute("INSERT INTO item VALUES (2)")
             caller.execute("COMMIT")
-        assert process.wait(timeout=PATIENCE) == 0
+        assert process.wait(timeout=TIMEOUT) == 0
         assert setup.execute("SELECT count(*) FROM item").fetchone() == (2,)
     levels = [json.loads(line)["level"] for line in logged]
     pairs = zip(levels, logged, strict=True)
@@ -127,18 +126,18 @@
     assert "INFO" in levels
 
 
-def test_a_wrong_settings_file_is_told_whole(tmp_path):
+def test_all_errors_of_a_settings_file_are_reported(tmp_path):
     path = tmp_path / "proxy.json"
     wrong = make_settings("http://127.0.0.1:1", zone=7, drain_limit=-1)
     path.write_text(json.dumps(wrong))
     process = start(str(path))
-    _, errors = process.communicate(timeout=PATIENCE)
+    _, errors = process.communicate(timeout=TIMEOUT)
     assert process.returncode == 1
     assert "/zone" in errors and "/drain_limit" in errors
 
 
 def test_an_instance_waits_for_a_port_that_is_taken_as_it_starts(tmp_path):
-    """Guards against an instance that ends as another has its port for a moment."""
+    """Guards against an instance that ends because its port is taken for a moment."""
     path = tmp_path / "proxy.json"
     with socket.create_server((HOST, 0)) as taken:
         endpoint = {"host": HOST, "port": taken.getsockname()[1]}
@@ -155,7 +154,7 @@
 
 
 def test_a_repeated_sigterm_cuts_off_no_transaction(tmp_path):
-    """Guards against a shutdown that fails as its signal comes again."""
+    """Guards against a shutdown that fails when the signal is repeated."""
     with (
         run_proxies(count=1) as local,
         connect(local.proxies[0]) as setup,
@@ -173,7 +172,7 @@
             caller.execute("INSERT INTO item VALUES (2)")
             process.send_signal(signal.SIGTERM)
             caller.execute("COMMIT")
-        assert process.wait(timeout=PATIENCE) == 0
+        assert process.wait(timeout=TIMEOUT) == 0
         assert setup.execute("SELECT count(*) FROM item").fetchone() == (2,)
     levels = [json.loads(line)["level"] for line in logged]
     pairs = zip(levels, logged, strict=True)
--- a/tests/daemon/test_random_restores.py
+++ b/tests/daemon/test_random_restores.py
@@ -1,11 +1,11 @@
 """Settings and databases of two instances whose store is restored at random moments.
 
-The store is away in each of its ways and is restored from backups up to five seconds
-old, also several times in a row, while the configuration changes, databases start again
-or leave, and instances are restarted. What operators and databases wrote is written
-again within two seconds. No instance's settings go back; what was confirmed is in force
-3 s after the last trouble, the databases are as they last said, and no known start of
-one is forgotten.
+Random schedules combine all kinds of outages of the store, restores from backups up to
+five seconds old (also several in a row), changes of the configuration, restarts and
+draining of databases, and restarts of instances. Operators and databases rewrite lost
+objects within two seconds. Guards against settings that revert to an older version,
+confirmed changes that are not in force 3 s after the last disturbance, and databases
+whose last state or restart is lost.
 """
 
 import random
@@ -32,18 +32,18 @@
 from tests.platform.test_settings import BOOT, CONFIG, ENTRY
 
 HOSTS = ("10.1.0.8", "10.1.0.9")
-WRITTEN_AGAIN = 2.0
-"""Seconds within which operators and databases write theirs again."""
+REWRITE_LIMIT = 2.0
+"""Seconds within which operators and databases rewrite their objects."""
 
-CALM = 3.0 + WRITTEN_AGAIN
-"""Seconds after the last trouble until all that was confirmed must be in force."""
+SETTLE_TIME = 3.0 + REWRITE_LIMIT
+"""Seconds after the last disturbance until all confirmed changes must be in force."""
 
 COPY_AGE = 5.0
 SEEDS = range(16)
 
 
 class Instance:
-    """One instance and its way to the store."""
+    """One instance and its connection to the store."""
 
     def __init__(self, site, host):
         self.site, self.host, self.node = site, host, None
@@ -54,7 +54,7 @@
         self.start(True)
 
     def start(self, is_first):
-        """Start, anew if it runs."""
+        """Start the instance, or restart it."""
         if self.node is not None:
             Deferred.fromCoroutine(self.node.stop())
         self.site.patch(partial(HttpClient, agent=self.agent))
@@ -63,7 +63,7 @@
         settings = parse_node_settings(boot | {"first_start": is_first, "seeds": seeds})
         rng = random.Random(self.site.rng.random())
         self.node = Node(self.site.clock, settings, rng, lambda line: None)
-        self.versions, self.starts, self.forgotten = [], {}, set()
+        self.versions, self.starts, self.reverted_starts = [], {}, set()
         self.node.start()
 
     def advance(self):
@@ -72,7 +72,7 @@
         for name in self.get_databases():
             identifier, start = get_identifier(name), get_start_time(name)
             if start < self.starts.get(identifier, 0):
-                self.forgotten.add((self.site.clock.seconds(), name))
+                self.reverted_starts.add((self.site.clock.seconds(), name))
             self.starts[identifier] = start
 
     def get_databases(self):
@@ -87,8 +87,8 @@
     def __init__(self, patch, seed):
         self.patch, self.rng = patch, random.Random(seed)
         self.clock, self.store = Reactor(), Store()
-        self.version, self.calm_since = 1, 0.0
-        self.written = {}
+        self.version, self.disturbed_at = 1, 0.0
+        self.confirmed = {}
         self.copies = []
         self.configure()
         for number in range(3):
@@ -97,10 +97,10 @@
         self.run(4.0)
 
     def write(self, kind, name, spec):
-        """Write what is written again when the store has lost it."""
-        self.written[kind, name] = spec
+        """Write an object that is rewritten if the store loses it."""
+        self.confirmed[kind, name] = spec
         self.store.change(kind, name, spec)
-        self.calm_since = self.clock.seconds()
+        self.disturbed_at = self.clock.seconds()
 
     def configure(self):
         self.version += 1
@@ -110,22 +110,22 @@
         entry = ENTRY | {"address": f"10.1.0.{number}:80", "state": "ready"} | fields
         self.write("servers", f"i-{number}", entry)
 
-    def write_again(self, key):
+    def rewrite(self, key):
         item = self.store.objects.get(key)
-        if item is None or item["spec"] != self.written[key]:
-            self.write(*key, self.written[key])
+        if item is None or item["spec"] != self.confirmed[key]:
+            self.write(*key, self.confirmed[key])
 
     def restore(self):
-        """Let the store be restored from one of its backups."""
+        """Restore the store from a random backup; lost objects are rewritten."""
         self.store.restore(self.rng.choice(self.copies)[1])
-        for key in self.written:
-            delay = self.rng.choice((0.0, self.rng.uniform(0.0, WRITTEN_AGAIN)))
-            self.clock.callLater(delay, self.write_again, key)
-        self.calm_since = self.clock.seconds()
+        for key in self.confirmed:
+            delay = self.rng.choice((0.0, self.rng.uniform(0.0, REWRITE_LIMIT)))
+            self.clock.callLater(delay, self.rewrite, key)
+        self.disturbed_at = self.clock.seconds()
 
-    def run(self, seconds, act=lambda: None):
+    def run(self, seconds, act_randomly=lambda: None):
         for _ in range(round(seconds / STEP)):
-            act()
+            act_randomly()
             self.clock.advance(STEP)
             for instance in self.instances.values():
                 instance.advance()
@@ -134,8 +134,8 @@
             if not self.copies or now - self.copies[-1][0] >= 0.5:
                 self.copies.append((now, self.store.make_backup()))
 
-    def act(self):
-        """Do something at random, seldom."""
+    def act_randomly(self):
+        """Make a random change or disturbance, with a low probability."""
         rng, instance = self.rng, self.rng.choice(list(self.instances.values()))
         if rng.random() < 0.02:
             self.configure()
@@ -150,13 +150,13 @@
             self.restore()
         if rng.random() < 0.004:
             instance.start(False)
-            self.calm_since = self.clock.seconds()
+            self.disturbed_at = self.clock.seconds()
 
     def settle(self):
-        """Let all trouble end."""
+        """End all disturbances and wait until the state must be in force."""
         for instance in self.instances.values():
             instance.view.trouble = ""
-        self.run(CALM + WRITTEN_AGAIN)
+        self.run(SETTLE_TIME + REWRITE_LIMIT)
 
 
 @pytest.fixture
@@ -176,30 +176,30 @@
     return make
 
 
-def get_wanted(site):
-    """Return the databases as they last said."""
-    servers = {key: spec for key, spec in site.written.items() if key[0] == "servers"}
+def get_expected(site):
+    """Return whether each database drains, by its last confirmed state."""
+    servers = {key: spec for key, spec in site.confirmed.items() if key[0] == "servers"}
     return {
         f"{name}@{spec['born']}": spec["state"] == "draining"
         for (_, name), spec in servers.items()
     }
 
 
-def test_what_was_confirmed_holds_whenever_the_store_comes_back(make_site):
+def test_confirmed_state_holds_after_random_outages_and_restores(make_site):
     found = []
     for seed in SEEDS:
         site = make_site(seed)
         for _ in range(3):
-            site.run(12.0, site.act)
+            site.run(12.0, site.act_randomly)
             site.settle()
             for host, instance in site.instances.items():
                 if instance.versions != sorted(instance.versions):
                     found.append((seed, host, "went back"))
-                if instance.forgotten:
-                    found.append((seed, host, "forgot", instance.forgotten))
+                if instance.reverted_starts:
+                    found.append((seed, host, "forgot", instance.reverted_starts))
                 if instance.versions[-1] != site.version:
                     found.append((seed, host, instance.versions[-1], site.version))
-                if instance.get_databases() != get_wanted(site):
-                    wanted = get_wanted(site)
-                    found.append((seed, host, instance.get_databases(), wanted))
+                if instance.get_databases() != get_expected(site):
+                    expected = get_expected(site)
+                    found.append((seed, host, instance.get_databases(), expected))
     assert found == []
--- a/tests/daemon/test_restored_members.py
+++ b/tests/daemon/test_restored_members.py
@@ -1,9 +1,9 @@
-"""Instances that live are not taken for gone when the store forgets them.
+"""Live instances stay members when a restored store lacks their objects.
 
-A store that was restored from a backup no longer had the objects of instances that
-had registered since. Each of the others dropped them at once, and gave their parts of
-the databases' connections to itself, while they went on using them. One that the store
-turned away meanwhile could not register again, and stayed away.
+A store that is restored from a backup lacks the instances that registered after the
+backup. Guards against other instances that drop them at once and take over their shares
+of the databases' connections while they are still in use, and against an instance that
+the store refuses meanwhile and that is therefore never registered again.
 """
 
 import random
@@ -23,12 +23,12 @@
 from beryltrack_standins.lines.store import REFUSING, Store, StoreView
 
 STEP = 0.05
-REGISTERED_AGAIN = 6.0
-"""Seconds after the restore within which all that live are in the store again."""
+REREGISTRATION_LIMIT = 6.0
+"""Seconds after the restore within which all live instances are registered again."""
 
 
 class Member:
-    """One instance as far as it registers and looks after another."""
+    """The membership task of one instance."""
 
     def __init__(self, site, number):
         self.site, self.name = site, f"n-{number:03}"
@@ -53,7 +53,7 @@
 
     @property
     def known(self):
-        """Names of the instances that this one knows."""
+        """Names of the instances that this instance knows."""
         return {peer.name for peer in self.seen[-1]}
 
     def advance(self):
@@ -61,7 +61,7 @@
         self.agent.flush()
         attempts, self.clock.tcpClients[:] = tuple(self.clock.tcpClients), []
         for host, _, factory, *_ in attempts:
-            if self.site.lives(host):
+            if self.site.is_live(host):
                 protocol = factory.buildProtocol(None)
                 protocol.makeConnection(SimpleNamespace(loseConnection=lambda: None))
             else:
@@ -78,10 +78,10 @@
         self.members |= {number: Member(self, number) for number in numbers}
         self.run(4.0)
 
-    def lose(self, number):
+    def stop_member(self, number):
         self.members.pop(number).task.stop()
 
-    def lives(self, host):
+    def is_live(self, host):
         return int(host.rpartition(".")[2]) in self.members
 
     def run(self, seconds, check=lambda: None):
@@ -102,8 +102,8 @@
         return all(member.known >= self.names for member in self.members.values())
 
 
-def restore_without_the_last(*last):
-    """Return a site whose store has forgotten the instances that came last."""
+def make_restored_site(*last):
+    """Return a site whose restored store lacks the instances that came last."""
     site = MemberSite()
     site.add(1, 2, 4, 5)
     copy = site.store.make_backup()
@@ -113,17 +113,17 @@
     return site
 
 
-def test_those_that_live_are_known_throughout_and_register_again():
-    site = restore_without_the_last(3, 6)
+def test_live_instances_stay_known_and_register_again():
+    site = make_restored_site(3, 6)
     known = []
-    site.run(REGISTERED_AGAIN, lambda: known.append(site.all_know_all()))
+    site.run(REREGISTRATION_LIMIT, lambda: known.append(site.all_know_all()))
     assert all(known) and site.stored == site.names
     site.run(20.0, lambda: known.append(site.all_know_all()))
     assert all(known)
 
 
 @pytest.mark.parametrize("away", [(3,), (3, 6), (6,)])
-def test_one_that_the_store_turns_away_is_registered_by_who_looks_after_it(away):
+def test_an_instance_that_the_store_refuses_is_registered_by_its_predecessor(away):
     site = MemberSite()
     site.add(1, 2, 4, 5)
     copy = site.store.make_backup()
@@ -136,28 +136,28 @@
     assert all(known) and site.stored == site.names
 
 
-def test_one_that_was_lost_meanwhile_is_known_no_longer():
-    site = restore_without_the_last(3, 6)
-    site.lose(3)
+def test_an_instance_that_crashes_meanwhile_is_removed():
+    site = make_restored_site(3, 6)
+    site.stop_member(3)
     site.run(25.0)
     known = set(chain.from_iterable(each.known for each in site.members.values()))
     assert known == site.names == site.stored
 
 
-def test_one_that_left_in_the_lost_seconds_goes_again():
+def test_an_instance_that_left_after_the_backup_is_removed_again():
     site = MemberSite()
     site.add(1, 2, 3)
     copy = site.store.make_backup()
     site.store.change(KIND, "n-002", None, True)
-    site.lose(2)
+    site.stop_member(2)
     site.run(1.0)
     site.store.restore(copy)
     site.run(25.0)
     assert site.stored == site.names == {"n-001", "n-003"}
 
 
-def test_a_whole_fleet_that_is_forgotten_registers_at_a_bearable_pace():
-    """Sixty instances of which all objects are lost write less than 200 a second."""
+def test_a_fleet_that_the_restored_store_lacks_registers_at_a_limited_rate():
+    """Sixty instances whose objects are all lost make at most 200 writes a second."""
     site = MemberSite()
     copy = site.store.make_backup()
     site.add(*range(1, 61))
@@ -169,7 +169,7 @@
         writes.append(site.store.writes)
         known.append(site.all_know_all())
 
-    site.run(REGISTERED_AGAIN, check)
+    site.run(REREGISTRATION_LIMIT, check)
     per_step = round(1 / STEP)
     most = max(b - a for a, b in zip(writes, writes[per_step:], strict=False))
     assert site.stored == site.names and all(known) and most <= 200
--- a/tests/daemon/test_restored_store.py
+++ b/tests/daemon/test_restored_store.py
@@ -1,23 +1,15 @@
-"""Settings go on to change after the store was restored from a backup.
-
-The store was away for 2.6 s and was restored from a backup: its revisions had gone
-back, and were given out again. Six instances that knew revision 26 took each list for
-one that was overtaken by what another instance had told, as its revision was lower, and
-asked for what came after revision 26, a history that did not exist. So each of them
-listed and asked seven times a second, and none learned of three confirmed versions.
-
-The lines that settled it, repeated without end, of one instance alone whose store came
-back at revision 7, when 12 was known, and confirmed a new version of the settings:
-
-    objects: A list of config at revision 8 is passed over, 12 is known.
-    objects: No answer for config for 0.1 s (expired): the platform forgot the changes.
-
-If the revision that was known had been given out again meanwhile, the wait was
-answered as if nothing had happened, and what had been written before it was missed.
-
-The cause was that revisions alone ordered what the store tells. A version now stands
-for the store's era and the revision in it, so that a later era goes before all of an
-earlier one, and a wait that an answer of another era ends is followed by a list.
+"""Changes are in force after the store was restored from a backup.
+
+A restore resets the store's revisions to lower numbers, which are then reused. If
+revisions alone order the store's answers, instances that know a higher revision ignore
+each new list as outdated and watch from a revision that does not exist yet: they list
+and watch seven times a second and learn of no confirmed change. If the known revision
+has been reused meanwhile, the watch goes on as if nothing had happened, and changes
+before that revision are missed.
+
+So a version consists of the store's era, the number of its restores, and the revision
+in that era: a later era is newer than all of an earlier one, and a watch that ends with
+an answer of another era is followed by a list.
 """
 
 import random
@@ -43,10 +35,10 @@
 from tests.platform.test_settings import BOOT, CONFIG, ENTRY
 
 APPLY_LIMIT = 3.0
-"""Seconds within which a confirmed change is to be in force."""
+"""Seconds within which a confirmed change must be in force."""
 
 COLD_START = 2.0
-"""Seconds after the start by which the instance has listed all it follows."""
+"""Seconds after the start within which the instance has listed all kinds."""
 
 
 class RestoredSite:
@@ -69,7 +61,7 @@
         self.start_node()
 
     def start_node(self, **boot):
-        """Start the instance, anew if there was one."""
+        """Start the instance, or restart it."""
         if self.node is not None:
             Deferred.fromCoroutine(self.node.stop())
         settings = parse_node_settings(BOOT | boot)
@@ -95,7 +87,7 @@
         self.store.change("servers", f"i-{number}", entry)
 
     def get_databases(self):
-        """Return the name of each database, and if it is to leave."""
+        """Return the name of each database, and whether it drains."""
         databases = self.node._groups.get("huvo").settings.databases
         return [(each.name, each.draining) for each in databases]
 
@@ -105,8 +97,8 @@
             self.agent.flush()
             self.versions.append(self.version)
 
-    def write_others(self, count):
-        """Let other instances write what this one does not go by."""
+    def write_unrelated(self, count):
+        """Let other instances write objects that this one does not follow."""
         for number in range(count):
             self.store.change("permits", "other", {"token": number})
 
@@ -123,7 +115,7 @@
         site.configure(8)
         site.advance(1.0)
         copy = site.store.make_backup()
-        site.write_others(lost)
+        site.write_unrelated(lost)
         site.register(0, cold_remaining_ms=5)
         site.advance(1.0)
         site.view.trouble = how
@@ -138,7 +130,7 @@
 
 
 def test_a_large_change_after_the_restore_is_in_force_in_time(make_site):
-    """It is read in slices, one of an earlier era perhaps before it."""
+    """It is parsed in slices, perhaps after a version of an earlier era."""
     names = [f"new-{number}" for number in range(1400)]
     site = make_site()
     copy = site.store.make_backup()
@@ -154,24 +146,24 @@
     assert all(site.node._get_route(name) is not None for name in names)
 
 
-def test_nothing_is_missed_though_the_known_revision_was_given_out_again(make_site):
-    """A wait that was not cut off is answered as if nothing had happened."""
+def test_nothing_is_missed_if_the_known_revision_is_reused(make_site):
+    """A watch that the restore does not end goes on as if nothing had happened."""
     in_force = {}
     for written_again in (1, 2, 3, 4, 9):
         site = make_site()
         copy = site.store.make_backup()
-        site.write_others(2)
+        site.write_unrelated(2)
         site.register(0, cold_remaining_ms=5)
         site.advance(1.0)
         site.store.restore(copy, cuts_waits=False)
         site.configure(9, "new")
-        site.write_others(written_again)
+        site.write_unrelated(written_again)
         site.advance(APPLY_LIMIT)
         in_force[written_again] = site.version
     assert set(in_force.values()) == {9}
 
 
-def test_settings_never_go_back_while_the_store_has_an_older_version(make_site):
+def test_settings_never_revert_while_the_store_has_an_older_version(make_site):
     site = make_site()
     copy = site.store.make_backup()
     site.configure(8)
@@ -189,11 +181,11 @@
     assert site.version == 9 and site.versions == sorted(site.versions)
 
 
-def test_what_databases_said_in_the_lost_seconds_is_not_forgotten(make_site):
-    """For two seconds the store has what they said before, until they say it again.
+def test_database_states_written_after_the_backup_are_retained(make_site):
+    """For two seconds the store has outdated states, until databases rewrite them.
 
-    A database that had started again, and so had lost what it held, was taken for the
-    one of before; one that was to leave got new work.
+    Guards against a database that restarted, and so lost its data, but is taken for its
+    former incarnation, and against new work for one that drains.
     """
     site = make_site()
     site.register(1, born=1_000)
@@ -216,7 +208,7 @@
     assert site.get_databases() == before
 
 
-def test_what_databases_have_not_said_again_by_then_is_taken_back(make_site):
+def test_database_states_that_are_not_rewritten_in_time_expire(make_site):
     site = make_site()
     copy = site.store.make_backup()
     site.register(2, state="draining")
@@ -227,15 +219,15 @@
 
 
 @pytest.mark.parametrize("times", [2, 3])
-def test_it_holds_for_several_restores_in_a_row(make_site, times):
+def test_changes_are_in_force_after_several_restores(make_site, times):
     site = make_site()
     copy = site.store.make_backup()
-    site.write_others(5)
+    site.write_unrelated(5)
     site.register(0, cold_remaining_ms=5)
     site.advance(1.0)
     for _ in range(times):
         site.store.restore(copy)
-        site.write_others(5)
+        site.write_unrelated(5)
         site.register(0, cold_remaining_ms=5)
         site.advance(0.3)
     site.configure(9)
@@ -251,10 +243,10 @@
 
 
 @pytest.mark.parametrize(("era", "is_asked"), [(1, True), (None, False)])
-def test_one_that_starts_just_after_the_restore_goes_by_what_others_know(
+def test_an_instance_that_starts_after_a_restore_uses_others_newer_settings(
     make_site, monkeypatch, era, is_asked
 ):
-    """It was served by the settings of the copy: a key that had been taken away."""
+    """Guards against serving by the backup's settings, such as a revoked key."""
     site = make_site(era)
     copy = site.store.make_backup()
     site.configure(8)
@@ -274,7 +266,7 @@
     assert site.version == 8 and len(asked) == int(is_asked)
 
 
-def test_one_that_starts_after_a_restore_asks_the_others_for_a_while_only(
+def test_an_instance_that_starts_after_a_restore_stops_asking_others(
     make_site, monkeypatch
 ):
     asked = []
@@ -290,12 +282,12 @@
 
 
 def test_a_restore_costs_few_calls(make_site):
-    """Each instance made sixteen calls a second for as long as it lived."""
+    """Guards against list and watch loops, sixteen calls a second per instance."""
     calls = []
     for is_restored in (False, True):
         site = make_site()
         copy = site.store.make_backup()
-        site.write_others(3)
+        site.write_unrelated(3)
         site.register(0, cold_remaining_ms=5)
         site.advance(1.0)
         if is_restored:
@@ -303,11 +295,11 @@
         before = site.view.calls
         site.advance(20.0)
         calls.append(site.view.calls - before)
-    # Three kinds are listed twice, by watches that are shorter then.
+    # Three kinds are listed twice, and the watches in between are shorter.
     assert calls[1] <= calls[0] + 12
 
 
-def test_a_restore_is_logged_with_what_the_store_has_otherwise(make_site, caplog):
+def test_a_restore_is_logged_with_the_differences(make_site, caplog):
     site = make_site()
     copy = site.store.make_backup()
     site.register(1, cold_remaining_ms=5)
--- a/tests/daemon/test_silent_store.py
+++ b/tests/daemon/test_silent_store.py
@@ -1,21 +1,11 @@
-"""An instance is not behind the store for longer than settings may take.
-
-An instance follows the store by calls that wait for a change. A call that reaches the
-store while it is silent is never answered, though its connection stays open: neither a
-reset nor keep-alive ends it, only the call's own time limit. That was 15 s for the wait
-and 2 s for the answer. So seven of eight instances went by settings of before the
-outage until twelve seconds after the store's return, and told callers that a database
-does not exist which a confirmed change had added. An instance that started during the
-outage, and had no such call open, was not behind.
-
-The lines that settled it, of a store that was silent from 3.0 to 8.0 s and confirmed
-version 61 of the settings at 8.4 s, version 66 at 10.4 s:
-
-    10.0404 not_run (no route serves q64uy5ms), kind session, settings_version 57
-    20.0412 objects: No answer for config for 17.1 s (unknown): no answer within 17 s.
-    20.0863 settings: Version 66 is in force.
-
-The same call follows the databases, where it lets one that is to leave get new work.
+"""After an outage of the store an instance learns of changes within their time limits.
+
+An instance follows the store by long-polling watches. A watch that reaches the store
+while it is silent is never answered, though its connection stays open: neither a reset
+nor keep-alive ends it, only its own time-out. With 15 s for the watch and 2 s for the
+answer, instances used outdated settings until 12 s after the store's return, and
+refused callers of a database that a confirmed change had added. The same watch follows
+the databases, where a draining one would get new work.
 """
 
 import copy
@@ -40,11 +30,12 @@
 STEP = 0.05
 STARTS = (20.0, 20.4, 20.8, 21.2, 21.6, 22.0, 22.4)
 LENGTHS = (0.4, 1.2, 2.6, 5.3)
-"""Seconds from the instance's start until the store is silent, and for how long."""
+"""Seconds from the instance's start until the store falls silent, and the lengths of
+the outages in seconds."""
 
 
 class Store(Resource):
-    """Objects by kind and name; a call that meets its silence is never answered."""
+    """Objects by kind and name; a call during its silence is never answered."""
 
     isLeaf = True
 
@@ -57,7 +48,7 @@
         self._waiting = []
 
     def put(self, path, value):
-        """Write an object and tell whoever waits for a change of its kind."""
+        """Write an object and answer the watches of its kind."""
         self.revision += 1
         kind, _, name = path.partition("/")
         meta = {"name": name, "revision": self.revision, "finalizers": []}
@@ -70,12 +61,12 @@
                 self._waiting.append((request, watched))
 
     def fall_silent(self):
-        """Answer nothing from now on, nor what waits at this moment."""
+        """Answer no calls from now on, nor the watches that wait now."""
         self.is_silent = True
         self._waiting = []
 
     def render(self, request):
-        """Take a call."""
+        """Handle a call."""
         body = request.content.read()
         if self.is_silent:
             return NOT_DONE_YET
@@ -123,7 +114,7 @@
 
 
 class Reactor(Clock):
-    """Time that a test sets, and sockets that nobody connects to."""
+    """Simulated time, and sockets without any peer."""
 
     def listenTCP(self, *arguments, **options):  # noqa: N802
         return SimpleNamespace(stopListening=lambda: None)
@@ -138,7 +129,7 @@
 
 
 class Site:
-    """One instance and the store, in a time of their own."""
+    """One instance and the store, in simulated time."""
 
     def __init__(self, monkeypatch):
         self.clock = Reactor()
@@ -162,8 +153,8 @@
             self.clock.advance(STEP)
             self.agent.flush()
 
-    def suffer(self, silent_at, silent_for):
-        """Let the store be silent for a while."""
+    def interrupt_store(self, silent_at, silent_for):
+        """Let the store be silent after a time, for a time."""
         self.advance(silent_at)
         assert self.knows_route("lepu")
         self.store.fall_silent()
@@ -178,7 +169,7 @@
         return any(each.name == name and each.draining for each in databases)
 
     def measure(self, is_known):
-        """Return after how many seconds something is known, 30 if it is not."""
+        """Return the seconds until a condition holds, at least 30 if it does not."""
         began = self.clock.seconds()
         while not is_known() and self.clock.seconds() - began < 30:
             self.advance(STEP)
@@ -190,13 +181,13 @@
     return partial(Site, monkeypatch)
 
 
-def test_a_confirmed_change_is_in_force_within_three_seconds_of_the_stores_return(
+def test_a_confirmed_change_is_in_force_within_three_seconds_after_an_outage(
     make_site,
 ):
     late = {}
     for moment in product(STARTS, LENGTHS):
         site = make_site()
-        site.suffer(*moment)
+        site.interrupt_store(*moment)
         route = CONFIG["routes"][0] | {"name": "r-3", "database_name": "new"}
         routes = [*CONFIG["routes"], route]
         site.store.put("config/main", CONFIG | {"config_version": 8, "routes": routes})
@@ -206,11 +197,11 @@
     assert late == {}
 
 
-def test_a_database_that_is_to_leave_is_known_within_seven_seconds(make_site):
+def test_a_draining_database_is_known_within_seven_seconds_after_an_outage(make_site):
     late = {}
     for moment in product(STARTS, LENGTHS):
         site = make_site()
-        site.suffer(*moment)
+        site.interrupt_store(*moment)
         site.set_state(2, "draining")
         delay = site.measure(lambda site=site: site.is_draining("i-2"))
         if delay > 7.0:
--- a/tests/daemon/test_turned_away.py
+++ b/tests/daemon/test_turned_away.py
@@ -1,9 +1,9 @@
-"""One that the store turns away goes by the settings of others, in real processes.
+"""An instance that the store refuses follows others, in real processes.
 
-Two of five instances were turned away by the store before the second of them had
-heard which instances there are: the members are first listed 1.5 s after the first
-start of a fleet. It knew nobody whom it could follow, so that it followed nobody for
-as long as the store turned it away, also across a restore from a backup.
+At the first start of a fleet the members are first listed after 1.5 s. An instance that
+the store refuses before that knows no other instance to follow. Guards against one that
+therefore learns of no change for as long as the store refuses it, also across a restore
+from a backup.
 """
 
 import random
@@ -17,7 +17,7 @@
 from beryltrack_standins.lines.store import REFUSING
 from tests.reactor_thread import run
 
-PATIENCE = 20.0
+TIMEOUT = 20.0
 ADDED = RouteSettings("db9", GROUP, "any", 1.5, False, 2.0, 0.5, 2)
 
 
@@ -31,15 +31,13 @@
 
 
 def wait_until(condition):
-    give_up_at = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT
     while not condition():
-        assert time.monotonic() < give_up_at
+        assert time.monotonic() < deadline
         time.sleep(0.02)
 
 
-def test_one_that_is_turned_away_before_it_knows_the_others_hears_of_a_restore(
-    site, tmp_path
-):
+def test_an_instance_refused_before_it_knows_others_learns_of_a_restore(site, tmp_path):
     away = site.nodes[1], site.nodes[3]
 
     def has(node, version):
--- a/tests/daemon/test_unreadable_entries.py
+++ b/tests/daemon/test_unreadable_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another program wrote stop an instance from following nothing."""
+"""Invalid entries that another program wrote do not stop an instance."""
 
 import pytest
 
@@ -10,11 +10,11 @@
 
 
 def get_databases(site):
-    """Return the names of the databases that are used."""
+    """Return the names of the databases in use."""
     return {each.name for each in site.node._groups.get("huvo").settings.databases}
 
 
-def test_no_entry_of_another_program_hides_what_databases_say(make_site):  # noqa: F811
+def test_invalid_entries_do_not_hide_the_other_databases(make_site):  # noqa: F811
     site = make_site()
     site.advance(2.0)
     for number, (field, value) in enumerate(BAD_FIELDS):
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("value", [None, 7, [], {"host": 7}, MEMBER | {"port": "x"}])
-def test_no_object_of_another_program_is_an_instance(make_site, value):  # noqa: F811
+def test_an_invalid_object_is_no_instance(make_site, value):  # noqa: F811
     site = make_site()
     site.store.put("members/another", value)
     site.store.put("members/front-2", MEMBER)
@@ -42,7 +42,7 @@
     assert site.node._members._check_loop.running
 
 
-def test_a_database_that_comes_back_empty_is_another_member(make_site):  # noqa: F811
+def test_a_database_that_restarts_empty_is_another_member(make_site):  # noqa: F811
     site = make_site()
     site.store.put("servers/i-1", ENTRY | {"state": "ready", "born": 1000})
     site.advance(2.0)
--- a/tests/daemon/test_zone_traffic.py
+++ b/tests/daemon/test_zone_traffic.py
@@ -1,4 +1,4 @@
-"""Bytes between zones, by what they are for."""
+"""Bytes between zones, by purpose."""
 
 import pytest
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
@@ -10,8 +10,8 @@
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 
 
-class Talker(Protocol):
-    """Keeps what it receives."""
+class RecordingProtocol(Protocol):
+    """Records received data."""
 
     def __init__(self):
         self.received = b""
@@ -44,18 +44,18 @@
         )
 
     def open(self, port):
-        """Return a connection that is open, as whoever opened it has it."""
-        talker = Talker()
+        """Open a connection; return its protocol and the outer protocol."""
+        protocol = RecordingProtocol()
         endpoint = TCP4ClientEndpoint(self.traffic, "10.0.0.1", port, 0.5)
-        opened = connectProtocol(endpoint, talker)
+        opened = connectProtocol(endpoint, protocol)
         *_, factory, _, _ = self.reactor.tcpClients[-1]
         outer = factory.buildProtocol(None)
         outer.makeConnection(StringTransport())
         assert opened.called
-        return talker, outer
+        return protocol, outer
 
     @property
-    def gauges(self):
+    def samples(self):
         return {labels: value for _, labels, value in self.traffic.get_samples()}
 
 
@@ -69,35 +69,35 @@
     [(200, "statements"), (201, "copies"), (202, "rights"), (400, "databases")],
 )
 def test_bytes_to_and_from_another_zone_are_counted_by_purpose(site, port, purpose):
-    talker, outer = site.open(port)
-    talker.transport.write(b"12345")
-    talker.transport.writeSequence([b"1", b"2"])
+    protocol, outer = site.open(port)
+    protocol.transport.write(b"12345")
+    protocol.transport.writeSequence([b"1", b"2"])
     outer.dataReceived(b"123")
-    assert outer.transport.value() == b"1234512" and talker.received == b"123"
-    assert site.gauges == {
+    assert outer.transport.value() == b"1234512" and protocol.received == b"123"
+    assert site.samples == {
         f'purpose="{purpose}",direction="sent"': 7,
         f'purpose="{purpose}",direction="received"': 3,
     }
 
 
 @pytest.mark.parametrize("port", [100, 101, 102, 300, 999])
-def test_connections_within_the_zone_are_left_as_they_are(site, port):
-    talker, outer = site.open(port)
-    talker.transport.write(b"12345")
+def test_connections_within_the_zone_are_not_counted(site, port):
+    protocol, outer = site.open(port)
+    protocol.transport.write(b"12345")
     outer.dataReceived(b"123")
-    assert talker.received == b"123" and site.gauges == {}
+    assert protocol.received == b"123" and site.samples == {}
 
 
-def test_the_counts_of_connections_add_up_and_outlast_them(site):
+def test_counts_accumulate_and_outlast_connections(site):
     for _ in range(2):
-        talker, outer = site.open(200)
-        talker.transport.write(b"12345")
+        protocol, outer = site.open(200)
+        protocol.transport.write(b"12345")
         outer.connectionLost("gone")
-        assert talker.lost == "gone"
-    assert site.gauges['purpose="statements",direction="sent"'] == 10
+        assert protocol.lost == "gone"
+    assert site.samples['purpose="statements",direction="sent"'] == 10
 
 
-def test_a_connection_that_is_counted_can_be_ended_at_once(site):
-    talker, outer = site.open(200)
-    talker.transport.abortConnection()
+def test_a_counted_connection_can_be_aborted(site):
+    protocol, outer = site.open(200)
+    protocol.transport.abortConnection()
     assert outer.transport.disconnected or outer.transport.disconnecting
