--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -82,13 +82,13 @@
 # open one counts against the database's limit for 3 s after its instance loses power:
 # surplus ones are closed soon. Callers wait 1 s or more for an answer, so that a queue
 # of 0.6 s is served in time after a restart, when each instance has one connection. A
-# queue of 0.25 s completed up to 0.04 less of the offered operations, and never more.
+# queue of 0.25 s earned callers up to 0.04 less of their entitlement, and never more.
 POOLS = PoolPolicy(max_wait=0.6, idle_timeout=0.5, max_opening=2, open_delay=0.03)
 
 # Accounts outnumber the connections, and opening one costs as much as a statement: an
 # idle one is retained for its account's next request until another account needs it.
 # Not all for long: after a power loss of all instances databases count the open ones
-# for 3 s. In a run with such a loss 0.884 of the offered operations completed with an
+# for 3 s. In a run with such a loss callers got 0.884 of their entitlement with an
 # idle time-out of 4 s, and 0.893 with 1 s; in the two seconds after the restart 0.463
 # and 0.667. So a fraction stays idle longer: accounts that use each database of a group
 # once in 1 or 2 s opened a connection for nearly each operation. The rest is spare
