--- a/beryltrack/daemon/members.py
+++ b/beryltrack/daemon/members.py
@@ -104,8 +104,6 @@
         Source of connections and timers.
     store : ObjectClient
         The store.
-    name : str
-        Name of this instance.
     listing : ObjectFeed
         Lists and watches the instances; it may lag.
     own : Peer
