--- a/beryltrack/daemon/caller_bounds.py
+++ b/beryltrack/daemon/caller_bounds.py
@@ -13,7 +13,7 @@
     def __init__(self, get_site):
         self._get_site = get_site
 
-    def transaction_idle(self) -> float:
+    def get_idle_timeout(self) -> float:
         """Return how long a transaction may be idle, seconds; 0 for no limit."""
         return self._get_site().transaction_idle
 
--- a/beryltrack/daemon/node_policies.py
+++ b/beryltrack/daemon/node_policies.py
@@ -187,7 +187,7 @@
     Mechanism.NEAR_REPLICAS: _make_change("routing", prefers_near=False),
     Mechanism.OWN_REPLICAS: _make_change("routing", prefers_account_replica=False),
     Mechanism.PRIORITY_ORDER: _make_change("load", is_ordered=False),
-    Mechanism.DEFAULT_RETRIES: _make_change("retries", max_attempts=1),
+    Mechanism.RETRIES: _make_change("retries", max_attempts=1),
     Mechanism.RETRY_BUDGET: _make_change(
         "retries",
         ratio=1.0,
