--- a/beryltrack_bench/soak/faults.py
+++ b/beryltrack_bench/soak/faults.py
@@ -157,12 +157,12 @@
     away = [node.links[primary.name] for node in site.nodes if rng.random() < 0.4]
 
     def begin() -> None:
-        primary.is_cut = True
+        primary.is_partitioned = True
         for link in away:
             link.cut(TO_TARGET, TO_NODE)
 
     def end() -> None:
-        primary.is_cut = False
+        primary.is_partitioned = False
         for link in away:
             link.heal()
         site.group.catch_up()
@@ -202,14 +202,14 @@
 
     def set_all(value: str) -> None:
         for node in nodes:
-            node.store.trouble = value
+            node.store.fault = value
 
     name = f"store {trouble} for {len(nodes)}"
     return Fault(name, lambda: set_all(trouble), lambda: set_all(""))
 
 
 def _forget_changes(site: SoakSite, rng: random.Random) -> Fault:
-    return Fault("the store forgets its changes", site.store.forget, _do_nothing)
+    return Fault("the store forgets its changes", site.store.compact, _do_nothing)
 
 
 def _delay_promotions(site: SoakSite, rng: random.Random) -> Fault:
@@ -222,7 +222,7 @@
 
 def _lag_replicas(site: SoakSite, rng: random.Random) -> Fault:
     def set_lag(factor: float) -> None:
-        site.group.lag = factor
+        site.group.lag_factor = factor
 
     return Fault("replicas lag", lambda: set_lag(40.0), lambda: set_lag(1.0))
 
@@ -234,7 +234,7 @@
 
     def end() -> None:
         # By now another one may have lost what only this one still has.
-        if site.group.may_forget:
+        if site.group.may_restart_empty:
             site.databases[name].restart_empty()
         else:
             site.databases[name].restart()
@@ -252,13 +252,13 @@
     def begin() -> None:
         copies.append(site.store.make_backup())
         for node in nodes:
-            node.store.trouble = away
+            node.store.fault = away
 
     def end() -> None:
         for _ in range(times):
             site.restore(copies[0])
         for node in nodes:
-            node.store.trouble = ""
+            node.store.fault = ""
 
     return Fault(f"the store is restored {times} times, {away or 'here'}", begin, end)
 
@@ -266,7 +266,7 @@
 def _write_late(site: SoakSite, rng: random.Random) -> Fault:
     def set_all(value: str) -> None:
         for node in site.nodes:
-            node.store.trouble = value
+            node.store.fault = value
 
     return Fault("store writes late", lambda: set_all(LATE), lambda: set_all(""))
 
--- a/beryltrack_bench/soak/site.py
+++ b/beryltrack_bench/soak/site.py
@@ -35,7 +35,7 @@
 from beryltrack_standins.lines.group import Group
 from beryltrack_standins.lines.store import (
     Backup,
-    PromotionLog,
+    FencingTokenLog,
     PromotionView,
     Store,
     StoreView,
@@ -204,7 +204,7 @@
         self.group = Group(reactor, DATABASES, rng, not options.is_fenced)
         self.history = History(self.group, reactor.seconds)
         self.store = Store()
-        self.tokens = PromotionLog(options.is_fenced)
+        self.tokens = FencingTokenLog(options.is_fenced)
         numbers = itertools.count(1)
         self.databases = {
             name: DatabaseFactory(reactor, self.group, name, self.history, rng, numbers)
--- a/beryltrack_standins/database/database.py
+++ b/beryltrack_standins/database/database.py
@@ -192,7 +192,7 @@
             self.log.stopped_writes = True
             self._clock.callLater(STOPPED_WRITES_LIMIT, self._resume_writes, term)
 
-    def start_again_empty(self) -> None:
+    def restart_empty(self) -> None:
         """Hold and know nothing of before, under the same name."""
         incarnation = str(int(self.log.incarnation) + 1)
         self.log = ReplicaLog(self.name, incarnation)
--- a/beryltrack_standins/lines/database.py
+++ b/beryltrack_standins/lines/database.py
@@ -47,7 +47,7 @@
         self.is_gone = False
         self.factory.sessions.add(self)
         self.transport.setTcpNoDelay(True)
-        if not (self.factory.database.is_up or self.factory.is_dark):
+        if not (self.factory.database.is_up or self.factory.is_silent):
             self.transport.abortConnection()
 
     def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
@@ -105,7 +105,7 @@
             return b""
         if word == b"AFTER":
             _, place, text = text.split(b" ", 2)
-            if parse_position(place) > database.shown:
+            if parse_position(place) > database.visible:
                 return b"ERROR LAGGING %s\r\n" % database.name.encode() + self._ready()
         result = self._execute(request_id, text)
         return result + self._ready()
@@ -185,7 +185,7 @@
     def _ready(self) -> bytes:
         """Return how the transaction stands and what readers see."""
         state = b"I" if self.writes is None else b"E" if self.is_failed else b"T"
-        return b"READY %s %d.%d\r\n" % (state, *self.factory.database.shown)
+        return b"READY %s %d.%d\r\n" % (state, *self.factory.database.visible)
 
 
 def _make_row(database: Database) -> bytes:
@@ -254,24 +254,24 @@
         self.rng = rng
         self.numbers = numbers
         self.sessions: set[DatabaseSession] = set()
-        self.is_dark = False
+        self.is_silent = False
 
-    def crash(self, is_dark: bool) -> None:
+    def crash(self, is_silent: bool) -> None:
         """Stop the database; its connections break unless it goes dark."""
         self.group.crash(self.database.name)
-        self.is_dark = is_dark
-        if not is_dark:
+        self.is_silent = is_silent
+        if not is_silent:
             self.break_connections()
 
     def restart(self) -> None:
         """Start the database again, without the connections of before."""
-        self.is_dark = False
+        self.is_silent = False
         self.break_connections()
         self.group.restart(self.database.name)
 
     def restart_empty(self) -> None:
         """Start the database again with nothing of what it held."""
-        self.is_dark = False
+        self.is_silent = False
         self.break_connections()
         self.group.restart_empty(self.database.name)
 
--- a/beryltrack_standins/lines/group.py
+++ b/beryltrack_standins/lines/group.py
@@ -20,7 +20,7 @@
 APPLY_DELAY = (0.005, 0.06)
 """Bounds of the seconds after which its readers see a commit that it received."""
 
-GOES_ON_TIME = 1.0
+STEP_DOWN_DELAY = 1.0
 """Seconds for which a former primary goes on once it can reach the next one."""
 
 
@@ -46,7 +46,7 @@
         self.term = 1
         self.held = 0
         self.is_up = True
-        self.is_cut = False
+        self.is_partitioned = False
         self.log: list[Commit] = []
         self.applied = 0
         self.start = LogPosition(1, 0)
@@ -57,7 +57,7 @@
         return self.log[-1].position if self.log else self.start
 
     @property
-    def shown(self) -> LogPosition:
+    def visible(self) -> LogPosition:
         """The last entry that its readers see."""
         return self.log[self.applied - 1].position if self.applied else self.start
 
@@ -84,22 +84,26 @@
         Identifiers; the first one leads.
     rng : random.Random
         Source of the delays.
-    goes_on : bool
+    former_primary_continues : bool
         True if a former primary goes on.
     """
 
     def __init__(
-        self, clock, names: tuple[str, ...], rng: random.Random, goes_on: bool = False
+        self,
+        clock,
+        names: tuple[str, ...],
+        rng: random.Random,
+        former_primary_continues: bool = False,
     ):
-        self.goes_on = goes_on
+        self.former_primary_continues = former_primary_continues
         self.databases = {name: Database(name) for name in names}
         self.databases[names[0]].role = PRIMARY
         self.term = 1
-        self.lag = 1.0
+        self.lag_factor = 1.0
         self.rolled_back: set[LogPosition] = set()
         self.promotions = 0
         self.promoting: Counter[str] = Counter()
-        self._forgetful: tuple[Database, LogPosition] | None = None
+        self._emptied: tuple[Database, LogPosition] | None = None
         self._clock = clock
         self._rng = rng
 
@@ -130,13 +134,13 @@
         self.promotions += 1
         self.term += 1
         for each in self.databases.values():
-            if each is not former or not self.goes_on:
+            if each is not former or not self.former_primary_continues:
                 self._follow(each, chosen)
         chosen.role, chosen.term, chosen.held = PRIMARY, self.term, 0
         chosen.applied = len(chosen.log)
         self._catch_up(chosen)
-        if former is not None and self.goes_on:
-            self._clock.callLater(GOES_ON_TIME, self._notice, former)
+        if former is not None and self.former_primary_continues:
+            self._clock.callLater(STEP_DOWN_DELAY, self._notice, former)
 
     def step_down(self, database: Database, term: int) -> None:
         """Make a primary of a lower term a replica."""
@@ -151,8 +155,8 @@
         """Have a former primary follow the next one, once it can reach that."""
         if former.role != PRIMARY or former is self.primary:
             return
-        if former.is_cut or not former.is_up:
-            self._clock.callLater(GOES_ON_TIME, self._notice, former)
+        if former.is_partitioned or not former.is_up:
+            self._clock.callLater(STEP_DOWN_DELAY, self._notice, former)
         else:
             self.step_down(former, self.term)
 
@@ -186,7 +190,7 @@
         """Bring a replica's log up to that of its primary."""
         if primary is not self.primary or replica.held or replica.role == PRIMARY:
             return
-        if primary.is_cut or replica.is_cut:
+        if primary.is_partitioned or replica.is_partitioned:
             return
         if not (primary.is_up and replica.is_up):
             return
@@ -194,7 +198,7 @@
         fresh = primary.log[len(replica.log) :]
         replica.log.extend(fresh)
         for commit in fresh:
-            delay = self._rng.uniform(*APPLY_DELAY) * self.lag
+            delay = self._rng.uniform(*APPLY_DELAY) * self.lag_factor
             self._clock.callLater(delay, self._apply, replica, commit.position)
 
     def _apply(self, replica: Database, position: LogPosition) -> None:
@@ -204,7 +208,7 @@
                 replica.applied = index + 1
 
     @property
-    def may_forget(self) -> bool:
+    def may_restart_empty(self) -> bool:
         """True if a database may start again empty.
 
         One at a time: what two have lost before either has caught up was perhaps
@@ -213,16 +217,16 @@
         """
         if any(self.promoting.values()) or self.primary is None:
             return False
-        if self._forgetful is None:
+        if self._emptied is None:
             return True
-        database, needed = self._forgetful
+        database, needed = self._emptied
         return database.received >= needed
 
     def restart_empty(self, name: str) -> None:
         """Start a database again that holds and knows nothing of before."""
         database = self.databases[name]
         longest = max(each.received for each in self.databases.values())
-        self._forgetful = (database, longest)
+        self._emptied = (database, longest)
         database.log, database.applied = [], 0
         database.start, database.term = LogPosition(0, 0), 0
         database.role = REPLICA
--- a/beryltrack_standins/lines/store.py
+++ b/beryltrack_standins/lines/store.py
@@ -22,7 +22,7 @@
 
 from beryltrack_standins.lines.group import Group
 
-KEPT_EVENTS = 200
+MAX_EVENTS = 200
 """Changes that the store remembers."""
 
 ERA_HEADER = "Store-Era"
@@ -73,9 +73,9 @@
         self.revision = 1
         self.objects: dict[tuple[str, str], dict] = {}
         self.events: list[Event] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.writes = 0
-        self.cuts: set[Callable[[], None]] = set()
+        self.watch_aborts: set[Callable[[], None]] = set()
         self._watches: list[Callable[[], None]] = []
 
     def change(self, kind: str, name: str, spec: object, removed: bool = False) -> dict:
@@ -88,23 +88,23 @@
         else:
             self.objects[kind, name] = item
         self.events.append(Event(self.revision, kind, item, removed))
-        if len(self.events) > KEPT_EVENTS:
-            self.forgotten = self.events.pop(0).revision
+        if len(self.events) > MAX_EVENTS:
+            self.compacted_revision = self.events.pop(0).revision
         watches, self._watches = self._watches, []
         for watch in watches:
             watch()
         return item
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Forget all changes, as a store that compacts its history."""
         self.events.clear()
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
 
     def make_backup(self) -> Backup:
         """Return a backup from which the store can be restored."""
         return Backup(self.revision, dict(self.objects), tuple(self.events))
 
-    def restore(self, backup: Backup, cuts_waits: bool = True) -> None:
+    def restore(self, backup: Backup, aborts_watches: bool = True) -> None:
         """Go back to a backup: what was written since is gone.
 
         Revisions after the backup's are given out again. A wait that is not cut off
@@ -114,14 +114,14 @@
         self.events = list(backup.events)
         if self.era is not None:
             self.era += 1
-        for cut in tuple(self.cuts) if cuts_waits else ():
-            cut()
+        for abort in tuple(self.watch_aborts) if aborts_watches else ():
+            abort()
 
     def get_events(self, kind: str, after: int) -> list[Event]:
         """Return the changes of a kind after a revision."""
         return [each for each in self.events if each.kind == kind and each[0] > after]
 
-    def wake_at_change(self, callback: Callable[[], None]) -> None:
+    def notify_once(self, callback: Callable[[], None]) -> None:
         """Call back once at the next change."""
         self._watches.append(callback)
 
@@ -145,7 +145,7 @@
 
     def __init__(self, reactor, store: Store, rewrite, rng: random.Random):
         super().__init__()
-        self.trouble = ""
+        self.fault = ""
         self.calls = 0
         self._reactor = reactor
         self._store = store
@@ -155,11 +155,11 @@
     def render(self, request):
         """Answer one call."""
         self.calls += 1
-        if self.trouble == SILENT:
+        if self.fault == SILENT:
             return NOT_DONE_YET
         if self._store.era is not None:
             request.setHeader(ERA_HEADER, str(self._store.era))
-        if self.trouble == REFUSING:
+        if self.fault == REFUSING:
             return self._refuse(request, SERVICE_UNAVAILABLE)
         parts = request.path.decode().strip("/").split("/")
         if parts[:2] != ["api", "objects"] or len(parts) < 3:
@@ -168,13 +168,13 @@
         if request.method == b"GET":
             return self._get(request, kind, name)
         change = self._read_change(request, kind, name)
-        if self.trouble == LATE and self._rng.random() < 0.4:
+        if self.fault == LATE and self._rng.random() < 0.4:
             delay = self._rng.uniform(0.3, 6.0)
             self._reactor.callLater(delay, self._carry_out, change)
             request.transport.abortConnection()
             return NOT_DONE_YET
         done = self._carry_out(change)
-        if self.trouble == LOST and self._rng.random() < 0.4:
+        if self.fault == LOST and self._rng.random() < 0.4:
             request.transport.abortConnection()
             return NOT_DONE_YET
         if isinstance(done, int):
@@ -200,7 +200,7 @@
 
     def _watch(self, request, kind: str, after: int, wait: float):
         """Answer as soon as there is a change, or with none after a time."""
-        if after < self._store.forgotten or after > self._store.revision:
+        if after < self._store.compacted_revision or after > self._store.revision:
             return self._refuse(request, GONE)
         gone = []
         request.notifyFinish().addErrback(gone.append)
@@ -209,30 +209,30 @@
 
         def finish(at_once: bool = False) -> None:
             if gone or request.finished:
-                self._store.cuts.discard(cut)
+                self._store.watch_aborts.discard(abort)
                 return
             events = self._store.get_events(kind, after)
             if not (events or at_once):
-                self._store.wake_at_change(finish)
+                self._store.notify_once(finish)
                 return
             timer.cancel()
-            self._store.cuts.discard(cut)
-            shown = [
+            self._store.watch_aborts.discard(abort)
+            changes = [
                 {"object": self._show(kind, each.item), "removed": each.removed}
                 for each in events
             ]
-            body = {"events": shown, "current_rev": self._store.revision}
+            body = {"events": changes, "current_rev": self._store.revision}
             request.write(self._send(request, body))
             request.finish()
 
-        def cut() -> None:
-            self._store.cuts.discard(cut)
+        def abort() -> None:
+            self._store.watch_aborts.discard(abort)
             timer.cancel()
             if not (gone or request.finished):
                 gone.append(None)
                 request.transport.abortConnection()
 
-        self._store.cuts.add(cut)
+        self._store.watch_aborts.add(abort)
         finish()
         return NOT_DONE_YET
 
@@ -279,7 +279,7 @@
         return b"{}"
 
 
-class PromotionLog:
+class FencingTokenLog:
     """The tokens that the promotion service has seen, shared by all its views.
 
     Parameters
@@ -294,7 +294,7 @@
         self._highest: dict[str, int] = {}
         self._holders: dict[tuple[str, int], str] = {}
 
-    def note_call(self, group: str, token: int, holder: str) -> None:
+    def record_call(self, group: str, token: int, holder: str) -> None:
         """Take a call as it arrives; note one that breaks the order of tokens."""
         highest = self._highest.get(group, 0)
         if not self.is_fenced and token < highest:
@@ -304,7 +304,7 @@
         if not self.is_fenced:
             self._highest[group] = max(highest, token)
 
-    def may_carry_out(self, group: str, token: int) -> bool:
+    def accept_token(self, group: str, token: int) -> bool:
         """Return whether a call may have its effect now."""
         if self.is_fenced and token < self._highest.get(group, 0):
             return False
@@ -329,7 +329,7 @@
 
     isLeaf = True
 
-    def __init__(self, reactor, groups: dict[str, Group], tokens: PromotionLog, rng):
+    def __init__(self, reactor, groups: dict[str, Group], tokens: FencingTokenLog, rng):
         super().__init__()
         self.late_share = 0.0
         self._reactor = reactor
@@ -346,7 +346,7 @@
             request.setResponseCode(BAD_REQUEST)
             return b"{}"
         holder = request.getHeader("Beryltrack-Duty-Holder") or ""
-        self._tokens.note_call(body["service"], token, holder)
+        self._tokens.record_call(body["service"], token, holder)
         group.promoting[body["id"]] += 1
         if self._rng.random() < self.late_share:
             delay = self._rng.uniform(1.0, 3.0)
@@ -360,7 +360,7 @@
     def _carry_out(self, group: Group, body: dict, token: int) -> bool:
         """Begin a promotion unless it is fenced off."""
         name, database = body["service"], group.databases[body["id"]]
-        if not (database.is_up and self._tokens.may_carry_out(name, token)):
+        if not (database.is_up and self._tokens.accept_token(name, token)):
             group.promoting[database.name] -= 1
             return False
         self._reactor.callLater(PROMOTE_TIME, self._finish, group, database.name)
--- a/tests/daemon/test_random_restores.py
+++ b/tests/daemon/test_random_restores.py
@@ -145,7 +145,7 @@
             self.register(rng.randrange(3), born=born, state=state)
         if rng.random() < 0.03:
             troubles = ("", "", "", LOST, LATE, REFUSING, SILENT)
-            instance.view.trouble = rng.choice(troubles)
+            instance.view.fault = rng.choice(troubles)
         if rng.random() < 0.012:
             self.restore()
         if rng.random() < 0.004:
@@ -155,7 +155,7 @@
     def settle(self):
         """Let all trouble end."""
         for instance in self.instances.values():
-            instance.view.trouble = ""
+            instance.view.fault = ""
         self.run(CALM + WRITTEN_AGAIN)
 
 
--- a/tests/daemon/test_restored_members.py
+++ b/tests/daemon/test_restored_members.py
@@ -129,7 +129,7 @@
     copy = site.store.make_backup()
     site.add(3, 6)
     for number in away:
-        site.members[number].view.trouble = REFUSING
+        site.members[number].view.fault = REFUSING
     site.store.restore(copy)
     known = []
     site.run(20.0, lambda: known.append(site.all_know_all()))
--- a/tests/daemon/test_restored_store.py
+++ b/tests/daemon/test_restored_store.py
@@ -126,10 +126,10 @@
         site.write_others(lost)
         site.register(0, cold_remaining_ms=5)
         site.advance(1.0)
-        site.view.trouble = how
+        site.view.fault = how
         site.advance(2.6)
         site.store.restore(copy)
-        site.view.trouble = ""
+        site.view.fault = ""
         site.configure(9, "new")
         site.advance(APPLY_LIMIT)
         is_served = site.node._get_route("new") is not None
@@ -143,10 +143,10 @@
     site = make_site()
     copy = site.store.make_backup()
     site.configure(8, *names)
-    site.view.trouble = REFUSING
+    site.view.fault = REFUSING
     site.advance(1.0)
     site.store.restore(copy)
-    site.view.trouble = ""
+    site.view.fault = ""
     site.advance(0.1)
     site.configure(9, *names)
     site.advance(APPLY_LIMIT)
@@ -163,7 +163,7 @@
         site.write_others(2)
         site.register(0, cold_remaining_ms=5)
         site.advance(1.0)
-        site.store.restore(copy, cuts_waits=False)
+        site.store.restore(copy, aborts_watches=False)
         site.configure(9, "new")
         site.write_others(written_again)
         site.advance(APPLY_LIMIT)
@@ -176,10 +176,10 @@
     copy = site.store.make_backup()
     site.configure(8)
     site.advance(1.0)
-    site.view.trouble = REFUSING
+    site.view.fault = REFUSING
     site.advance(1.0)
     site.store.restore(copy)
-    site.view.trouble = ""
+    site.view.fault = ""
     site.advance(3.0)
     assert site.version == 8
     site.configure(8)
@@ -203,10 +203,10 @@
     site.register(2, state="draining")
     site.advance(1.0)
     before = site.get_databases()
-    site.view.trouble = REFUSING
+    site.view.fault = REFUSING
     site.advance(1.0)
     site.store.restore(copy)
-    site.view.trouble = ""
+    site.view.fault = ""
     site.advance(1.9)
     assert before[1:] == [("i-1@2000", False), ("i-2", True)]
     assert site.get_databases() == before
--- a/tests/daemon/test_turned_away.py
+++ b/tests/daemon/test_turned_away.py
@@ -48,7 +48,7 @@
 
     wait_until(lambda: all(has(node, 1) for node in site.nodes))
     for node in away:
-        node.store.trouble = REFUSING
+        node.store.fault = REFUSING
     copy = run(site.store.make_backup)
     run(site.write_configuration)
     wait_until(lambda: all(has(node, 2) for node in site.nodes if node not in away))
--- a/tests/failover/test_restored_permits.py
+++ b/tests/failover/test_restored_permits.py
@@ -116,7 +116,7 @@
         if rng.random() < 0.1:
             process.follow()
         if rng.random() < 0.03:
-            process.view.trouble = rng.choice(("", "", LOST, LATE, REFUSING))
+            process.view.fault = rng.choice(("", "", LOST, LATE, REFUSING))
         if rng.random() < 0.02:
             self.copy = self.store.make_backup()
         elif rng.random() < 0.005:
--- a/tests/groups/test_fallen_back.py
+++ b/tests/groups/test_fallen_back.py
@@ -60,7 +60,7 @@
         return status
 
     before = ask()
-    database.start_again_empty()
+    database.restart_empty()
     assert has_regressed(ReceivedStatus(before, 1.0), ask(), 1.5)
 
 
--- a/tests/standins/test_former_primary.py
+++ b/tests/standins/test_former_primary.py
@@ -5,13 +5,15 @@
 from twisted.internet.task import Clock
 
 from beryltrack.groups.messages import PRIMARY, REPLICA
-from beryltrack_standins.lines.group import GOES_ON_TIME, Group
-from beryltrack_standins.lines.store import PromotionLog
+from beryltrack_standins.lines.group import STEP_DOWN_DELAY, Group
+from beryltrack_standins.lines.store import FencingTokenLog
 
 
 def make_group():
     clock = Clock()
-    group = Group(clock, ("a", "b", "c"), random.Random(1), goes_on=True)
+    group = Group(
+        clock, ("a", "b", "c"), random.Random(1), former_primary_continues=True
+    )
     group.commit(group.primary, {b"k": b"1"})
     clock.advance(0.1)
     return clock, group, group.databases["a"]
@@ -22,7 +24,7 @@
     group.promote("b")
     assert group.primary.name == "b" and former.role == PRIMARY
     lost = group.commit(former, {b"k": b"2"})
-    clock.advance(GOES_ON_TIME / 2)
+    clock.advance(STEP_DOWN_DELAY / 2)
     assert group.databases["c"].received.term == 1 and lost.offset == 2
     assert len(group.databases["c"].log) == 1
 
@@ -31,16 +33,16 @@
     clock, group, former = make_group()
     group.promote("b")
     lost = group.commit(former, {b"k": b"2"})
-    clock.advance(GOES_ON_TIME)
+    clock.advance(STEP_DOWN_DELAY)
     assert former.role == REPLICA and former.term == 2
     assert lost in group.rolled_back
 
 
 def test_one_that_is_cut_off_goes_on_until_it_is_stepped_down():
     clock, group, former = make_group()
-    former.is_cut = True
+    former.is_partitioned = True
     group.promote("b")
-    clock.pump([GOES_ON_TIME] * 3)
+    clock.pump([STEP_DOWN_DELAY] * 3)
     assert former.role == PRIMARY
     group.step_down(former, 2)
     assert former.role == REPLICA
@@ -48,15 +50,15 @@
 
 def test_a_lower_token_is_a_breach_only_where_nobody_fences():
     for is_fenced, breaches in ((True, 0), (False, 1)):
-        log = PromotionLog(is_fenced)
+        log = FencingTokenLog(is_fenced)
         for token, holder in ((4, "node-1"), (3, "node-2")):
-            log.note_call("main", token, holder)
-            log.may_carry_out("main", token)
+            log.record_call("main", token, holder)
+            log.accept_token("main", token)
         assert len(log.breaches) == breaches
 
 
 def test_two_holders_of_one_token_are_a_breach():
-    log = PromotionLog()
-    log.note_call("main", 4, "node-1")
-    log.note_call("main", 4, "node-2")
+    log = FencingTokenLog()
+    log.record_call("main", 4, "node-1")
+    log.record_call("main", 4, "node-2")
     assert len(log.breaches) == 1
