--- a/tests/daemon/test_restored_members.py
+++ b/tests/daemon/test_restored_members.py
@@ -129,7 +129,7 @@
     copy = site.store.make_backup()
     site.add(3, 6)
     for number in away:
-        site.members[number].view.trouble = REFUSING
+        site.members[number].view.fault = REFUSING
     site.store.restore(copy)
     known = []
     site.run(20.0, lambda: known.append(site.all_know_all()))
--- a/tests/daemon/test_turned_away.py
+++ b/tests/daemon/test_turned_away.py
@@ -46,7 +46,7 @@
 
     wait_until(lambda: all(has(node, 1) for node in site.nodes))
     for node in away:
-        node.store.trouble = REFUSING
+        node.store.fault = REFUSING
     copy = run(site.store.make_backup)
     run(site.write_configuration)
     wait_until(lambda: all(has(node, 2) for node in site.nodes if node not in away))
