--- a/beryltrack/command/commands.py
+++ b/beryltrack/command/commands.py
@@ -380,7 +380,7 @@
         for line in found.lines:
             self.line(format_line(line))
         if found.deciding is not None:
-            reason = found.deciding.get("reason") or "no trouble"
+            reason = found.deciding.get("reason") or "no error"
             self.line(f"decided: {found.deciding.get('step')} ({reason})")
             verdict = explain_refusal(found.deciding)
             if verdict:
--- a/beryltrack/daemon/line_group_factory.py
+++ b/beryltrack/daemon/line_group_factory.py
@@ -21,7 +21,7 @@
 from beryltrack.load.messages import DatabaseReport, Demand, ExpectedTimes
 from beryltrack.load.owner_loads import ReportedOwnerLoads
 from beryltrack.platform.group import LineDatabaseGroup
-from beryltrack.platform.promotion import PromotionCalls
+from beryltrack.platform.promotion import PromotionClient
 from beryltrack.platform.target import LineTarget, connect_line_target
 from beryltrack.relay.access import DatabaseAccess
 from beryltrack.relay.directory import RelayDirectory
@@ -39,7 +39,7 @@
         Source of sockets and timers.
     node_name : str
         Name of this instance.
-    promotion : PromotionCalls
+    promotion : PromotionClient
         The service that carries out promotions.
     authority : PromotionAuthority
         Gives the permits to promote.
@@ -66,7 +66,7 @@
         self,
         reactor,
         node_name: str,
-        promotion: PromotionCalls,
+        promotion: PromotionClient,
         authority: PromotionAuthority,
         directory: RelayDirectory,
         rng: random.Random,
--- a/beryltrack/daemon/store_clients.py
+++ b/beryltrack/daemon/store_clients.py
@@ -15,7 +15,7 @@
 from beryltrack.objects.http import HttpClient
 from beryltrack.objects.lagging import LaggingFeed
 from beryltrack.objects.rejects import RejectLog
-from beryltrack.platform.promotion import PromotionCalls
+from beryltrack.platform.promotion import PromotionClient
 from beryltrack.platform.store import PlatformStore
 from beryltrack.settings.messages import Endpoint
 from beryltrack.settings.node import NodeSettings
@@ -31,7 +31,7 @@
     lagging_store : LaggingFeed
         The same over the same connections; its lists may be seconds old, at a tenth
         of the price.
-    promotion : PromotionCalls
+    promotion : PromotionClient
         Carries out promotions.
     authority : PromotionAuthority
         Gives the permits for them.
@@ -41,7 +41,7 @@
 
     store: PlatformStore
     lagging_store: LaggingFeed
-    promotion: PromotionCalls
+    promotion: PromotionClient
     authority: PromotionAuthority
     eras: EraTracker
 
@@ -92,8 +92,8 @@
         )
     return StoreClients(
         store,
-        LaggingFeed(store, PlatformStore(http, rejects, may_lag=True), eras),
-        PromotionCalls(promotions, settings.name),
+        LaggingFeed(store, PlatformStore(http, rejects, allows_stale_reads=True), eras),
+        PromotionClient(promotions, settings.name),
         authority,
         eras,
     )
--- a/beryltrack/events/explain.py
+++ b/beryltrack/events/explain.py
@@ -87,7 +87,7 @@
     if "requests" in line:
         return (
             f"{line.get('timestamp')} {line.get('instance')}: {line.get('step')}"
-            f" ({line.get('reason') or 'no trouble'}), like"
+            f" ({line.get('reason') or 'no error'}), like"
             f" {len(line['requests']) - 1} others within a second;"
             f" {line.get('primary') or 'no primary'} in term {line.get('term')}"
             f"{_format_priority(line)}"
@@ -97,7 +97,7 @@
     primary = line.get("primary") or "no primary"
     return (
         f"{line.get('timestamp')} {line.get('instance')}: {line.get('step')}"
-        f" ({line.get('reason') or 'no trouble'}) after {line.get('elapsed_ms')} ms;"
+        f" ({line.get('reason') or 'no error'}) after {line.get('elapsed_ms')} ms;"
         f" target {line.get('target') or 'none'}{_format_via(line)},"
         f" attempt {line.get('attempt')};"
         f" {primary} in term {line.get('term')}, {age};"
--- a/beryltrack/platform/group.py
+++ b/beryltrack/platform/group.py
@@ -18,7 +18,7 @@
 )
 from beryltrack.objects.messages import ErrorKind
 from beryltrack.platform import lines
-from beryltrack.platform.promotion import PromotionCalls
+from beryltrack.platform.promotion import PromotionClient
 from beryltrack.settings.incarnations import get_identifier
 from beryltrack.settings.messages import DatabaseSettings, GroupSettings
 from beryltrack.wire.messages import ResponseEnd
@@ -77,7 +77,7 @@
     ----------
     group : GroupSettings
         The group.
-    promotion : PromotionCalls
+    promotion : PromotionClient
         The service that carries out promotions.
     calls : ControlCalls
         Sends the control requests.
@@ -88,7 +88,7 @@
     def __init__(
         self,
         group: GroupSettings,
-        promotion: PromotionCalls,
+        promotion: PromotionClient,
         calls: ControlCalls,
         is_role_fenced: bool = True,
     ):
--- a/beryltrack/platform/promotion.py
+++ b/beryltrack/platform/promotion.py
@@ -10,7 +10,7 @@
 CONFLICT = 409
 
 
-class PromotionCalls:
+class PromotionClient:
     """Calls the promotion service.
 
     Parameters
--- a/beryltrack/platform/relay.py
+++ b/beryltrack/platform/relay.py
@@ -54,7 +54,7 @@
     shape: StatementShape | None
 
     @property
-    def proves_lead(self) -> bool:
+    def proves_leadership(self) -> bool:
         """True if a database refuses it once it leads no more."""
         return get_kind(self.statement, self.shape) in NEEDS_PRIMARY
 
--- a/beryltrack/platform/store.py
+++ b/beryltrack/platform/store.py
@@ -23,7 +23,7 @@
 from beryltrack.objects.rejects import RejectLog
 from beryltrack.platform.settings import hide_keys
 
-ANSWER_TIME = 0.6
+WATCH_ANSWER_TIMEOUT = 0.6
 """Seconds after its wait within which a watch is answered: 4 ms, and 0.3 s when the
 store is slow. One that is not is lost, and what it waited for is listed."""
 
@@ -46,7 +46,7 @@
         Carries the calls.
     rejects : RejectLog, optional
         Takes what is wrong with objects that cannot be decoded.
-    may_lag : bool
+    allows_stale_reads : bool
         True if lists and watches may tell what is seconds old. They cost a tenth.
     """
 
@@ -54,11 +54,11 @@
         self,
         http: HttpClient,
         rejects: RejectLog | None = None,
-        may_lag: bool = False,
+        allows_stale_reads: bool = False,
     ):
         self._http = http
         self._rejects = rejects or RejectLog()
-        self._options = {"allow_stale": 1} if may_lag else {}
+        self._options = {"allow_stale": 1} if allows_stale_reads else {}
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
         """Return one object, or None if there is none at this path."""
@@ -105,7 +105,7 @@
         """Wait for changes of a kind; one attempt, outside the call limit."""
         wait = {"watch": get_revision(after), "wait_ms": int(timeout * 1000)}
         url = _get_list_url(kind, self._options | wait)
-        answer = await self._http.watch(url, after, timeout + ANSWER_TIME)
+        answer = await self._http.watch(url, after, timeout + WATCH_ANSWER_TIMEOUT)
         if isinstance(answer, Success) and answer.unwrap().code == GONE:
             return make_failure(ErrorKind.EXPIRED, "the platform forgot the changes")
         return answer.bind(lambda each: _read(each, kind, self._parse_events))
--- a/beryltrack/relay/handler.py
+++ b/beryltrack/relay/handler.py
@@ -92,7 +92,7 @@
     after: LogPosition | None
 
     @property
-    def proves_lead(self) -> bool:
+    def proves_leadership(self) -> bool:
         """True if a database that is no longer the primary refuses the statement."""
 
 
@@ -339,7 +339,7 @@
         return
     shown_at = sent_at if is_first and end.error is None else None
     task.observe_position(database, end.position, shown_at)
-    if end.error is None and unit.proves_lead:
+    if end.error is None and unit.proves_leadership:
         task.observe_leadership(database, end.position, sent_at)
 
 
--- a/tests/daemon/test_restored_members.py
+++ b/tests/daemon/test_restored_members.py
@@ -38,7 +38,7 @@
         )
         self.agent = RequestTraversalAgent(self.view)
         http = HttpClient(self.clock, "http://x", random.Random(2), agent=self.agent)
-        lagging = PlatformStore(http, may_lag=True)
+        lagging = PlatformStore(http, allows_stale_reads=True)
         own = Peer(self.name, "z", Endpoint("10.0.0.1", 7441))
         self.task = MemberTask(
             self.clock,
--- a/tests/relay/test_handler.py
+++ b/tests/relay/test_handler.py
@@ -26,8 +26,8 @@
 IDLE, OPEN = TransactionStatus.IDLE, TransactionStatus.IN_TRANSACTION
 
 
-READ = SimpleNamespace(proves_lead=False, after=None)
-WRITE = SimpleNamespace(proves_lead=True, after=None)
+READ = SimpleNamespace(proves_leadership=False, after=None)
+WRITE = SimpleNamespace(proves_leadership=True, after=None)
 
 
 def make_end(status=IDLE, position=None):
--- a/tests/relay/test_lagging_replica.py
+++ b/tests/relay/test_lagging_replica.py
@@ -37,7 +37,7 @@
 def read(owner, after=POSITION):
     """Send a read in a session of another instance; return the session."""
     session = Session()
-    owner.handler.handle(SimpleNamespace(proves_lead=False, after=after), session)
+    owner.handler.handle(SimpleNamespace(proves_leadership=False, after=after), session)
     return session
 
 
