--- a/beryltrack/platform/__init__.py
+++ b/beryltrack/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Adapter to the users' platform: its names, formats, calls and line protocol.
 
-Everything outside of this folder speaks the product's own words. The folder lies
-in the package, as a folder ``platform`` at the root would hide the module of that
-name in Python's standard library.
+It translates and decides nothing; all other packages use the product's own names. It
+is part of this package because a top-level package ``platform`` would shadow the
+module of that name in Python's standard library.
 """
--- a/beryltrack/platform/boot.py
+++ b/beryltrack/platform/boot.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, as the platform writes it."""
+"""Reads the settings file that the platform writes for each process."""
 
 import json
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 )
 
 READY_PATH = b"/api/readiness"
-"""Where the platform asks whether an instance takes callers, once a second."""
+"""HTTP path that the platform requests each second: does the instance take callers?"""
 
 PATH_VARIABLE = "BERYLTRACK_BOOT"
 """Environment variable that holds the path of the file."""
@@ -23,12 +23,12 @@
 def read_node_settings(
     environment: Mapping[str, str],
 ) -> tuple[NodeSettings | None, list[Finding]]:
-    """Read the settings file that the environment names.
+    """Read the settings file whose path is in the environment.
 
     Returns
     -------
     tuple
-        The settings, None if they cannot be read, and what is wrong.
+        The settings, None if they cannot be read, and the findings.
     """
     path = environment.get(PATH_VARIABLE, "")
     try:
@@ -40,7 +40,7 @@
 
 
 def parse_node_settings(fields: dict) -> NodeSettings:
-    """Return the settings from their form in the file.
+    """Return the settings that the fields of the file hold.
 
     Raises
     ------
@@ -58,11 +58,11 @@
         Endpoint(fields["ip"], first_port),
         Endpoint(fields["ip"], first_port + 1),
         parse_address(fields["platform"]["address"]),
-        parse_address(fields["cloud"]["address"]),  # Carries out promotions.
+        parse_address(fields["cloud"]["address"]),  # The promotion service.
         float(bounds["grace_s"]),
         bool(fields.get("first_start", True)),
         Endpoint(fields["ip"], first_port + 2),
-        # A seed is another instance's address for control; its ports are as here.
+        # A seed is another instance's control address; all use the same port numbers.
         tuple(
             Endpoint(parse_address(seed).host, first_port + 2)
             for seed in fields.get("seeds") or ()
@@ -74,7 +74,7 @@
         capacity=_read_capacity(fields.get("limits") or {}),
         tolerance=Tolerance(
             float(bounds.get("quota_overage", 0.0)),
-            float(bounds.get("quota_slack", 0.0)),  # Operations, in any window.
+            float(bounds.get("quota_slack", 0.0)),  # Operations per window.
             float(bounds.get("quota_window_s", Tolerance().window)),
         ),
     )
@@ -82,5 +82,5 @@
 
 def _read_capacity(limits: dict) -> float:
     """Return the processor time that the process may use, in cores of usual speed."""
-    # "cores" says how many times as fast as a usual one the core is.
+    # "cores" is the speed of the core as a multiple of a usual one.
     return float(limits.get("cpu_share", 1.0)) * float(limits.get("cores", 1))
--- a/beryltrack/platform/caller.py
+++ b/beryltrack/platform/caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of the line protocol."""
+"""Callers' connections in the line protocol: start, statements and errors."""
 
 from twisted.internet.defer import Deferred
 
@@ -17,22 +17,22 @@
 MALFORMED = SqlError(PROTOCOL_VIOLATION, "the statement is malformed")
 
 
-class LineSpeaker(SequentialCaller):
-    """A peer that sends lines and is answered in lines.
+class LineSession(SequentialCaller):
+    """The server side of a line protocol session, of a caller or another instance.
 
     Parameters
     ----------
     factory : SequentialFactory
-        What all callers share.
+        Holds what all sessions share.
     """
 
     def __init__(self, factory: SequentialFactory):
         super().__init__(factory)
-        self.lines = RetainedState()
+        self.retained_state = RetainedState()
         self._buffer = LineBuffer()
 
     def split_messages(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now."""
+        """Return the lines that are complete."""
         return self._buffer.feed(data)
 
     def send_error(self, error: SqlError) -> None:
@@ -40,12 +40,12 @@
         self.write(encode_error(error))
 
     def send_ready(self, status: TransactionStatus) -> None:
-        """Say that the statement is answered, and how the transaction stands."""
+        """Send the end of an answer with the transaction status."""
         self.status = status
         self.write(lines.READY_LINES[status])
 
     def answer_local(self, is_done: bool) -> None:
-        """Answer what concerns the session alone; False if it could not be done."""
+        """Answer a statement that changes only the session: done or malformed."""
         if is_done:
             self.write(lines.EMPTY_COMPLETE)
         else:
@@ -53,13 +53,13 @@
         self.send_ready(self.status)
 
 
-class LineCaller(LineSpeaker):
+class LineCaller(LineSession):
     """One caller's connection; see `UnitCaller`.
 
     Parameters
     ----------
     factory : LineCallerFactory
-        What all callers share.
+        Holds what all callers share.
     """
 
     def __init__(self, factory: "LineCallerFactory"):
@@ -72,24 +72,24 @@
 
     @property
     def user(self) -> str:
-        """Name of the user: this protocol carries none."""
+        """The user name; empty, as this protocol carries none."""
         return ""
 
     def handle_message(self, message: bytes) -> "Deferred[None] | None":
-        """Take one message."""
+        """Handle one message; return the run of a statement that needs a database."""
         word = message.split(b" ", 1)[0]
         if self.session is None:
-            self._take_start(message)
+            self._handle_start(message)
         elif word == lines.QUERY:
-            return self._take_query(message)
+            return self._handle_query(message)
         elif word == lines.TERMINATE:
             self.transport.loseConnection()
         else:
             self.transport.abortConnection()
         return None
 
-    def _take_start(self, line: bytes) -> None:
-        """Open the session if the database is known."""
+    def _handle_start(self, line: bytes) -> None:
+        """Open the session; refuse an unknown database or key."""
         fields = line.split(b" ")
         if len(fields) < 2 or fields[0] != lines.START:
             self.transport.abortConnection()
@@ -107,7 +107,7 @@
             return
         self.send_ready(TransactionStatus.IDLE)
 
-    def _take_query(self, line: bytes) -> "Deferred[None] | None":
+    def _handle_query(self, line: bytes) -> "Deferred[None] | None":
         """Run a statement."""
         statement = parse_query(line)
         if statement is None:
@@ -117,6 +117,6 @@
 
 
 class LineCallerFactory(SequentialFactory):
-    """Takes callers' connections; its handler is a `UnitHandler`."""
+    """Accepts callers' connections; its handler is a `UnitHandler`."""
 
     protocol = LineCaller
--- a/beryltrack/platform/codes.py
+++ b/beryltrack/platform/codes.py
@@ -1,7 +1,7 @@
-"""The error codes of the line protocol and what they mean for a request.
+"""Maps error codes of the line protocol to SQLSTATEs and back.
 
-This is the only place that pairs the codes with the product's errors. A code that
-promises that nothing was kept is given only for an error that says so.
+This is the only module that maps them. A code that promises that a statement had no
+effect is sent only for an error that promises the same.
 """
 
 from beryltrack.errors import (
@@ -23,8 +23,8 @@
 from beryltrack.relay.wire_format import NOT_OWNER, OVER_LIMIT, UNREACHABLE
 from beryltrack.requests.outcomes import READ_ONLY_REFUSAL
 
-# Codes that a database answers with. BUSY, LAGGING and READONLY: it did not run.
-_STATES_BY_CODE = {
+# Codes from databases. After BUSY, LAGGING and READONLY the statement did not run.
+_SQLSTATES_BY_CODE = {
     b"BUSY": TOO_MANY_CONNECTIONS,
     b"TOOMANY": TOO_MANY_CONNECTIONS,
     b"LAGGING": CANNOT_CONNECT_NOW,
@@ -40,8 +40,8 @@
     b"INDOUBT": TRANSACTION_RESOLUTION_UNKNOWN,
 }
 
-# Codes that a caller is answered with.
-_CODES_BY_STATE = {
+# Codes sent to callers.
+_CODES_BY_SQLSTATE = {
     CANNOT_CONNECT_NOW: b"BUSY",
     TOO_MANY_CONNECTIONS: b"BUSY",
     CONFIGURATION_LIMIT_EXCEEDED: b"TOOMANY",
@@ -56,7 +56,7 @@
     READ_ONLY_REFUSAL: b"READONLY",
     SYSTEM_ERROR: b"FAILED",
 }
-_OTHER_CODE = b"FAILED"
+_DEFAULT_CODE = b"FAILED"
 
 
 def decode_error(line: bytes) -> SqlError:
@@ -64,25 +64,25 @@
     fields = line.split(b" ", 2)
     code = fields[1] if len(fields) > 1 else b""
     text = fields[2].decode("utf-8", "replace") if len(fields) > 2 else ""
-    # An instance has said when to come back: nobody may add another time to that.
+    # Take the retry time of another instance out of the text, so that it is given once.
     text, hint, retry_after = split_refusal(text)
     name = code.decode("ascii", "replace").lower()
-    state = _STATES_BY_CODE.get(code, SYSTEM_ERROR)
+    state = _SQLSTATES_BY_CODE.get(code, SYSTEM_ERROR)
     return SqlError(state, f"{name}: {text}", hint=hint, retry_after=retry_after)
 
 
 def encode_refusal(error: SqlError) -> bytes:
-    """Return the ERROR line that tells another instance that nothing ran."""
-    own = {CANNOT_CONNECT_NOW: UNREACHABLE, CONFIGURATION_LIMIT_EXCEEDED: OVER_LIMIT}
-    code = own.get(error.sqlstate)
+    """Return the ERROR line by which another instance learns that nothing ran."""
+    codes = {CANNOT_CONNECT_NOW: UNREACHABLE, CONFIGURATION_LIMIT_EXCEEDED: OVER_LIMIT}
+    code = codes.get(error.sqlstate)
     if code is None:
         return encode_error(error)
     return b"ERROR %s %s\r\n" % (code, f"{error.message}. {error.hint}".encode())
 
 
 def encode_error(error: SqlError) -> bytes:
-    """Return the ERROR line for an error of the proxy's own."""
-    code = _CODES_BY_STATE.get(error.sqlstate, _OTHER_CODE)
+    """Return the ERROR line that a caller gets for an error."""
+    code = _CODES_BY_SQLSTATE.get(error.sqlstate, _DEFAULT_CODE)
     text = " ".join(part for part in (error.message, error.hint) if part)
     clean = text.replace("\r", " ").replace("\n", " ")
     return b"ERROR %s %s\r\n" % (code, clean.encode())
--- a/beryltrack/platform/group.py
+++ b/beryltrack/platform/group.py
@@ -1,4 +1,7 @@
-"""Control requests to the databases of a group over the line protocol."""
+"""Control requests to the databases of a group over the line protocol.
+
+PAUSE and RESUME set and end a hold; the platform's service carries out promotions.
+"""
 
 from typing import NamedTuple
 
@@ -32,23 +35,23 @@
     Parameters
     ----------
     role : str
-        What it believes that it is.
+        The database's own view of its role.
     term : int
         The term of the last primary that it followed.
     received : LogPosition
         The last entry in its log.
-    held : int
-        A term for whose sake it has stopped receiving; 0 for none.
+    held_term : int
+        The term that its hold promises, for which it stopped receiving; 0 for none.
     """
 
     role: str
     term: int
     received: LogPosition
-    held: int
+    held_term: int
 
 
 def parse_row(line: bytes) -> StatusRow | None:
-    """Return what a database's row says, None if it is malformed."""
+    """Return the fields of a database's row, None if it is malformed."""
     fields = line.split()
     if len(fields) < 5 or not (fields[2].isdigit() and fields[4].isdigit()):
         return None
@@ -62,11 +65,11 @@
 
 
 def format_row(status: DatabaseStatus) -> bytes:
-    """Return the row that says the same of a database to another instance."""
-    term, held = status.term, 0
+    """Return the row that reports a database's status to another instance."""
+    term, held_term = status.term, 0
     if status.is_held:
-        term, held = status.received.term, status.term
-    fields = (status.role.encode(), term, *status.received, held)
+        term, held_term = status.received.term, status.term
+    fields = (status.role.encode(), term, *status.received, held_term)
     return b"DATAROW %s %d %d.%d %d\r\n" % fields
 
 
@@ -80,9 +83,9 @@
     promotion : PromotionClient
         The service that carries out promotions.
     calls : ControlCalls
-        Sends the control requests.
+        Sends control requests.
     is_role_fenced : bool
-        True if databases lose their lead at the moment of a promotion.
+        True if a promotion takes the role from the former primary at once.
     """
 
     def __init__(
@@ -99,26 +102,26 @@
         self.set_databases(group.databases)
 
     def set_databases(self, databases: tuple[DatabaseSettings, ...]) -> None:
-        """Take the group's members from new settings."""
+        """Replace the group's members by those of new settings."""
         self._calls.set_databases(databases)
 
     async def get_status(self, database: str) -> StatusResult:
-        """Return what a database says of itself now."""
+        """Return the status that a database reports now."""
         return await self._call(database, b"STATUS")
 
     async def wait_status(
         self, database: str, wait: StatusWait, timeout: float
     ) -> StatusResult:
-        """Return the status now: these databases answer at once."""
+        """Return the status without a wait, as these databases answer at once."""
         return await self.get_status(database)
 
     async def grant(
         self, database: str, term: int, candidate: str, lost_after: float
     ) -> Result[GrantReply, ControlFailure]:
-        """Let a replica receive no more, for the sake of a term.
+        """Put a replica on hold for a term: it receives nothing more.
 
-        A primary takes no such request. Where its loss is not the reason it
-        grants by leading, as it is to lead on or has just been stepped down.
+        A primary accepts no hold. It counts as granting unless the election is due to
+        its loss, as it either stays primary or has just been stepped down.
         """
         result = await self._call(database, b"PAUSE %d" % term)
         return result.map(
@@ -128,7 +131,7 @@
     async def promote(
         self, database: str, term: int, candidate: str, token: int
     ) -> Result[PromoteReply, ControlFailure]:
-        """Have the platform make a database the primary."""
+        """Request that the platform makes a database the primary."""
         identifier = get_identifier(database)
         called = await self._promotion.promote(self._group, identifier, token)
         if not isinstance(called, Success):
@@ -140,15 +143,15 @@
         return status.map(lambda item: PromoteReply(is_accepted, item))
 
     async def stop_writes(self, database: str, term: int) -> StatusResult:
-        """Make the primary of a term a replica."""
+        """Make the primary of `term` a replica."""
         return await self._call(database, b"STEPDOWN %d" % (term + 1))
 
     async def release(self, database: str) -> StatusResult:
-        """Let a replica receive again."""
+        """End the hold of a replica: it receives again."""
         return await self._call(database, b"RESUME")
 
     def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
-        """Open new connections in place of those that go another way than these."""
+        """Replace the connections that go through another owner than `vias` name."""
         self._calls.set_allowed_vias(vias)
 
     def close(self) -> None:
@@ -156,20 +159,20 @@
         self._calls.close()
 
     async def _call(self, database: str, text: bytes) -> StatusResult:
-        """Send one control request and read its row."""
+        """Send one control request and parse the row of its answer."""
         try:
             wire = lines.format_query(lines.NO_ID, text)
             rows, end = await self._calls.call(database, wire)
         except ConnectRefused as refused:
-            is_at_work = refused.sqlstate != CANNOT_CONNECT_NOW
-            return Failure(ControlFailure(database, str(refused), is_at_work))
+            is_answered = refused.sqlstate != CANNOT_CONNECT_NOW
+            return Failure(ControlFailure(database, str(refused), is_answered))
         except (TargetLost, TimeoutError, OSError) as error:
             return Failure(ControlFailure(database, f"no answer: {error}"))
         return _make_status(database, rows, end, self._is_role_fenced)
 
 
 def _has_granted(status: DatabaseStatus, term: int, lost_after: float) -> bool:
-    """Return whether a database has granted a term."""
+    """Return whether a database grants a term."""
     if status.role == PRIMARY:
         return not lost_after
     return status.is_held and status.term >= term
@@ -178,25 +181,25 @@
 def _make_status(
     database: str, rows: bytes, end: ResponseEnd, is_role_fenced: bool
 ) -> StatusResult:
-    """Return the status that an answer holds."""
+    """Return the status in an answer."""
     if end.error is not None:
-        # A database that refuses is at work, only without a slot for this. An owner
-        # that refuses as it does not reach the database says nothing of the kind.
-        is_at_work = end.error.sqlstate != CANNOT_CONNECT_NOW
-        return Failure(ControlFailure(database, end.error.message, is_at_work))
+        # A database that refuses for lack of a slot works. A refusal by an owner that
+        # does not reach the database does not show that.
+        is_answered = end.error.sqlstate != CANNOT_CONNECT_NOW
+        return Failure(ControlFailure(database, end.error.message, is_answered))
     row = parse_row(rows)
     if row is None or end.position is None:
         return Failure(ControlFailure(database, "malformed status"))
     status = DatabaseStatus(
         database,
         row.role,
-        max(row.term, row.held),
+        max(row.term, row.held_term),
         row.received,
         end.position,
         (),
         None,
         False,
-        row.held > row.term,
+        row.held_term > row.term,
         is_role_fenced,
     )
     return Success(status)
--- a/beryltrack/platform/lines.py
+++ b/beryltrack/platform/lines.py
@@ -1,7 +1,7 @@
-"""The line protocol that callers and databases speak; sans-I/O.
+"""Messages of the line protocol of callers and databases; sans-I/O.
 
-A message is one line: a word, then fields, separated by blanks and ended by CR LF.
-Lines are framed and told apart here; their rows pass through as bytes.
+A message is one line that ends with CR LF: a keyword, then fields separated by spaces.
+Rows pass through as bytes.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 COMPLETE = b"COMPLETE"
 ERROR = b"ERROR"
 NO_ID = b"-"
-"""Stands for the identifier of a statement of the proxy's own."""
+"""Identifier of the statements that the proxy adds itself."""
 
 _STATUSES = {status.value.encode(): status for status in TransactionStatus}
 READY_LINES = {
@@ -28,18 +28,18 @@
 
 
 class LineError(MalformedMessage):
-    """Raised when bytes of a peer are no message of the protocol."""
+    """Raised when received bytes are no valid message of the protocol."""
 
 
 class ReadyState(NamedTuple):
-    """What a READY message says.
+    """The fields of a READY message.
 
     Parameters
     ----------
     status : TransactionStatus
-        How the session's transaction stands.
+        Status of the session's transaction.
     position : LogPosition or None
-        How far the database's log is applied, if it said so.
+        The last log entry that the database has applied; None if not sent.
     """
 
     status: TransactionStatus
@@ -47,12 +47,12 @@
 
 
 def parse_ready(line: bytes) -> ReadyState:
-    """Return what a READY line says.
+    """Return the fields of a READY line.
 
     Raises
     ------
     LineError
-        If it is malformed.
+        If the line is malformed.
     """
     fields = line.split(b" ")
     status = _STATUSES.get(fields[1]) if len(fields) == 3 else None
@@ -78,7 +78,7 @@
 
 
 def format_after(position: LogPosition | None) -> bytes:
-    """Return the prefix that lets a database check that it shows a position."""
+    """Return the prefix of a statement that must see the log up to a position."""
     return b"AFTER %d.%d " % position if position is not None else b""
 
 
--- a/beryltrack/platform/promotion.py
+++ b/beryltrack/platform/promotion.py
@@ -1,4 +1,4 @@
-"""The service that carries out promotions, as the platform offers it."""
+"""Client of the platform's promotion service."""
 
 from returns.result import Result, Success
 
@@ -16,9 +16,9 @@
     Parameters
     ----------
     http : HttpClient
-        Carries the calls.
+        Sends the calls.
     holder : str
-        Name of this instance.
+        Name of this instance, which holds the fencing tokens.
     """
 
     def __init__(self, http: HttpClient, holder: str):
@@ -28,10 +28,10 @@
     async def promote(
         self, group: str, database: str, token: int
     ) -> Result[None, PlatformError]:
-        """Have a database lead its group's next term, some time after the answer.
+        """Make a database its group's next primary, some time after the answer.
 
-        A failure of kind `CONFLICT` says that a higher token was seen, or that
-        the database does not run; `REFUSED` that nothing was done.
+        A failure of kind `CONFLICT` means that the service has seen a higher token or
+        the database does not run; `REFUSED` means that nothing was done.
         """
         headers = {HOLDER_HEADER: self._holder, TOKEN_HEADER: str(token)}
         body = {"service": group, "id": database}
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -1,4 +1,4 @@
-"""Units of the line protocol, as the course of a request runs them."""
+"""Plans and runs callers' statements of the line protocol for the request flow."""
 
 import math
 from collections.abc import Callable
@@ -40,9 +40,9 @@
 from beryltrack.settings.messages import GroupSettings, RouteSettings, RuleSettings
 from beryltrack.wire.messages import ResponseEnd, ResponseSink, TransactionStatus
 
-_LOCAL = frozenset((StatementKind.SESSION_SET, StatementKind.DEALLOCATE))
-_ENDS = frozenset((StatementKind.COMMIT, StatementKind.ROLLBACK))
-_BEGINS = frozenset((StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY))
+_LOCAL_KINDS = frozenset((StatementKind.SESSION_SET, StatementKind.DEALLOCATE))
+_TRANSACTION_ENDS = frozenset((StatementKind.COMMIT, StatementKind.ROLLBACK))
+_TRANSACTION_BEGINS = frozenset((StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY))
 
 GetRoute = Callable[[str], RouteSettings | None]
 GetAccounts = Callable[[], AccountIndex | None]
@@ -52,16 +52,16 @@
 
 
 class LineProtocol(ProtocolWithoutRequestIds):
-    """The line protocol at both ends; see `WireProtocol`.
+    """The line protocol between callers and databases; see `WireProtocol`.
 
     Parameters
     ----------
     get_route : callable
-        Returns the route in force of a database name, or None.
+        Returns the current route of a database name, or None.
     get_policy : callable
-        Returns the times that bound the requests of a route.
+        Returns the time limits of a route's requests.
     get_accounts : callable
-        Returns the accounts in force, None where callers need no key.
+        Returns the current accounts, None where callers need no key.
     """
 
     def __init__(
@@ -75,21 +75,21 @@
         self._get_accounts = get_accounts
 
     def check_session(self, caller: LineCaller) -> SqlError | None:
-        """Open a caller's session; return an error if it may not have one."""
+        """Open a caller's session; return an error if that is not allowed."""
         caller.session = CallerSession(NEW_TOKEN, True)
         caller.route = self._get_route(caller.database)
         if caller.route is None:
-            return _make_unknown(caller)
-        return self._identify(caller)
+            return _make_unknown_database_error(caller)
+        return self._resolve_account(caller)
 
     def get_request_id(self, unit: LineStatement) -> str:
         """Return the caller's identifier of a statement."""
         return unit.request_id.decode("utf-8", "replace")
 
     def describe_missing(self, caller: LineCaller) -> SqlError:
-        """Return why a caller's database cannot be served."""
+        """Return the error of a caller whose database cannot be served."""
         if self._get_route(caller.database) is None:
-            return _make_unknown(caller)
+            return _make_unknown_database_error(caller)
         return make_refusal("no database of the group is known", 1.0)
 
     def plan(
@@ -99,21 +99,21 @@
         group: GroupSettings,
         rules: tuple[RuleSettings, ...],
     ) -> Result[LinePlan, SqlError]:
-        """Return the plan of a statement, or why it cannot be run."""
+        """Return the plan of a statement, or the error of one that cannot be run."""
         shape = None
         if unit.verb == b"EXECUTE":
-            shape = caller.lines.prepared.get(unit.fields[0])
+            shape = caller.retained_state.prepared.get(unit.fields[0])
             if shape is None:
                 text = "the session has prepared no such statement"
                 return Failure(SqlError(INVALID_SQL_STATEMENT_NAME, text))
         kind = get_kind(unit, shape)
-        if not _fits(kind, caller.status):
+        if not _is_allowed(kind, caller.status):
             return Failure(MALFORMED)
         route = caller.route
         if not caller.in_transaction:
-            # A change of a route applies from the next transaction on.
+            # A changed route applies from the next transaction on.
             route = caller.route = self._get_route(caller.database) or route
-            error = self._identify(caller)
+            error = self._resolve_account(caller)
             if error is not None:
                 return Failure(error)
             caller.session.is_tracked = route.reads != READS_PRIMARY
@@ -122,11 +122,11 @@
         return Success(LinePlan(unit, kind, options, self._get_policy(route), shape))
 
     def answer_locally(self, plan: LinePlan, caller: LineCaller) -> bool:
-        """Answer what concerns the session alone; False for all others."""
-        if plan.kind in _ENDS and not caller.in_transaction:
+        """Answer a statement that needs no database; return False for any other."""
+        if plan.kind in _TRANSACTION_ENDS and not caller.in_transaction:
             caller.answer_local(True)
-        elif plan.kind in _LOCAL:
-            caller.answer_local(apply_local(plan.statement, caller.lines))
+        elif plan.kind in _LOCAL_KINDS:
+            caller.answer_local(apply_local(plan.statement, caller.retained_state))
         else:
             return False
         return True
@@ -139,14 +139,14 @@
         caller: LineCaller,
         after: LogPosition | None = None,
     ) -> RunResult:
-        """Bring a connection to the caller's session, and run a statement on it."""
+        """Give a connection the caller's session state, and run a statement on it."""
         policy = plan.policy
-        # An owner that is at work only has a queue; to break a read off there would
-        # throw its work away and open another connection to a full database.
+        # An owner that works is slow only due to its queue. To cancel a read there
+        # wastes its work and opens another connection to a full database.
         is_repeatable = plan.is_read and not (caller.in_transaction or connection.via)
         limit = policy.read_timeout if is_repeatable else policy.run_timeout
         limit = math.inf if limit is None else limit
-        state, account = caller.lines, caller.account
+        state, account = caller.retained_state, caller.account
         return await run_statement(connection, state, plan, after, account, sink, limit)
 
     async def run_pinned(
@@ -161,16 +161,21 @@
             caller.session.has_written = True
         return await self.run(connection, plan, sink, caller)
 
-    def _identify(self, caller: LineCaller) -> SqlError | None:
-        """Find the account of a caller's key; return an error if it has none."""
-        book = self._get_accounts()
-        account = book.by_key.get(caller.key_digest) if book is not None else None
+    def _resolve_account(self, caller: LineCaller) -> SqlError | None:
+        """Set the account of a caller's key.
+
+        Return an error if the route needs a key and the caller's belongs to no account.
+        """
+        accounts = self._get_accounts()
+        account = (
+            accounts.by_key.get(caller.key_digest) if accounts is not None else None
+        )
         caller.account = account.name if account is not None else ""
-        needs_key = book is not None and not caller.route.is_public
+        needs_key = accounts is not None and not caller.route.is_public
         return UNKNOWN_KEY if needs_key and account is None else None
 
     def proves_leadership(self, plan: LinePlan) -> bool:
-        """Return whether a database refuses a unit once it leads no more."""
+        """Return whether a database that is no longer the primary refuses the unit."""
         return not plan.is_read
 
     def has_committed(
@@ -180,21 +185,21 @@
         caller: LineCaller,
         end: ResponseEnd,
     ) -> bool:
-        """Return whether the end of a transaction has made changes last."""
+        """Return whether the transaction has committed a write."""
         is_commit = plan.kind is StatementKind.COMMIT and end.error is None
         return is_commit and caller.session.has_written
 
 
-def _make_unknown(caller: LineCaller) -> SqlError:
-    """Return the error of a database name that no route has."""
+def _make_unknown_database_error(caller: LineCaller) -> SqlError:
+    """Return the error of a database name without a route."""
     return SqlError(INVALID_CATALOG_NAME, f"no route serves {caller.database}")
 
 
-def _fits(kind: StatementKind, status: TransactionStatus) -> bool:
-    """Return whether a statement may come while a transaction stands so."""
+def _is_allowed(kind: StatementKind, status: TransactionStatus) -> bool:
+    """Return whether a transaction status allows a statement of a kind."""
     if status is TransactionStatus.ERROR_TRANSACTION:
-        return kind in _ENDS
-    return kind not in _BEGINS or status is TransactionStatus.IDLE
+        return kind in _TRANSACTION_ENDS
+    return kind not in _TRANSACTION_BEGINS or status is TransactionStatus.IDLE
 
 
 def format_setups(
@@ -205,19 +210,19 @@
 ) -> list[bytes]:
     """Return the statements that give a connection a session's state.
 
-    What they will have set is noted at once: a connection on which one of them
-    fails is thrown away.
+    Their effect is recorded on the connection before they run, as a connection on which
+    one of them fails is closed.
 
     Parameters
     ----------
     connection : LineTarget
         The connection.
     session : RetainedState
-        What the session has set and prepared.
+        The session's values and prepared statements.
     shape : StatementShape or None
-        What the statement to run executes, if it is a prepared one.
+        The prepared statement to execute, if there is one.
     account : str
-        Whose statement it is.
+        The account that the statement belongs to.
 
     Raises
     ------
@@ -235,7 +240,7 @@
             texts.append(b"SET %s %s" % (name, value))
             applied[name] = value
     if shape is not None and shape not in connection.prepared:
-        name = connection.prepared[shape] = b"p%d" % next(connection.numbers)
+        name = connection.prepared[shape] = b"p%d" % next(connection.statement_numbers)
         texts.append(b"PREPARE %s %s %s" % (name, *shape))
     return [lines.format_query(lines.NO_ID, text) for text in texts]
 
@@ -249,10 +254,11 @@
     sink: ResponseSink,
     limit: float = math.inf,
 ) -> Deferred[RunResult]:
-    """Bring a connection to a session's state, and run a statement on it.
+    """Give a connection a session's state, and run a statement on it.
 
-    The name of what it executes is the one that the connection knows. The first
-    statement of an operation that goes to another instance tells its demand.
+    A prepared statement is executed under its name on the connection. The first
+    statement of an operation sent to another instance carries its demand. `limit` is
+    in seconds.
     """
     statement, shape = unit.statement, unit.shape
     setups = format_setups(connection, session, shape, account)
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's configuration and its list of databases, in the product's words."""
+"""Translates the platform's configuration and database entries for the product."""
 
 import math
 
@@ -19,7 +19,7 @@
 CONFIG_PATH = "config/main"
 DATABASES_KIND = "servers"
 
-# Field names of the wire; those that mislead carry a comment.
+# Field names in the store; a comment explains each name that misleads.
 PRIMARY_KIND = "primary"
 OWN_WRITES_KIND = "read_own_writes"
 ROUTE_KINDS = (PRIMARY_KIND, "bounded_staleness", OWN_WRITES_KIND)
@@ -33,7 +33,7 @@
 )
 _LIMIT_FIELDS = (Field("transaction_idle_ms", parse_number, False),)
 _ROUTE_FIELDS = (
-    # The name that callers ask for; a route's own "name" is a label.
+    # The name that callers give; a route's own "name" is a label.
     Field("database_name", parse_name),
     Field("service", parse_name),  # The group.
     Field("kind", fields.make_choice_parser(ROUTE_KINDS)),
@@ -60,12 +60,12 @@
     Field("zone", parse_name),
     Field("slots", fields.parse_positive),
     Field("state", fields.make_choice_parser((READY, DRAINING))),
-    # When it started, milliseconds since 1970.
+    # Start time, milliseconds since 1970.
     Field("born", fields.parse_positive, False),
-    # Not used, but an entry that lacks them is not a database's own.
+    # Unused, but an entry without them was not written by a database.
     Field("config_version", parse_name),  # The version of the database's software.
     Field("cold_remaining_ms", parse_number),
-    Field("sequence", fields.parse_whole_number),  # Counts the heartbeats.
+    Field("sequence", fields.parse_whole_number),  # Number of the heartbeat.
     Field("database_role", fields.make_choice_parser((PRIMARY, REPLICA)), False),
 )
 
@@ -73,13 +73,13 @@
 def read_configuration(
     item: PlatformObject, read_rows: ReadRows = fields.read_rows
 ) -> tuple[SiteConfiguration | None, list[Finding]]:
-    """Return the configuration that the operators have written at `CONFIG_PATH`.
+    """Return the configuration that operators write at `CONFIG_PATH`.
 
     Returns
     -------
     tuple
-        The configuration, None if it cannot be read, and what is wrong with it. A
-        route or a group that cannot be read is left out.
+        The configuration, None if it cannot be read, and the findings. A route, a
+        group or an account that cannot be read is left out.
     """
     found, findings = fields.read_fields(
         item.path, "", item.value, _CONFIGURATION_FIELDS
@@ -113,9 +113,9 @@
     if not isinstance(row, dict) or KEYS not in row:
         return row
     keys = row[KEYS] if isinstance(row[KEYS], list) else None
-    is_whole = keys is not None and all(isinstance(key, str) for key in keys)
-    # What is no list of keys is a finding when it is read, but nothing of it is kept.
-    return row | {KEYS: [*map(digest_key, keys)] if is_whole else None}
+    is_valid = keys is not None and all(isinstance(key, str) for key in keys)
+    # A value that is no list of keys is dropped; it gives a finding when it is read.
+    return row | {KEYS: [*map(digest_key, keys)] if is_valid else None}
 
 
 def _read_accounts(
@@ -140,13 +140,13 @@
 
 
 def read_entry(item: PlatformObject) -> tuple[RosterEntry | None, list[Finding]]:
-    """Return what a database says of itself in the store.
+    """Return the entry that a database has written about itself in the store.
 
     Returns
     -------
     tuple
-        The entry, None if it cannot be read, and what is wrong with it. An entry that
-        another program has written names no database to use.
+        The entry, None if it cannot be read, and the findings. An entry that another
+        program has written cannot be read.
     """
     found, findings = fields.read_fields(item.path, "", item.value, _ENTRY_FIELDS)
     try:
@@ -169,7 +169,7 @@
 
 
 def _make_route(row: dict[str, object]) -> RouteSettings:
-    """Return one route."""
+    """Return the route of a row."""
     kind = row["kind"]
     return RouteSettings(
         row["database_name"],
--- a/beryltrack/platform/statements.py
+++ b/beryltrack/platform/statements.py
@@ -9,24 +9,24 @@
 from beryltrack.sessions.retained_state import RetainedState, StatementShape
 
 NEEDS_PRIMARY = frozenset((StatementKind.WRITE, StatementKind.BEGIN))
-"""What a database refuses that does not lead."""
+"""Statements that a database refuses unless it is the primary."""
 
 _NAME = re.compile(rb"[^\x00-\x20]{1,256}")
 
 
 class LineStatement(NamedTuple):
-    """One QUERY of a caller.
+    """A caller's QUERY message.
 
     Parameters
     ----------
     request_id : bytes
         The caller's identifier of the statement.
     verb : bytes
-        The first word of its text.
+        The first word of the text.
     text : bytes
         The whole text.
     fields : tuple of bytes
-        What follows the verb; the last field extends to the end of the line.
+        The fields after the verb; the last one extends to the end of the line.
     """
 
     request_id: bytes
@@ -36,20 +36,20 @@
 
 
 class LinePlan(NamedTuple):
-    """One statement, understood; see `UnitPlan`.
+    """The plan of one statement; see `UnitPlan`.
 
     Parameters
     ----------
     statement : LineStatement
         The statement as the caller sent it.
     kind : StatementKind
-        What it does.
+        Its kind.
     options : RequestOptions
-        What its route asks for.
+        The options that its route sets.
     policy : RequestPolicy
-        The times that bound it.
+        Its time limits.
     shape : StatementShape or None
-        What an EXECUTE runs.
+        The prepared statement that an EXECUTE runs.
     """
 
     statement: LineStatement
@@ -60,7 +60,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's identifier of it."""
+        """The caller's identifier of the statement."""
         return self.statement.request_id.decode("ascii", "replace")
 
     @property
@@ -70,11 +70,11 @@
 
     @property
     def is_at_most_once(self) -> bool:
-        """False: this protocol carries no identifier that a repeat keeps."""
+        """False, as this protocol has no identifier that a repeated request keeps."""
         return False
 
 
-# For each verb how many fields follow it, at the least and at the most.
+# The minimum and maximum number of fields after each verb.
 _FIELD_COUNTS = {
     b"BEGIN": (0, 1),
     b"COMMIT": (0, 0),
@@ -97,9 +97,9 @@
     counts = _FIELD_COUNTS.get(verb)
     if counts is None:
         return None
-    least, most = counts
-    fields = tuple(rest.split(b" ", most - 1)) if rest and most else ()
-    if len(fields) < least or (rest and not most) or b"" in fields:
+    min_count, max_count = counts
+    fields = tuple(rest.split(b" ", max_count - 1)) if rest and max_count else ()
+    if len(fields) < min_count or (rest and not max_count) or b"" in fields:
         return None
     if verb == b"BEGIN" and fields not in ((), (b"READ",)):
         return None
@@ -120,7 +120,7 @@
 
 
 def get_kind(statement: LineStatement, shape: StatementShape | None) -> StatementKind:
-    """Return what a statement does."""
+    """Return the kind of a statement."""
     if statement.verb == b"BEGIN":
         is_read = bool(statement.fields)
         return StatementKind.BEGIN_READ_ONLY if is_read else StatementKind.BEGIN
@@ -130,11 +130,11 @@
     return _KINDS[statement.verb]
 
 
-def apply_local(statement: LineStatement, kept: RetainedState) -> bool:
-    """Change the session as SET, PREPARE or DEALLOCATE asks; False if it cannot."""
+def apply_local(statement: LineStatement, state: RetainedState) -> bool:
+    """Apply SET, PREPARE or DEALLOCATE to a session; False if that is impossible."""
     fields = statement.fields
     if statement.verb == b"DEALLOCATE":
-        return kept.deallocate(fields[0])
+        return state.deallocate(fields[0])
     if statement.verb == b"SET":
-        return kept.set_value(fields[0], fields[1])
-    return kept.prepare(fields[0], StatementShape(fields[1], fields[2]))
+        return state.set_value(fields[0], fields[1])
+    return state.prepare(fields[0], StatementShape(fields[1], fields[2]))
--- a/beryltrack/platform/store.py
+++ b/beryltrack/platform/store.py
@@ -1,6 +1,6 @@
-"""The platform's object store: its calls and the form of its objects.
+"""Client of the platform's object store: its HTTP calls and the form of its objects.
 
-A path of the product, ``KIND/NAME``, is an object's kind and its name there. A
+A path of the product, ``KIND/NAME``, holds an object's kind and name in the store. A
 value is what the platform calls ``spec``.
 """
 
@@ -24,8 +24,8 @@
 from beryltrack.platform.settings import hide_keys
 
 WATCH_ANSWER_TIMEOUT = 0.6
-"""Seconds after its wait within which a watch is answered: 4 ms, and 0.3 s when the
-store is slow. One that is not is lost, and what it waited for is listed."""
+"""Seconds after its wait within which a watch must be answered. An answer takes 4 ms,
+0.3 s from a slow store. A later one counts as lost, and the objects are listed."""
 
 NOT_FOUND = 404
 CONFLICT = 409
@@ -43,11 +43,11 @@
     Parameters
     ----------
     http : HttpClient
-        Carries the calls.
+        Sends the calls.
     rejects : RejectLog, optional
-        Takes what is wrong with objects that cannot be decoded.
+        Receives the findings of objects that cannot be decoded.
     allows_stale_reads : bool
-        True if lists and watches may tell what is seconds old. They cost a tenth.
+        True if lists and watches may be seconds old, at a tenth of the cost.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._options = {"allow_stale": 1} if allows_stale_reads else {}
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
-        """Return one object, or None if there is none at this path."""
+        """Return one object, None if there is none at the path."""
         answer = await self._http.send_with_retries(
             "GET", _get_url(path), None, _REPEATABLE_READ
         )
@@ -73,15 +73,15 @@
     async def list(self, kind: str) -> Result[ObjectList, PlatformError]:
         """Return all objects of a kind, page by page.
 
-        The revision is that of the first page, so that a watch from there misses
-        no change made while the later ones were read. Pages of two eras are no list.
+        The revision is that of the first page, so that a watch from there misses no
+        change made while later pages were read. Pages of two eras give a failure.
         """
         objects: dict[str, PlatformObject] = {}
         revision: int | None = None
         after = ""
         while True:
-            place = {"after": after} if after else {}
-            url = _get_list_url(kind, self._options | place)
+            start = {"after": after} if after else {}
+            url = _get_list_url(kind, self._options | start)
             answer = await self._http.send_with_retries(
                 "GET", url, None, _REPEATABLE_READ
             )
@@ -91,7 +91,7 @@
             items, at, has_more = page.unwrap()
             revision = at if revision is None else revision
             if get_era(at) != get_era(revision):
-                return make_failure(ErrorKind.EXPIRED, "the pages are of two eras")
+                return make_failure(ErrorKind.EXPIRED, "the pages span two eras")
             objects.update((item.path, item) for item in items)
             if not has_more:
                 return Success(ObjectList(revision, tuple(objects.values())))
@@ -102,18 +102,18 @@
     async def watch(
         self, kind: str, after: int, timeout: float
     ) -> Result[ObjectList, PlatformError]:
-        """Wait for changes of a kind; one attempt, outside the call limit."""
+        """Wait up to `timeout` seconds for changes; one attempt, no call limit."""
         wait = {"watch": get_revision(after), "wait_ms": int(timeout * 1000)}
         url = _get_list_url(kind, self._options | wait)
         answer = await self._http.watch(url, after, timeout + WATCH_ANSWER_TIMEOUT)
         if isinstance(answer, Success) and answer.unwrap().code == GONE:
-            return make_failure(ErrorKind.EXPIRED, "the platform forgot the changes")
+            return make_failure(ErrorKind.EXPIRED, "the store dropped the changes")
         return answer.bind(lambda each: _read(each, kind, self._parse_events))
 
     async def put(
         self, path: str, value: object, if_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is `if_version`, 0 if it must not exist."""
+        """Write an object whose version is `if_version`, 0 to create it."""
         kind, _, name = path.partition("/")
         revision = get_revision(if_version)
         if revision:
@@ -140,7 +140,7 @@
     def _parse_page(
         self, kind: str, answer: dict, era: int
     ) -> tuple[tuple[PlatformObject, ...], int, bool]:
-        """Return the objects of a page, the store's revision, and if more follow."""
+        """Return the objects of a page, the store's version, and if more follow."""
         items = [self._decode(kind, item, era) for item in answer["items"]]
         known = tuple(item for item in items if item is not None)
         at = make_version(era, int(answer["current_rev"]))
@@ -157,16 +157,16 @@
         return ObjectList(make_version(era, int(answer["current_rev"])), known)
 
     def _decode_one(self, kind: str, item: object, era: int) -> PlatformObject:
-        """Return the object that was asked for; raise `ValueError` if it is none."""
+        """Return the requested object; raise `ValueError` if it cannot be decoded."""
         found = self._decode(kind, item, era)
         if found is None or not get_revision(found.version):
-            raise ValueError("no object, or one without a revision")
+            raise ValueError("the object has no name or no revision")
         return found
 
     def _decode(
         self, kind: str, item: object, era: int, is_gone: bool = False
     ) -> PlatformObject | None:
-        """Return an object, without its value if only its name can be read, or None."""
+        """Return an object, without its value if only its name can be read; or None."""
         meta, findings = fields.read_nested(kind, item, "meta", _META_FIELDS)
         self._rejects.report(findings)
         if "name" not in meta:
@@ -178,13 +178,13 @@
 
 
 def _get_list_url(kind: str, options: dict[str, object]) -> str:
-    """Return the address of the objects of a kind, relative to the service."""
+    """Return the URL of the objects of a kind, relative to the service."""
     query = "?" + urlencode(options) if options else ""
     return f"/api/objects/{quote(kind)}{query}"
 
 
 def _get_url(path: str) -> str:
-    """Return the address of an object, relative to the service."""
+    """Return the URL of an object, relative to the service."""
     kind, _, name = path.partition("/")
     return f"/api/objects/{quote(kind)}/{quote(name, safe='')}"
 
@@ -196,14 +196,14 @@
     try:
         return Success(parse(kind, decode_answer(answer.body), answer.era))
     except (AttributeError, KeyError, OverflowError, TypeError, ValueError) as error:
-        text = f"the platform's answer is faulty: {error!r}"
+        text = f"the platform's answer is malformed: {error!r}"
         return make_failure(ErrorKind.INVALID, text)
 
 
 def _read_change(answer: HttpAnswer) -> Result[int, PlatformError]:
-    """Return the new version that a change gave."""
+    """Return the version of an object after a change."""
     if answer.code == NOT_FOUND:
-        return make_failure(ErrorKind.CONFLICT, "the object is not there")
+        return make_failure(ErrorKind.CONFLICT, "the object does not exist")
     if answer.code == CONFLICT:
         return make_failure(ErrorKind.CONFLICT, "the object has another version")
     if answer.code >= 400:
--- a/beryltrack/platform/target.py
+++ b/beryltrack/platform/target.py
@@ -1,4 +1,4 @@
-"""A connection to one database over the line protocol."""
+"""The proxy's connection to one database over the line protocol."""
 
 import itertools
 import math
@@ -22,10 +22,10 @@
 from beryltrack.wire.sockets import SocketLimits
 
 PROXY_NAME = "beryltrack"
-"""Who connects for no account, as databases are told; they accept any word."""
+"""Account name of connections that belong to no account; databases accept any."""
 
-_USELESS = b"ERROR " + wire_format.UNREACHABLE
-_LEFT = b"ERROR " + wire_format.NOT_OWNER
+_UNREACHABLE_ERROR = b"ERROR " + wire_format.UNREACHABLE
+_NOT_OWNER_ERROR = b"ERROR " + wire_format.NOT_OWNER
 
 
 class LineTarget(ExclusiveConnection):
@@ -41,7 +41,7 @@
         super().__init__(start, limits, seconds, account)
         self.values: dict[bytes, bytes] = {}
         self.prepared: dict[StatementShape, bytes] = {}
-        self.numbers = itertools.count(1)
+        self.statement_numbers = itertools.count(1)
         self._buffer = LineBuffer()
         self._setups = 0
         self._clear()
@@ -53,42 +53,41 @@
         setups: int = 0,
         limit: float = math.inf,
     ) -> "Deferred[ResponseEnd]":
-        """Send one statement; `setups` statements of the proxy's own come before it."""
+        """Send `setups` statements of the proxy's own and one more; `limit` in s."""
         if not (self.broken or self.busy):
             self._setups = setups
             self._clear()
         return self.send(wire, sink, limit)
 
     def end_session(self) -> None:
-        """Close the connection when all that was sent has gone out."""
+        """Close the connection after all pending bytes are sent."""
         self.broken = True
         self.transport.write(b"TERMINATE\r\n")
         self.transport.loseConnection()
 
     def receive_bytes(self, data: bytes) -> None:
-        """Take bytes of the database."""
+        """Handle bytes of the database."""
         for line in self._buffer.feed(data):
-            self._take(line)
+            self._handle_line(line)
 
-    def _take(self, line: bytes) -> None:
-        """Take one message."""
+    def _handle_line(self, line: bytes) -> None:
+        """Handle one message."""
         word = line[: line.find(b" ")] if b" " in line else line
         if not self.ready.called:
-            self._take_start(word, line)
+            self._handle_start(word, line)
         elif self._answer is None:
-            raise lines.LineError("a message outside of an answer")
+            raise lines.LineError("message received while no statement runs")
         elif word == lines.READY:
-            self._take_ready(line)
+            self._handle_ready(line)
         elif self._setups:
-            # A statement of the proxy's own that fails leaves the session's
-            # state in doubt.
+            # After a failed statement of the proxy the session's state is unknown.
             if word == lines.ERROR:
-                raise lines.LineError("the session could not be set up")
+                raise lines.LineError("a statement that sets up the session failed")
         elif word == lines.ROW:
             self._row_bytes += len(line) + 2
             self._sink.write(line + LINE_END)
         elif word == wire_format.PROVEN:
-            # It was sent after this statement, so that its age counts from then.
+            # The proof is sent after this statement, so its age counts from then.
             position, age = wire_format.parse_proven(line)
             self._proof = Sample(position, self.run_since - age)
         elif word == wire_format.LOAD and self.incarnation:
@@ -101,30 +100,30 @@
             self._error = decode_error(line)
             self._error_frame = line + LINE_END
             if self._error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED:
-                # Callers know no code of the instances' own.
+                # Callers do not know the code that instances use among each other.
                 self._error_frame = encode_error(self._error)
         else:
-            raise lines.LineError("unknown message")
+            raise lines.LineError("message with an unknown keyword")
 
-    def _take_start(self, word: bytes, line: bytes) -> None:
-        """Take the answer to START."""
+    def _handle_start(self, word: bytes, line: bytes) -> None:
+        """Handle the answer to START."""
         if word == lines.READY:
             self.incarnation = wire_format.parse_incarnation(line)
             self.ready.callback(self)
             return
         self.broken = True
         state = decode_error(line).sqlstate
-        self.ready.errback(ConnectRefused(state, line.startswith(_USELESS)))
+        self.ready.errback(ConnectRefused(state, line.startswith(_UNREACHABLE_ERROR)))
         self.transport.abortConnection()
 
-    def _take_ready(self, line: bytes) -> None:
-        """Take the end of one answer."""
+    def _handle_ready(self, line: bytes) -> None:
+        """Handle the end of one answer."""
         state = lines.parse_ready(line)
         if self._setups:
             self._setups -= 1
             return
         if not (self._tail or self._error_frame):
-            raise lines.LineError("an answer without an end")
+            raise lines.LineError("READY received without COMPLETE or ERROR")
         end = ResponseEnd(
             state.status,
             self._tail,
@@ -135,14 +134,14 @@
             0,
             self._proof,
         )
-        if self._error_frame.startswith((_USELESS, _LEFT)):
-            # Whoever used it next would only be told the same.
-            self.on_target_unreachable(self._error_frame.startswith(_LEFT))
+        if self._error_frame.startswith((_UNREACHABLE_ERROR, _NOT_OWNER_ERROR)):
+            # The next statement on it would be refused for the same reason.
+            self.on_target_unreachable(self._error_frame.startswith(_NOT_OWNER_ERROR))
             self.end_session()
         self.end_run().callback(end)
 
     def _clear(self) -> None:
-        """Expect a new answer."""
+        """Drop the parts of the former answer."""
         self._tail = b""
         self._error: SqlError | None = None
         self._error_frame = b""
@@ -165,19 +164,19 @@
     Parameters
     ----------
     reactor : IReactorTCP
-        Opens it.
+        Opens the connection.
     endpoint : Endpoint
-        Where the database listens.
+        The address of the database.
     service, database : str
-        Its group, and its identifier: another one at the same address refuses it.
+        Its group and its identifier. Another database at the address refuses them.
     timeout, reach_timeout : float
-        Seconds within which it must be ready, and reached at all.
+        Seconds within which the session must be ready, and the address reached.
     limits : SocketLimits
-        When a silent database is given up.
+        The time limits after which a silent connection is closed.
     account : str
-        Whose statements it will run; empty for those of the proxy itself.
+        The account that the connection serves; empty for the proxy itself.
     """
-    words = (service, account or PROXY_NAME, database)
-    start = "START {} {} {}\r\n".format(*words).encode()
+    fields = (service, account or PROXY_NAME, database)
+    start = "START {} {} {}\r\n".format(*fields).encode()
     target = LineTarget(start, limits, get_monotonic_clock(reactor), account)
     return open_within(reactor, endpoint, target, timeout, reach_timeout)
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -241,12 +241,12 @@
 def make_setups(connection, session, query):
     statement = parse_query(query)
     plan = session.handler.protocol.plan(statement, session.caller, GROUP, ()).unwrap()
-    return format_setups(connection, session.caller.lines, plan.shape)
+    return format_setups(connection, session.caller.retained_state, plan.shape)
 
 
 def test_a_connection_is_brought_to_the_session(session):
     connection = SimpleNamespace(
-        values={}, prepared={}, numbers=iter(range(1, 9)), via="", account=""
+        values={}, prepared={}, statement_numbers=iter(range(1, 9)), via="", account=""
     )
     session.send("QUERY 1 SET a b", "QUERY 2 PREPARE s READ q")
     setups = make_setups(connection, session, b"QUERY 3 EXECUTE s x")
