--- a/beryltrack/command/__init__.py
+++ b/beryltrack/command/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool: changes settings, shows them and the fleet's status."""
+"""The operators' command line tool: changes and shows settings and fleet status."""
--- a/beryltrack/command/commands.py
+++ b/beryltrack/command/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the tool: their arguments, and what they call."""
+"""The commands of the tool: their arguments and options, and their actions."""
 
 import getpass
 import json
@@ -15,7 +15,7 @@
 
 from beryltrack.command.edits import Author, Editor, add_pending, compute_diff
 from beryltrack.command.fleet import build_fleet_status, format_fleet
-from beryltrack.command.instances import collect_answers, collect_from
+from beryltrack.command.instances import query_endpoints, query_listed_instances
 from beryltrack.command.report import (
     ExitCode,
     Report,
@@ -23,9 +23,9 @@
     report_platform,
     report_usage,
 )
-from beryltrack.command.runner import Action, Runner, Tools
-from beryltrack.command.views import check_tree, show_history, show_settings
-from beryltrack.command.waiting import wait_in_force
+from beryltrack.command.runner import Action, CommandContext, Runner
+from beryltrack.command.views import check_stored_settings, show_history, show_settings
+from beryltrack.command.waiting import wait_until_in_force
 from beryltrack.daemon.status import ObjectVersion
 from beryltrack.events.explain import (
     explain_refusal,
@@ -59,7 +59,7 @@
 
 
 class ToolCommand(Command):
-    """What all commands share: the platform, the run and the output.
+    """Base of the commands: finds the platform, runs an action, prints its report.
 
     Parameters
     ----------
@@ -84,16 +84,16 @@
         return report.exit_code
 
     def make_report(self) -> Report:
-        """Do the work of the command."""
+        """Execute the command and return its report."""
         raise NotImplementedError
 
     def _print(self, line: str, failed: bool) -> None:
-        """Print a line as it is, on standard error after a failure."""
+        """Print a line without markup, on standard error after a failure."""
         write = self.io.write_error_line if failed else self.io.write_line
         write(line.replace("<", "\\<"))
 
     def _run(self, action: Action) -> Report:
-        """Run an action on the platform that the caller named."""
+        """Run an action on the platform at the given address."""
         url = self.option("platform") or os.environ.get(PLATFORM_VARIABLE)
         if not url:
             return report_usage(f"give --platform or set {PLATFORM_VARIABLE}")
@@ -108,7 +108,7 @@
         return load_json(text, source)
 
     def _read_input(self) -> str:
-        """Return all of standard input."""
+        """Return the whole standard input."""
         return self.io.input.stream.read()
 
     def _load_tree(self) -> tuple[dict[str, object], tuple[Finding, ...]]:
@@ -120,7 +120,7 @@
         return value, findings
 
     def _build_author(self) -> Author:
-        """Return who makes the change, and when."""
+        """Return the author, reason and time of the change."""
         return Author(
             self.option("who") or getpass.getuser(),
             self.option("why"),
@@ -129,7 +129,7 @@
         )
 
     def _edit(self, wanted: dict[str, object], if_version: int | None = None) -> Report:
-        """Apply the wanted objects."""
+        """Write the wanted objects; with `--wait`, wait until they are in force."""
         author = self._build_author()
         findings = validate_team(wanted, self.option("team"))
         if findings:
@@ -139,18 +139,18 @@
         if limit is None:
             return report_usage("--wait needs a number of seconds")
 
-        async def apply(tools: Tools) -> Report:
-            editor = Editor(tools.reactor, tools.client, author, tools.rng)
+        async def apply(context: CommandContext) -> Report:
+            editor = Editor(context.reactor, context.client, author, context.rng)
             report = await editor.apply(wanted, if_version)
             if limit and report.exit_code is ExitCode.OK:
-                return await wait_for_changes(tools, report, limit)
+                return await wait_for_changes(context, report, limit)
             return report
 
         return self._run(apply)
 
 
 def parse_seconds(text: str | None) -> float | None:
-    """Return a number of seconds, zero for no text, None for a faulty one."""
+    """Return a number of seconds; zero for no text, None for an invalid one."""
     try:
         seconds = float(text or 0.0)
     except ValueError:
@@ -158,19 +158,21 @@
     return seconds if 0.0 <= seconds < math.inf else None
 
 
-async def wait_for_changes(tools: Tools, report: Report, limit: float) -> Report:
+async def wait_for_changes(
+    context: CommandContext, report: Report, limit: float
+) -> Report:
     """Wait until the changes of a report are in force on each instance."""
     wanted = tuple(
         ObjectVersion(line.path, line.version) for line in report.value.changes
     )
-    pending = await wait_in_force(
-        tools.reactor, tools.client, tools.fetch, wanted, limit
+    pending = await wait_until_in_force(
+        context.reactor, context.client, context.fetch, wanted, limit
     )
     return add_pending(report, pending)
 
 
 def get_time() -> str:
-    """Return the time now, UTC in ISO 8601."""
+    """Return the current time, UTC in ISO 8601."""
     return datetime.now(UTC).isoformat(timespec="milliseconds")
 
 
@@ -185,7 +187,7 @@
     def make_report(self) -> Report:
         """Show settings."""
         path = self.argument("path")
-        return self._run(lambda tools: show_settings(tools.client, path))
+        return self._run(lambda context: show_settings(context.client, path))
 
 
 class SettingsHistory(ToolCommand):
@@ -199,7 +201,7 @@
     def make_report(self) -> Report:
         """Show audit records."""
         path = self.argument("path")
-        return self._run(lambda tools: show_history(tools.client, path))
+        return self._run(lambda context: show_history(context.client, path))
 
 
 class SettingsSet(ToolCommand):
@@ -269,7 +271,9 @@
         wanted, findings = self._load_tree()
         if findings:
             return report_findings(findings)
-        return self._run(lambda tools: compute_diff(tools.client, wanted, get_time()))
+        return self._run(
+            lambda context: compute_diff(context.client, wanted, get_time())
+        )
 
 
 class SettingsCheck(ToolCommand):
@@ -283,11 +287,13 @@
     def make_report(self) -> Report:
         """Report all findings."""
         if self.argument("file") is None:
-            return self._run(lambda tools: check_tree(tools.client))
+            return self._run(lambda context: check_stored_settings(context.client))
         wanted, findings = self._load_tree()
         if findings:
             return report_findings(findings)
-        report = self._run(lambda tools: compute_diff(tools.client, wanted, get_time()))
+        report = self._run(
+            lambda context: compute_diff(context.client, wanted, get_time())
+        )
         if report.exit_code is ExitCode.OK:
             return report._replace(lines=("no findings",))
         return report
@@ -310,13 +316,13 @@
 
     def make_report(self) -> Report:
         """Show the fleet."""
-        endpoints, faulty = parse_endpoints(self.option("at"))
-        if faulty:
-            return report_usage(f"--at needs HOST:PORT, not {', '.join(faulty)}")
+        endpoints, invalid = parse_endpoints(self.option("at"))
+        if invalid:
+            return report_usage(f"--at needs HOST:PORT, not {', '.join(invalid)}")
         if endpoints:
-            # The address of the platform is not used then, so none is needed.
+            # The action does not call the platform, so any address will do.
             return self._runner(
-                "http://127.0.0.1", lambda tools: show_instances(tools, endpoints)
+                "http://127.0.0.1", lambda context: show_instances(context, endpoints)
             )
         return self._run(show_fleet)
 
@@ -324,28 +330,30 @@
 def parse_endpoints(
     texts: Iterable[str],
 ) -> tuple[tuple[Endpoint, ...], tuple[str, ...]]:
-    """Return the endpoints in texts of the form HOST:PORT, and the faulty texts."""
+    """Return the endpoints in texts of the form HOST:PORT, and the invalid texts."""
     parts = [(text, *text.rpartition(":")[::2]) for text in texts]
-    good = tuple(
+    valid = tuple(
         Endpoint(host.strip("[]"), int(port))
         for _, host, port in parts
         if host and port.isdecimal()
     )
-    faulty = tuple(
+    invalid = tuple(
         text for text, host, port in parts if not host or not port.isdecimal()
     )
-    return good, faulty
+    return valid, invalid
 
 
-async def show_instances(tools: Tools, endpoints: tuple[Endpoint, ...]) -> Report:
+async def show_instances(
+    context: CommandContext, endpoints: tuple[Endpoint, ...]
+) -> Report:
     """Show the instances at known addresses."""
-    fleet = build_fleet_status(await collect_from(endpoints, tools.fetch))
+    fleet = build_fleet_status(await query_endpoints(endpoints, context.fetch))
     return Report(ExitCode.OK, fleet, format_fleet(fleet))
 
 
-async def show_fleet(tools: Tools) -> Report:
-    """Show all instances of the platform's list."""
-    match await collect_answers(tools.client, tools.fetch):
+async def show_fleet(context: CommandContext) -> Report:
+    """Show all instances in the platform's list."""
+    match await query_listed_instances(context.client, context.fetch):
         case Failure(error):
             return report_platform(error)
         case Success(answers):
@@ -367,7 +375,7 @@
         super().__init__()
 
     def handle(self) -> int:
-        """Show the lines, oldest first, and the one that decided."""
+        """Show the lines, oldest first, and the one that decided the outcome."""
         texts = (
             text
             for name in self.option("logs")
@@ -375,7 +383,7 @@
         )
         found = explain_request(self.argument("request"), read_lines(texts))
         if not found.lines:
-            self.line_error("Nothing was logged of this request.")
+            self.line_error("The logs hold no line of this request.")
             return ExitCode.FINDINGS
         for line in found.lines:
             self.line(format_line(line))
--- a/beryltrack/command/edits.py
+++ b/beryltrack/command/edits.py
@@ -1,9 +1,8 @@
-"""Commands that change settings objects: plan, check, then one at a time.
+"""Commands that change settings objects: plan, check, then write one at a time.
 
-Several objects are not changed in one step, since the platform has no update of
-more than one. They are changed in the order given, and the first that fails
-ends the run; the report says what was done. The same run again does the rest,
-because an object that has the wanted settings already is left alone.
+The platform has no transaction over several objects. They are written in the given
+order until one fails, and the report has the outcome of each. A second run with the
+same input writes the rest, as an object that has the wanted settings is left unchanged.
 """
 
 import difflib
@@ -37,7 +36,7 @@
 
 
 class Author(NamedTuple):
-    """Who makes a change, for the audit record.
+    """The author of a change, for the audit record.
 
     Parameters
     ----------
@@ -46,7 +45,7 @@
     when : str
         Time, UTC in ISO 8601.
     change_id : str
-        Identifier that no other run of the tool has.
+        Unique identifier of this run of the tool.
     """
 
     who: str
@@ -55,17 +54,17 @@
     change_id: str
 
 
-class ChangeLine(NamedTuple):
-    """What became of one object.
+class ChangeOutcome(NamedTuple):
+    """The outcome for one object.
 
     Parameters
     ----------
     path : str
         Its path.
     outcome : str
-        What became of the change.
+        Result of the change.
     version : int
-        Version of the object now, 0 if it is not known.
+        Version of the object after the run, 0 if unknown.
     text : str
         The reason, if the change was not made.
     """
@@ -77,22 +76,22 @@
 
 
 class ChangesReport(NamedTuple):
-    """What became of all objects of a run.
+    """The outcomes for all objects of a run.
 
     Parameters
     ----------
     changes : tuple of ChangeLine
         The objects, in the order of the run.
     pending : tuple of PendingInstance
-        Instances on which they were not in force in time; empty without a wait.
+        Instances on which they were not in force in time; empty if there was no wait.
     """
 
-    changes: tuple[ChangeLine, ...]
+    changes: tuple[ChangeOutcome, ...]
     pending: tuple[PendingInstance, ...] = ()
 
 
 class DiffReport(NamedTuple):
-    """What a run would change, and what that would make wrong."""
+    """The changes that a run would make, and the findings that would result."""
 
     changes: tuple[PlannedChange, ...]
     findings: tuple[Finding, ...]
@@ -108,7 +107,7 @@
     client : PlatformClient
         Client of the store.
     author : Author
-        Who makes the changes.
+        Author of the changes.
     rng : random.Random
         Source of jitter.
     """
@@ -131,12 +130,12 @@
         wanted : mapping of str to dict or None
             Settings by path; None deletes an object.
         if_version : int or None
-            Version that each object must have; None takes the present one.
+            Version that each object must have; None for the current one.
 
         Returns
         -------
         Report
-            What became of each object.
+            The outcome for each object.
         """
         match await self._client.list(PREFIX):
             case Failure(error):
@@ -147,12 +146,12 @@
             return report_findings(findings)
         done = await self._write_all(changes, if_version)
         present = {item.path: item.version for item in tree.objects}
-        return _report_changes(_build_lines(wanted, present, changes, done), done)
+        return _report_changes(_build_outcomes(wanted, present, changes, done), done)
 
     async def _write_all(
         self, changes: tuple[PlannedChange, ...], if_version: int | None
     ) -> list[Result[ChangeDone, ChangeFailure]]:
-        """Write one object after the other up to the first failure."""
+        """Write one object after another until one fails."""
         results = []
         for number, change in enumerate(changes):
             version = change.version if if_version is None else if_version
@@ -172,21 +171,21 @@
         return results
 
 
-def _build_lines(
+def _build_outcomes(
     wanted: Mapping[str, Settings],
     present: Mapping[str, int],
     changes: tuple[PlannedChange, ...],
     results: list[Result[ChangeDone, ChangeFailure]],
-) -> tuple[ChangeLine, ...]:
-    """Return what became of each wanted object."""
+) -> tuple[ChangeOutcome, ...]:
+    """Return the outcome for each wanted object."""
     outcomes = {
-        change.path: _build_line(change.path, result)
+        change.path: _build_outcome(change.path, result)
         for change, result in zip(changes, results, strict=False)
     }
     untried = {change.path for change in changes[len(results) :]}
     return tuple(
         outcomes.get(path)
-        or ChangeLine(
+        or ChangeOutcome(
             path,
             NOT_TRIED if path in untried else UNCHANGED,
             present.get(path, 0),
@@ -197,49 +196,52 @@
 
 
 def _report_changes(
-    lines: tuple[ChangeLine, ...], results: list[Result[ChangeDone, ChangeFailure]]
+    outcomes: tuple[ChangeOutcome, ...],
+    results: list[Result[ChangeDone, ChangeFailure]],
 ) -> Report:
     """Return the report of a run."""
     failures = [item.failure() for item in results if isinstance(item, Failure)]
     codes = [EXIT_BY_FAILURE[failure.kind] for failure in failures]
     return Report(
         codes[0] if codes else ExitCode.OK,
-        ChangesReport(lines),
-        tuple(_format_line(line) for line in lines),
+        ChangesReport(outcomes),
+        tuple(_format_outcome(item) for item in outcomes),
     )
 
 
 def add_pending(report: Report, pending: tuple[PendingInstance, ...]) -> Report:
-    """Return the report of changes that were made, with who lacks them."""
+    """Return the report of changes, with the instances that do not have them yet."""
     code = ExitCode.PENDING if pending else report.exit_code
     value = report.value._replace(pending=pending)
     lines = format_pending(pending) or ("in force on all instances",)
     return Report(code, value, report.lines + lines)
 
 
-def _build_line(path: str, result: Result[ChangeDone, ChangeFailure]) -> ChangeLine:
-    """Return what became of one object that was tried."""
+def _build_outcome(
+    path: str, result: Result[ChangeDone, ChangeFailure]
+) -> ChangeOutcome:
+    """Return the outcome for one object whose change was tried."""
     match result:
         case Success(done):
             outcome = DONE if done.changed else UNCHANGED
             outcome = REPLACED if done.replaced else outcome
-            return ChangeLine(path, outcome, done.version, "")
+            return ChangeOutcome(path, outcome, done.version, "")
         case Failure(failure):
             kind = failure.kind.value
-            return ChangeLine(path, kind, failure.version, failure.text)
+            return ChangeOutcome(path, kind, failure.version, failure.text)
 
 
-def _format_line(line: ChangeLine) -> str:
+def _format_outcome(item: ChangeOutcome) -> str:
     """Return one line of text for one object."""
-    version = f" (version {line.version})" if line.version else ""
-    text = f": {line.text}" if line.text else ""
-    return f"{line.path}: {line.outcome}{version}{text}"
+    version = f" (version {item.version})" if item.version else ""
+    text = f": {item.text}" if item.text else ""
+    return f"{item.path}: {item.outcome}{version}{text}"
 
 
 async def compute_diff(
     client: PlatformClient, wanted: Mapping[str, Settings], when: str
 ) -> Report:
-    """Return what applying the wanted objects would change, writing nothing."""
+    """Report what applying the wanted objects would change, without a write."""
     match await client.list(PREFIX):
         case Failure(error):
             return report_platform(error)
--- a/beryltrack/command/fetch.py
+++ b/beryltrack/command/fetch.py
@@ -1,4 +1,4 @@
-"""Asks one instance for its status over HTTP."""
+"""Fetches the status of one instance over HTTP."""
 
 import logging
 
@@ -14,10 +14,11 @@
 log = logging.getLogger(__name__)
 
 TIMEOUT = 3.0
+"""Seconds in which an instance must accept the connection and give its status."""
 
 
 def format_host(endpoint: Endpoint) -> str:
-    """Return an endpoint as it stands in an address, IPv6 in brackets."""
+    """Return an endpoint as the host part of a URL, IPv6 in brackets."""
     host = f"[{endpoint.host}]" if ":" in endpoint.host else endpoint.host
     return f"{host}:{endpoint.port}"
 
@@ -33,7 +34,7 @@
     Returns
     -------
     callable
-        Gives None for an instance that does not answer in time, or whose answer
+        Returns None for an instance that does not answer in time or whose answer
         cannot be read.
     """
     http = HTTPClient(Agent(reactor, connectTimeout=TIMEOUT))
@@ -47,8 +48,12 @@
         try:
             return await call.addTimeout(TIMEOUT, reactor)
         except Exception as error:
-            # Whatever keeps one instance from answering must not hide the rest.
-            log.info("command: no status from %s: %r", format_host(endpoint), error)
+            # No failure of one instance may prevent the report of the others.
+            log.info(
+                "command: no status from %s, shown as not answering: %r",
+                format_host(endpoint),
+                error,
+            )
             return None
 
     return fetch
--- a/beryltrack/command/fleet.py
+++ b/beryltrack/command/fleet.py
@@ -1,4 +1,4 @@
-"""Joins the status of all instances into one picture of the fleet."""
+"""Merges the status of all instances into the status of the fleet."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -15,8 +15,8 @@
 from beryltrack.metrics.messages import Counters, compute_replica_share
 
 
-class InstanceLine(NamedTuple):
-    """One instance in the picture.
+class InstanceSummary(NamedTuple):
+    """Status of one instance.
 
     Parameters
     ----------
@@ -25,15 +25,15 @@
     zone : str
         Its availability zone.
     listed : str
-        Its state by the platform's list, which lags; empty if it is not listed.
+        Its state in the platform's list, which lags; empty if it is not listed.
     state : str
-        Its state by its own word, or why there is none.
+        The state that it reports, or why there is no report.
     settings_revision : int
         Highest version of a settings object that it knows.
     settings : tuple of ObjectVersion
         The settings objects that it knows.
     behind : tuple of ObjectVersion
-        Those of which another instance knows a higher version: that version.
+        Objects of which another instance knows a higher version, with that version.
     """
 
     name: str
@@ -45,8 +45,8 @@
     behind: tuple[ObjectVersion, ...]
 
 
-class GroupLine(NamedTuple):
-    """One group in the picture, as the instances of the highest term see it.
+class GroupSummary(NamedTuple):
+    """Status of one group, as the instances that know the highest term report it.
 
     Parameters
     ----------
@@ -57,9 +57,9 @@
     primary : str
         The primary of that term.
     seen_by, instances : int
-        How many instances agree on term and primary, of how many that serve it.
+        Number of instances that agree on term and primary, and of all that serve it.
     databases : tuple of DatabaseReport
-        Its members; of each the report with the smallest age.
+        Its members; for each the newest report, first of instances that reach it.
     """
 
     name: str
@@ -71,7 +71,7 @@
 
 
 class FleetStatus(NamedTuple):
-    """The whole picture.
+    """Status of the whole fleet.
 
     Parameters
     ----------
@@ -80,22 +80,22 @@
     groups : tuple of GroupLine
         All groups, by name.
     counters : Counters
-        Sums over the instances that answered, since each one's start.
+        Sums over the instances that answered, counted since each one's start.
     replica_share : float or None
         Share of reads that replicas served; None without reads.
     findings : tuple of Finding
-        What the instances find wrong with the settings.
+        Findings of the instances about the settings.
     """
 
-    instances: tuple[InstanceLine, ...]
-    groups: tuple[GroupLine, ...]
+    instances: tuple[InstanceSummary, ...]
+    groups: tuple[GroupSummary, ...]
     counters: Counters
     replica_share: float | None
     findings: tuple[Finding, ...]
 
 
 def build_fleet_status(answers: Iterable[InstanceAnswer]) -> FleetStatus:
-    """Join the answers of all instances into one picture."""
+    """Merge the answers of all instances into the status of the fleet."""
     answers = sorted(answers, key=lambda item: item.name)
     reports = [item.status for item in answers if item.status is not None]
     newest = _get_newest_versions(reports)
@@ -118,26 +118,26 @@
 
 
 def _get_newest_versions(reports: list[InstanceStatus]) -> dict[str, int]:
-    """Return the highest version of each settings object that anyone knows."""
+    """Return the highest version of each settings object that any instance knows."""
     newest = defaultdict(int)
     for item in (item for report in reports for item in report.settings):
         newest[item.path] = max(newest[item.path], item.version)
     return newest
 
 
-def _build_instance(answer: InstanceAnswer, newest: dict[str, int]) -> InstanceLine:
-    """Return the line of one instance."""
+def _build_instance(answer: InstanceAnswer, newest: dict[str, int]) -> InstanceSummary:
+    """Return the status of one instance."""
     head = (answer.name, answer.zone, answer.listed)
     status = answer.status
     if status is None:
-        return InstanceLine(*head, answer.problem, 0, (), ())
+        return InstanceSummary(*head, answer.problem, 0, (), ())
     known = {item.path: item.version for item in status.settings}
     behind = tuple(
         ObjectVersion(path, version)
         for path, version in sorted(newest.items())
         if known.get(path, 0) < version
     )
-    return InstanceLine(
+    return InstanceSummary(
         answer.name,
         status.zone,
         answer.listed,
@@ -148,20 +148,20 @@
     )
 
 
-def _build_groups(reports: list[InstanceStatus]) -> tuple[GroupLine, ...]:
-    """Return the line of each group that any instance serves."""
+def _build_groups(reports: list[InstanceStatus]) -> tuple[GroupSummary, ...]:
+    """Return the status of each group that any instance serves."""
     views = defaultdict(list)
     for group in (group for report in reports for group in report.groups):
         views[group.name].append(group)
     return tuple(_build_group(views[name]) for name in sorted(views))
 
 
-def _build_group(views: list[GroupReport]) -> GroupLine:
-    """Return the line of one group."""
-    # An instance that knows the term but not yet its primary says less.
+def _build_group(views: list[GroupReport]) -> GroupSummary:
+    """Return the status of one group."""
+    # Of equal terms, a report that names the primary takes precedence.
     newest = max(views, key=lambda view: (view.term, view.primary != ""))
     agreeing = [view for view in views if view[:3] == newest[:3]]
-    return GroupLine(
+    return GroupSummary(
         newest.name,
         newest.term,
         newest.primary,
@@ -172,7 +172,7 @@
 
 
 def _merge_databases(views: list[GroupReport]) -> tuple[DatabaseReport, ...]:
-    """Return of each database the report that knows most."""
+    """Return the preferred report of each database."""
     reports = defaultdict(list)
     for item in (item for view in views for item in view.databases):
         reports[item.name].append(item)
@@ -180,13 +180,13 @@
 
 
 def _rank_report(report: DatabaseReport) -> tuple[bool, float]:
-    """Order reports of one database: those that reach it first, then by age."""
+    """Return the sort key of a report: reachable databases first, then by age."""
     age = float("inf") if report.age is None else report.age
     return not report.reachable, age
 
 
 def format_fleet(fleet: FleetStatus) -> tuple[str, ...]:
-    """Return the picture as lines of text."""
+    """Return the fleet's status as lines of text."""
     share = "no reads yet"
     if fleet.replica_share is not None:
         share = f"{fleet.replica_share:.1%} of reads by replicas"
@@ -204,7 +204,7 @@
     )
 
 
-def _format_instance(item: InstanceLine) -> str:
+def _format_instance(item: InstanceSummary) -> str:
     """Return the line of one instance."""
     listed = f", listed as {item.listed}" if item.listed not in ("", item.state) else ""
     behind = f", behind on {len(item.behind)} objects" if item.behind else ""
@@ -214,7 +214,7 @@
     )
 
 
-def _format_group(item: GroupLine) -> list[str]:
+def _format_group(item: GroupSummary) -> list[str]:
     """Return the lines of one group."""
     head = (
         f"  {item.name}: term {item.term}, primary {item.primary or 'not known'}, "
@@ -226,7 +226,7 @@
 def _format_database(item: DatabaseReport) -> str:
     """Return the line of one database."""
     age = "age not known" if item.age is None else f"age {item.age:.3f} s"
-    marks = "".join(
+    flags = "".join(
         text
         for text, holds in (
             (", draining", item.draining),
@@ -236,5 +236,5 @@
     )
     return (
         f"    {item.name}: {item.role or 'role not known'}, "
-        f"received {item.received or '-'}, applied {item.applied or '-'}, {age}{marks}"
+        f"received {item.received or '-'}, applied {item.applied or '-'}, {age}{flags}"
     )
--- a/beryltrack/command/instances.py
+++ b/beryltrack/command/instances.py
@@ -1,8 +1,8 @@
-"""Asks the instances of the fleet for their status.
+"""Queries the instances of the fleet for their status.
 
-The platform is asked for the instance list and the addresses only, two calls
-whatever the size of the fleet. The rest is asked of the instances themselves, a
-few at a time; one that does not answer is told so.
+The platform is called twice whatever the size of the fleet, for the instance list and
+the addresses. All else comes from the instances themselves, a few at a time; one that
+does not answer is reported as such.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -18,6 +18,8 @@
 from beryltrack.settings.messages import Endpoint
 
 MAX_AT_ONCE = 16
+"""Instances queried at the same time."""
+
 NO_ANSWER = "no answer"
 NO_ADDRESS = "no address in the store"
 
@@ -25,22 +27,22 @@
 
 
 class InstanceAnswer(NamedTuple):
-    """One instance and its status, if it gave one.
+    """One instance and its status, if it answered.
 
     Parameters
     ----------
     name : str
-        Its name; the address if it is not known by name.
+        Its name; its address if the name is unknown.
     zone : str
-        Its availability zone by the platform's list, or empty.
+        Its availability zone in the platform's list, or empty.
     listed : str
-        Its state by the platform's list, or empty.
+        Its state in the platform's list, or empty.
     problem : str
         Why there is no status; empty if there is one.
     status : InstanceStatus or None
-        What it reported.
+        The status that it reported.
     endpoint : Endpoint or None
-        Where it is asked; None if that is not known.
+        Its status address; None if unknown.
     """
 
     name: str
@@ -51,10 +53,10 @@
     endpoint: Endpoint | None = None
 
 
-async def collect_answers(
+async def query_listed_instances(
     client: PlatformClient, fetch: FetchStatus
 ) -> Result[tuple[InstanceAnswer, ...], PlatformError]:
-    """Ask each instance of the platform's list for its status.
+    """Query each instance in the platform's list for its status.
 
     Parameters
     ----------
@@ -66,8 +68,8 @@
     Returns
     -------
     Result
-        One answer for each instance in the list, and for each that is not in the
-        list yet but answers.
+        One answer for each instance in the list, and for each that answers but is not
+        in the list yet.
     """
     instances = await client.list_instances()
     addresses = await client.list(PREFIX)
@@ -79,18 +81,18 @@
         for item in addresses.unwrap().objects
     }
     listed = {entry.name: entry for entry in instances.unwrap()}
-    bare = (
-        _build_bare(name, listed.get(name), address)
+    unqueried = (
+        _build_unqueried(name, listed.get(name), address)
         for name, address in (dict.fromkeys(listed) | stored).items()
     )
-    answers = await ask_again(bare, fetch)
+    answers = await query_instances(unqueried, fetch)
     return Success(tuple(item for item in answers if item.listed or item.status))
 
 
-def _build_bare(
+def _build_unqueried(
     name: str, entry: InstanceEntry | None, address: InstanceAddress | None
 ) -> InstanceAnswer:
-    """Return an instance before it is asked."""
+    """Return the answer of an instance that was not queried yet."""
     zone, listed = (entry.zone, entry.state) if entry else ("", "")
     if address is None:
         return InstanceAnswer(name, zone, listed, NO_ADDRESS, None)
@@ -98,26 +100,26 @@
     return InstanceAnswer(name, zone, listed, NO_ANSWER, None, endpoint)
 
 
-async def collect_from(
+async def query_endpoints(
     endpoints: Iterable[Endpoint], fetch: FetchStatus
 ) -> tuple[InstanceAnswer, ...]:
-    """Ask instances at known addresses, without the platform."""
-    bare = (
+    """Query instances at known addresses, without the platform."""
+    unqueried = (
         InstanceAnswer(f"{item.host}:{item.port}", "", "", NO_ANSWER, None, item)
         for item in endpoints
     )
-    return await ask_again(bare, fetch)
+    return await query_instances(unqueried, fetch)
 
 
-async def ask_again(
+async def query_instances(
     instances: Iterable[InstanceAnswer], fetch: FetchStatus
 ) -> tuple[InstanceAnswer, ...]:
-    """Ask instances for their status, `MAX_AT_ONCE` at a time.
+    """Query instances for their status, `MAX_AT_ONCE` at a time.
 
     Parameters
     ----------
     instances : iterable of InstanceAnswer
-        Whom to ask; former answers are dropped.
+        The instances; their former answers are dropped.
     fetch : callable
         Returns the status at an endpoint, None if there is no answer.
 
@@ -128,7 +130,7 @@
     """
     semaphore = DeferredSemaphore(MAX_AT_ONCE)
 
-    async def ask(item: InstanceAnswer) -> InstanceAnswer:
+    async def query(item: InstanceAnswer) -> InstanceAnswer:
         if item.endpoint is None:
             return item
         status = await fetch(item.endpoint)
@@ -137,7 +139,7 @@
         return item._replace(name=status.name, problem="", status=status)
 
     calls = [
-        semaphore.run(lambda item=item: Deferred.fromCoroutine(ask(item)))
+        semaphore.run(lambda item=item: Deferred.fromCoroutine(query(item)))
         for item in instances
     ]
     return tuple(await gatherResults(calls))
--- a/beryltrack/command/main.py
+++ b/beryltrack/command/main.py
@@ -18,7 +18,7 @@
 
 
 class OperatorsTool(Application):
-    """The tool, whose usage errors have an exit code of their own."""
+    """The tool; usage errors and internal errors have exit codes of their own."""
 
     def run(
         self,
@@ -36,7 +36,7 @@
             return self._report(error, io, ExitCode.INTERNAL)
 
     def _report(self, error: Exception, io: IO, code: ExitCode) -> ExitCode:
-        """Print an error that no command could report itself."""
+        """Print an error that was raised outside a command's report."""
         if io.input.has_parameter_option(["--json"]):
             outcome = {"outcome": code.name.lower()}
             value = ErrorReport(str(error) or type(error).__name__)
--- a/beryltrack/command/report.py
+++ b/beryltrack/command/report.py
@@ -1,4 +1,4 @@
-"""What a command tells its caller: an exit code, a value and lines of text."""
+"""The report of a command: an exit code, a value and lines of text."""
 
 import enum
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of the tool, told on the operators' page.
-
-    OK: done, or there was nothing to do. FINDINGS: the input or the tree has
-    findings, and nothing was written. USAGE: the command line is wrong.
-    CONFLICT: another change came first. UNAVAILABLE: the platform refused or
-    did not answer, and nothing more was written. UNKNOWN: it could not be
-    learned whether the change was made. PENDING: it was made, but is not in force
-    on each instance yet. INTERNAL: a fault of the tool.
+    """Exit codes of the tool, listed in the operators' documentation.
+
+    OK: done, or there was nothing to do. FINDINGS: the input or the settings tree
+    has findings, and nothing was written. USAGE: the command line is invalid.
+    CONFLICT: another change came first. UNAVAILABLE: the platform refused or did
+    not answer, and nothing more was written. UNKNOWN: it is unknown whether the
+    change was made. PENDING: the change was made, but is not in force on all
+    instances yet. INTERNAL: a fault of the tool.
     """
 
     OK = 0
@@ -37,14 +37,14 @@
 
 
 class ErrorReport(NamedTuple):
-    """Why a command failed as a whole.
+    """The reason why a whole command failed.
 
     Parameters
     ----------
     error : str
         The reason.
     findings : tuple of Finding
-        What is wrong with the input, if that was the reason.
+        The findings of the input, if they are the reason.
     """
 
     error: str
@@ -59,9 +59,9 @@
     exit_code : ExitCode
         The code to exit with.
     value : object
-        A typed tuple, printed as JSON on demand.
+        A typed tuple, printed as JSON with `--json`.
     lines : tuple of str
-        The same for a reader.
+        The same as text.
     """
 
     exit_code: ExitCode
@@ -70,7 +70,7 @@
 
 
 def report_findings(findings: tuple[Finding, ...]) -> Report:
-    """Return the report of input that cannot be used."""
+    """Return the report of input with findings."""
     value = ErrorReport("the settings have findings", findings)
     return Report(ExitCode.FINDINGS, value, format_findings(findings))
 
@@ -81,12 +81,12 @@
 
 
 def report_usage(text: str) -> Report:
-    """Return the report of a wrong command line."""
+    """Return the report of an invalid command line."""
     return Report(ExitCode.USAGE, ErrorReport(text), (text,))
 
 
 def report_platform(error: PlatformError) -> Report:
-    """Return the report of a read that the platform did not answer."""
+    """Return the report of a failed read from the platform."""
     text = f"the platform is not available: {error.text}"
     if error.kind is ErrorKind.INVALID:
         text = f"the platform gave no usable answer: {error.text}"
--- a/beryltrack/command/runner.py
+++ b/beryltrack/command/runner.py
@@ -1,4 +1,4 @@
-"""Runs one command's coroutine in the reactor until it has its report."""
+"""Runs a command's coroutine in the reactor until it returns its report."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -12,8 +12,8 @@
 from beryltrack.objects.client import PlatformClient
 
 
-class Tools(NamedTuple):
-    """What a command works with.
+class CommandContext(NamedTuple):
+    """The clients and sources that a command's action uses.
 
     Parameters
     ----------
@@ -33,11 +33,11 @@
     rng: random.Random
 
 
-Action = Callable[[Tools], Awaitable[Report]]
+Action = Callable[[CommandContext], Awaitable[Report]]
 
 
 class Runner(Protocol):
-    """Runs an action to its end."""
+    """Runs an action until it returns its report."""
 
     def __call__(self, platform_url: str, action: Action) -> Report:
         """Return the report of an action on the platform at an address."""
@@ -47,17 +47,17 @@
 def run_in_reactor(platform_url: str, action: Action) -> Report:
     """Run an action in the reactor of this process.
 
-    Faults of the tool are raised. An action that the operator interrupts may
-    have had its effect, so its outcome is unknown.
+    Faults of the tool are raised. An action that the operator interrupts may have
+    taken effect, so its outcome is unknown.
     """
     from twisted.internet import reactor
 
     outcomes = []
     client = PlatformClient(reactor, platform_url)
-    tools = Tools(reactor, client, build_fetch(reactor), random.Random())
+    context = CommandContext(reactor, client, build_fetch(reactor), random.Random())
 
     def begin() -> None:
-        call = Deferred.fromCoroutine(action(tools))
+        call = Deferred.fromCoroutine(action(context))
         call.addBoth(outcomes.append)
         call.addBoth(lambda _: client.close())
         call.addBoth(lambda _: reactor.stop())
--- a/beryltrack/command/views.py
+++ b/beryltrack/command/views.py
@@ -51,17 +51,17 @@
     records: tuple[AuditRecord, ...]
 
 
-class TrailRecord(NamedTuple):
-    """One audit record with the object that it tells of."""
+class PathRecord(NamedTuple):
+    """One audit record and the path of its object."""
 
     path: str
     record: AuditRecord
 
 
-class ShownTrail(NamedTuple):
+class ShownPrefixHistory(NamedTuple):
     """The audit records of all objects under a prefix, newest first."""
 
-    records: tuple[TrailRecord, ...]
+    records: tuple[PathRecord, ...]
 
 
 async def show_settings(client: PlatformClient, path: str) -> Report:
@@ -75,7 +75,7 @@
         case Failure(error):
             return report_platform(error)
         case Success(present) if present and get_settings(present.value) is not None:
-            shown = _show(present)
+            shown = _build_shown_object(present)
             text = json.dumps(shown.settings, indent=2)
             return Report(ExitCode.OK, shown, (text,))
     return _report_missing(path)
@@ -89,30 +89,30 @@
         case Failure(error):
             return report_platform(error)
         case Success(tree):
-            shown = tuple(_show(item) for item in tree.objects)
-    kept = tuple(item for item in shown if item.settings is not None)
-    lines = tuple(f"{item.path} (version {item.version})" for item in kept)
-    return Report(ExitCode.OK, ShownObjects(kept), lines)
+            shown = tuple(_build_shown_object(item) for item in tree.objects)
+    existing = tuple(item for item in shown if item.settings is not None)
+    lines = tuple(f"{item.path} (version {item.version})" for item in existing)
+    return Report(ExitCode.OK, ShownObjects(existing), lines)
 
 
-def _show(item: PlatformObject) -> ShownObject:
-    """Return the shown form of a stored object."""
+def _build_shown_object(item: PlatformObject) -> ShownObject:
+    """Return the settings object in a stored object."""
     return ShownObject(item.path, item.version, get_settings(item.value))
 
 
 def _report_missing(path: str) -> Report:
-    """Return the report of an object that is not there."""
+    """Return the report of an object that does not exist."""
     text = f"there is no settings object at {path}"
     return Report(ExitCode.FINDINGS, ErrorReport(text), (text,))
 
 
 async def show_history(client: PlatformClient, path: str) -> Report:
-    """Show who changed an object, newest first, deletions included.
+    """Show the audit records of an object, newest first, deletions included.
 
-    A path that ends in / shows the changes of all objects under it.
+    A path that ends in / shows the records of all objects under it.
     """
     if path.endswith("/"):
-        return await _show_trail(client, path)
+        return await _show_prefix_history(client, path)
     match await client.get(path):
         case Failure(error):
             return report_platform(error)
@@ -125,8 +125,8 @@
     return Report(ExitCode.OK, shown, lines)
 
 
-async def _show_trail(client: PlatformClient, prefix: str) -> Report:
-    """Show who changed objects under a prefix, newest first."""
+async def _show_prefix_history(client: PlatformClient, prefix: str) -> Report:
+    """Show the audit records of objects under a prefix, newest first."""
     if not prefix.startswith(PREFIX):
         return _report_missing(prefix)
     match await client.list(prefix):
@@ -134,21 +134,23 @@
             return report_platform(error)
         case Success(tree):
             records = (
-                TrailRecord(item.path, record)
+                PathRecord(item.path, record)
                 for item in tree.objects
                 for record in get_records(item.value)
             )
-    trail = sorted(
+    sorted_records = sorted(
         records, key=lambda item: str(item.record.get("when", "")), reverse=True
     )
     lines = tuple(
-        line for item in trail for line in (item.path, *_format_record(item.record))
+        line
+        for item in sorted_records
+        for line in (item.path, *_format_record(item.record))
     )
-    return Report(ExitCode.OK, ShownTrail(tuple(trail)), lines)
+    return Report(ExitCode.OK, ShownPrefixHistory(tuple(sorted_records)), lines)
 
 
 def _format_record(record: AuditRecord) -> tuple[str, ...]:
-    """Return the lines of one audit record; whatever wrote it, it can be shown."""
+    """Return the lines of one audit record, which may lack any field."""
     when, who, why, change_id, version = (
         record.get(name, "not recorded")
         for name in ("when", "who", "why", "change_id", "from_version")
@@ -161,8 +163,8 @@
     )
 
 
-async def check_tree(client: PlatformClient) -> Report:
-    """Show all findings of the tree in the store."""
+async def check_stored_settings(client: PlatformClient) -> Report:
+    """Show all findings of the settings in the store."""
     match await client.list(PREFIX):
         case Failure(error):
             return report_platform(error)
--- a/beryltrack/command/waiting.py
+++ b/beryltrack/command/waiting.py
@@ -1,7 +1,7 @@
-"""Waits until changes are in force on each instance, by asking the instances.
+"""Waits until changes are in force on each instance, by polling the instances.
 
-The platform is asked once for the list; then only those instances are asked
-again that did not have the changes yet.
+The platform is asked once for the list. After that, only the instances that do not have
+the changes yet are polled, with exponential backoff.
 """
 
 from collections.abc import Iterable
@@ -14,16 +14,21 @@
 from beryltrack.command.instances import (
     FetchStatus,
     InstanceAnswer,
-    ask_again,
-    collect_answers,
+    query_instances,
+    query_listed_instances,
 )
 from beryltrack.daemon.status import ObjectVersion
 from beryltrack.objects.client import PlatformClient
 
 LEAVING = "leaving"
 FIRST_DELAY = 0.2
+"""Seconds before the second poll."""
+
 DELAY_GROWTH = 1.5
+"""Factor between two delays."""
+
 MAX_DELAY = 2.0
+"""Seconds; maximum delay between two polls."""
 
 
 class PendingInstance(NamedTuple):
@@ -36,7 +41,7 @@
     problem : str
         Why it counts as pending.
     paths : tuple of str
-        The objects that it lacks.
+        The objects that are not in force on it.
     """
 
     name: str
@@ -47,7 +52,7 @@
 def get_pending(
     answer: InstanceAnswer, wanted: Iterable[ObjectVersion]
 ) -> PendingInstance | None:
-    """Return what keeps an instance from having the wanted versions in force.
+    """Return why the wanted versions are not in force on an instance.
 
     Parameters
     ----------
@@ -59,7 +64,7 @@
     Returns
     -------
     PendingInstance or None
-        None if all are in force, or if the instance is leaving.
+        None if all are in force or the instance is leaving.
     """
     status = answer.status
     if LEAVING in (answer.listed, status and status.state):
@@ -72,7 +77,7 @@
         item.path for item in wanted if known.get(item.path, 0) < item.version
     )
     if behind:
-        return PendingInstance(answer.name, "has not heard of them", behind)
+        return PendingInstance(answer.name, "has not received them", behind)
     faulty = {finding.source for finding in status.findings}
     refused = tuple(item.path for item in wanted if item.path in faulty)
     if refused:
@@ -80,7 +85,7 @@
     return None
 
 
-async def wait_in_force(
+async def wait_until_in_force(
     reactor,
     client: PlatformClient,
     fetch: FetchStatus,
@@ -100,15 +105,15 @@
     wanted : tuple of ObjectVersion
         The versions that were written.
     limit : float
-        Longest time to wait, seconds.
+        Maximum wait in seconds.
 
     Returns
     -------
     tuple of PendingInstance
-        The instances that still lack any; empty if all have them.
+        The instances on which any is not in force; empty if there is none.
     """
     started = reactor.seconds()
-    result = await collect_answers(client, fetch)
+    result = await query_listed_instances(client, fetch)
     if isinstance(result, Failure):
         return (PendingInstance("all", result.failure().text, ()),)
     answers = result.unwrap()
@@ -119,11 +124,11 @@
         if not behind or reactor.seconds() - started + delay > limit:
             return tuple(pending[item] for item in behind)
         await deferLater(reactor, delay)
-        answers = await ask_again(behind, fetch)
+        answers = await query_instances(behind, fetch)
 
 
 def format_pending(pending: Iterable[PendingInstance]) -> tuple[str, ...]:
-    """Return a line for each instance that lacks a change."""
+    """Return a line for each pending instance."""
     return tuple(
         f"not in force on {item.name}: {item.problem}"
         + (f" ({', '.join(item.paths)})" if item.paths else "")
--- a/tests/command/test_waiting.py
+++ b/tests/command/test_waiting.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from beryltrack.command.instances import NO_ANSWER, InstanceAnswer
-from beryltrack.command.waiting import get_pending, wait_in_force
+from beryltrack.command.waiting import get_pending, wait_until_in_force
 from beryltrack.daemon.status import ObjectVersion
 from beryltrack.json_form import to_json
 from beryltrack.objects.messages import InstanceEntry, ObjectList, PlatformObject
@@ -75,7 +75,7 @@
         )
 
     outcomes = []
-    waiting = wait_in_force(clock, platform, fetch, NEWER, limit)
+    waiting = wait_until_in_force(clock, platform, fetch, NEWER, limit)
     Deferred.fromCoroutine(waiting).addCallback(outcomes.append)
     clock.pump([0.1] * 200)
     return outcomes[0], platform.calls, asked
--- a/tests/command/tool.py
+++ b/tests/command/tool.py
@@ -10,7 +10,7 @@
 
 from beryltrack.command.fetch import build_fetch
 from beryltrack.command.main import build_application
-from beryltrack.command.runner import Tools
+from beryltrack.command.runner import CommandContext
 from beryltrack.objects.client import PlatformClient
 from beryltrack_standins.platform.limits import PlatformOptions
 from beryltrack_standins.platform.server import PlatformServer
@@ -64,9 +64,11 @@
 
     async def act():
         client = PlatformClient(reactor, platform_url, random.Random(1), timeout=1.0)
-        tools = Tools(reactor, client, build_fetch(reactor), random.Random(1))
+        context = CommandContext(
+            reactor, client, build_fetch(reactor), random.Random(1)
+        )
         try:
-            return await action(tools)
+            return await action(context)
         finally:
             await client.close()
 
