--- a/tests/command/test_fleet.py
+++ b/tests/command/test_fleet.py
@@ -1,4 +1,4 @@
-"""The picture of the fleet, joined from what instances report."""
+"""The status of the fleet, merged from the reports of its instances."""
 
 from beryltrack.command.fleet import build_fleet_status, format_fleet
 from beryltrack.command.instances import InstanceAnswer
@@ -16,7 +16,7 @@
     return STATUS.groups[0]._replace(term=term, primary=primary, databases=databases)
 
 
-def test_group_is_shown_as_the_highest_term_sees_it():
+def test_group_is_shown_as_reported_for_the_highest_term():
     old = make_group(1, "db1")
     unsure = make_group(2, "")
     fleet = build_fleet_status(
@@ -27,7 +27,7 @@
     assert (group.seen_by, group.instances) == (1, 3)
 
 
-def test_database_is_shown_by_whoever_knows_it_best():
+def test_database_is_shown_by_the_newest_report_that_reaches_it():
     lost = tuple(item._replace(reachable=False) for item in DATABASES)
     younger = tuple(item._replace(age=0.1) if item.age else item for item in DATABASES)
     views = [make_group(2, "db0", databases) for databases in (lost, younger)]
@@ -39,7 +39,7 @@
     assert databases[1].age == 0.1
 
 
-def test_instance_that_knows_older_settings_is_behind():
+def test_instance_with_older_settings_is_behind():
     path = STATUS.settings[0].path
     older = (ObjectVersion(path, 8),)
     fleet = build_fleet_status(
@@ -50,7 +50,7 @@
     assert "behind on 1 objects" in "\n".join(format_fleet(fleet))
 
 
-def test_counts_are_summed_and_no_reads_give_no_share():
+def test_counters_are_summed_and_no_reads_give_no_share():
     fleet = build_fleet_status([answer("p1"), answer("p2")])
     assert fleet.counters == Counters(6, 2, 4, 0, 0, 0, 2)
     assert fleet.replica_share == 0.75
--- a/tests/command/test_operations.py
+++ b/tests/command/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators' work on running proxies: draining a primary, reading the status."""
+"""Operations on running proxies: draining a primary, reading the status."""
 
 import json
 import time
@@ -18,18 +18,18 @@
 
 @pytest.fixture(scope="module")
 def local():
-    """Run proxies for all tests here; none of them needs a fresh group."""
+    """Run proxies that all tests of the module share."""
     with run_proxies() as site:
         yield site
 
 
 def wait_until(holds):
-    """Look again until something holds; a test that waits in vain fails."""
+    """Poll until a condition holds; fail after `TRIES` polls."""
     for _ in range(TRIES):
         if holds():
             return
         time.sleep(PERIOD)
-    raise AssertionError("waited in vain")
+    raise AssertionError("the condition did not hold in time")
 
 
 def get_fleet(tool):
@@ -38,8 +38,8 @@
     return fleet
 
 
-def get_leaders(local):
-    """Return who leads; for a moment of a hand-over nobody does."""
+def get_primary_names(local):
+    """Return the names of the primaries; none for a moment of a hand-over."""
     databases = [server.database for server in local.site.servers.values()]
     return {item.name for item in databases if item.status.role == "primary"}
 
@@ -61,7 +61,7 @@
         change = tool.call(f"settings set {PATH} - --wait 15", json.dumps(group))
         assert change.code == ExitCode.OK
         assert "in force on all instances" in change.text
-        wait_until(lambda: get_leaders(local) - {old})
+        wait_until(lambda: get_primary_names(local) - {old})
         caller.execute("INSERT INTO t VALUES (2)")
         rows = caller.execute("SELECT n FROM t ORDER BY n").fetchall()
     assert rows == [(1,), (2,)]
--- a/tests/command/test_tool.py
+++ b/tests/command/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool end to end: changes, findings, races, outages and their exit codes."""
+"""End-to-end tests of the tool: changes, findings, conflicts, outages, exit codes."""
 
 import json
 
@@ -33,7 +33,7 @@
     return tool.call_json(f"settings {verb} -", json.dumps(wanted))
 
 
-def test_object_is_set_shown_and_has_a_history(tool):
+def test_object_is_written_shown_and_has_a_history(tool):
     assert tool.call(f"{SET} --who ana --why first", FIVE).code == ExitCode.OK
     assert tool.call(f"{SET} --who bo", SIX).code == ExitCode.OK
     code, shown = tool.call_json(f"settings get {RULE_PATH}")
@@ -55,7 +55,7 @@
     assert 'replaced: {"max_age": 5}' in history
 
 
-def test_trail_of_a_team_shows_the_newest_change_first(tool):
+def test_history_of_a_team_shows_the_newest_change_first(tool):
     apply(tool, {RULE_PATH: {"max_age": 1}, GROUP_PATH: make_group()})
     tool.call(SET, FIVE)
     records = tool.call_json("settings history settings/shop/")[1]["records"]
@@ -72,7 +72,7 @@
     assert tool.platform.store.revision == 0
 
 
-def test_file_that_is_no_settings_has_findings(tool):
+def test_invalid_settings_file_has_findings(tool):
     for text in ("[]", "{", '{"a": 1, "a": 2}'):
         assert tool.call("settings apply -", text).code == ExitCode.FINDINGS
     assert tool.call("settings apply /nonexistent").code == ExitCode.FINDINGS
@@ -86,7 +86,7 @@
     assert tool.platform.store.revision == 1
 
 
-def test_check_of_the_store_finds_what_was_written_past_the_tool(tool):
+def test_check_of_the_store_finds_objects_not_written_by_the_tool(tool):
     assert tool.call("settings check").code == ExitCode.OK
     tool.write(RULE_PATH, {"settings": {"max_age": "x"}})
     code, report = tool.call_json("settings check")
@@ -94,7 +94,7 @@
     assert report["findings"][0]["place"] == "/max_age"
 
 
-def test_apply_writes_several_objects_and_again_changes_nothing(tool):
+def test_second_apply_of_several_objects_changes_nothing(tool):
     wanted = {GROUP_PATH: make_group(), RULE_PATH: {"group": "orders", "max_age": 1}}
     code, report = apply(tool, wanted)
     assert (code, report["outcome"]) == (ExitCode.OK, "ok")
@@ -104,12 +104,12 @@
     assert tool.platform.store.revision == 2
 
 
-def test_team_that_is_named_guards_the_subtrees_of_others(tool):
+def test_team_option_refuses_paths_of_other_teams(tool):
     assert tool.call(f"{SET} --team depot", FIVE).code == ExitCode.FINDINGS
     assert tool.call(f"{SET} --team shop", FIVE).code == ExitCode.OK
 
 
-def test_operator_who_comes_second_gets_a_conflict(tool):
+def test_write_with_an_outdated_version_gets_a_conflict(tool):
     tool.call(SET, FIVE)
     assert tool.call(f"{SET} --if-version 1", SIX).code == ExitCode.OK
     code, report = tool.call_json(f"{SET} --if-version 1", '{"max_age": 7}')
@@ -118,7 +118,7 @@
     assert "not 1" in report["changes"][0]["text"]
 
 
-def test_apply_stops_at_the_first_conflict_and_says_what_was_done(tool):
+def test_apply_stops_at_the_first_conflict_and_reports_outcomes(tool):
     paths = [f"settings/shop/rules/r{number}" for number in range(3)]
     put = tool.platform.store.put
 
@@ -141,7 +141,7 @@
     assert tool.platform.store.revision == 1
 
 
-def test_store_that_goes_down_after_a_lost_answer_leaves_it_unknown(tool):
+def test_outage_after_a_lost_answer_leaves_the_outcome_unknown(tool):
     put = tool.platform.store.put
 
     def put_and_go_down(*arguments):
@@ -161,7 +161,7 @@
     assert tool.platform.store.revision == 0
 
 
-def test_wrong_command_line_has_its_own_exit_code(tool, monkeypatch):
+def test_invalid_command_line_has_its_own_exit_code(tool, monkeypatch):
     for arguments in ("settings get", "nonsense", "settings get a --colour"):
         assert tool.call(arguments).code == ExitCode.USAGE
         code, report = tool.call_json(arguments)
@@ -181,7 +181,7 @@
     assert tester.execute("settings check --platform http://x") == ExitCode.INTERNAL
 
 
-def test_status_asks_each_instance_and_shows_who_does_not_answer(tool):
+def test_status_queries_each_instance_and_shows_missing_answers(tool):
     site = build_health_site(lambda: True, lambda: b"", lambda: STATUS)
     port = run(reactor.listenTCP, 0, site, interface="127.0.0.1")
     client = PlatformClient(reactor, tool.platform.url)
--- a/tests/command/test_waiting.py
+++ b/tests/command/test_waiting.py
@@ -1,4 +1,4 @@
-"""Which instances do not have a change in force, and for how long that is asked."""
+"""Detection of instances without a change in force, and the limit of the wait."""
 
 import pytest
 from returns.result import Success
@@ -64,7 +64,7 @@
 
 
 def wait(learned_at, limit):
-    """Wait for a change that instance 2 learns at a time; return the outcome."""
+    """Wait for a change that instance 2 gets at `learned_at`; return the outcome."""
     clock, platform, asked = Clock(), FakePlatform(), []
 
     async def fetch(endpoint):
@@ -81,7 +81,7 @@
     return outcomes[0], platform.calls, asked
 
 
-def test_only_the_instance_that_lacks_the_change_is_asked_again():
+def test_only_the_instance_that_lacks_the_change_is_polled_again():
     pending, calls, asked = wait(learned_at=1.0, limit=10.0)
     assert pending == ()
     assert calls == 1
@@ -89,6 +89,6 @@
     assert asked.count(2) > 1
 
 
-def test_wait_ends_at_its_limit_and_names_who_lacks_the_change():
+def test_wait_ends_at_its_limit_and_names_the_pending_instance():
     (pending,), _, _ = wait(learned_at=99.0, limit=5.0)
     assert (pending.name, pending.paths) == ("p2", (PATH,))
--- a/tests/command/tool.py
+++ b/tests/command/tool.py
@@ -1,4 +1,4 @@
-"""The tool on a stand-in platform over real sockets, for the tests of this slice."""
+"""The operators' tool against a stand-in platform on real sockets."""
 
 import json
 import random
@@ -20,7 +20,7 @@
 
 
 class Outcome(NamedTuple):
-    """What a run of the tool gave."""
+    """The exit code and the output of a run of the tool."""
 
     code: int
     text: str
@@ -33,13 +33,13 @@
 
 
 class ToolSite:
-    """A stand-in platform, and the tool that calls it."""
+    """A stand-in platform and the tool that calls it."""
 
     def __init__(self, platform):
         self.platform = platform
 
     def fault(self, fault, value=None):
-        """Put a fault of the platform in force."""
+        """Set a fault of the platform."""
         run(self.platform.set_fault, fault, value)
 
     def call(self, arguments, inputs=None):
@@ -55,7 +55,7 @@
         return outcome.code, outcome.json
 
     def write(self, path, value):
-        """Write an object past the tool."""
+        """Write an object without the tool."""
         return run(self.platform.store.put, path, value, None)
 
 
@@ -77,7 +77,7 @@
 
 @contextmanager
 def running_tool():
-    """Start a platform, and stop it in the end."""
+    """Start a platform and stop it at the end."""
     platform = PlatformServer(reactor, OPTIONS)
     run(platform.start)
     try:
--- a/tests/platform/databases.py
+++ b/tests/platform/databases.py
@@ -1,4 +1,4 @@
-"""A database of the line protocol over real sockets, for the tests of this folder."""
+"""A scripted database of the line protocol on a real socket."""
 
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
@@ -10,7 +10,7 @@
 
 
 class ScriptedDatabase(Protocol):
-    """Answers each message as the factory's script says."""
+    """Answers each message from the factory's script."""
 
     def connectionMade(self):
         self.buffer = LineBuffer()
@@ -27,8 +27,8 @@
 class DatabaseFactory(Factory):
     """Listens as one database.
 
-    `answers` maps the beginning of a message to what is answered; a message that
-    is not in it gets no answer.
+    `answers` maps the prefix of a message to its answer; other messages get none.
+    `seen` holds all received messages.
     """
 
     noisy = False
--- a/tests/platform/test_accounts.py
+++ b/tests/platform/test_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts in the platform's configuration, and callers that present their keys."""
+"""Accounts in the platform's configuration, and callers that log on with API keys."""
 
 import copy
 import json
@@ -77,7 +77,7 @@
         {"burst_size": True},
     ],
 )
-def test_an_account_that_cannot_be_read_costs_itself_alone(change):
+def test_only_the_account_that_cannot_be_read_is_left_out(change):
     found, findings = read(TENANT | change, TENANT | {"name": "other"})
     assert [account.name for account in found.accounts] == ["other"]
     assert findings and findings[0].place.startswith("/tenants/0")
@@ -89,7 +89,7 @@
     assert "last" in [account.name for account in found.accounts]
 
 
-def test_no_key_is_kept_of_what_the_store_tells():
+def test_keys_from_the_store_are_kept_as_digests_only():
     body = {"meta": {"name": "main", "revision": 4}}
     body["spec"] = CONFIG | {"tenants": [TENANT]}
 
@@ -103,7 +103,7 @@
 
 
 class Site:
-    """An instance that knows two routes and some accounts."""
+    """An instance with two routes and two accounts, one of the routes public."""
 
     def __init__(self):
         self.routes = {
@@ -163,20 +163,20 @@
     assert not [word for word in words[1:] if word in session.transport.value()]
 
 
-def test_a_public_route_asks_for_no_key(site):
+def test_a_public_route_needs_no_key(site):
     assert site.connect(b"open").transport.value() == b"READY I -\r\n"
     session = site.connect(b"open", b"key-1")
     assert session.caller.account == "one"
 
 
-def test_a_key_that_was_taken_away_serves_no_further_transaction(site):
+def test_a_removed_key_starts_no_further_transaction(site):
     session = site.connect(b"own", b"key-1")
     site.set_accounts(two=["key-2"])
     assert site.ask(session, b"READ a").startswith(b"ERROR UNKNOWNKEY ")
     assert site.handler.plans == []
 
 
-def test_an_open_transaction_ends_under_the_key_that_began_it(site):
+def test_an_open_transaction_keeps_the_account_that_began_it(site):
     session = site.connect(b"own", b"key-1")
     site.ask(session, b"BEGIN")
     site.finish(session, TransactionStatus.IN_TRANSACTION)
@@ -187,27 +187,27 @@
     assert site.ask(session, b"READ a").startswith(b"ERROR UNKNOWNKEY ")
 
 
-def test_a_key_that_goes_to_another_account_changes_the_session(site):
+def test_a_key_that_moves_to_another_account_moves_the_session(site):
     session = site.connect(b"own", b"key-1")
     site.set_accounts(two=["key-1", "key-2"])
     site.ask(session, b"READ a")
     assert session.caller.account == "two"
 
 
-def test_a_key_that_comes_later_is_served(site):
+def test_a_key_that_is_added_later_is_accepted(site):
     site.set_accounts(one=["key-1"], three=["key-3"])
     session = site.connect(b"own", b"key-3")
     assert session.caller.account == "three"
 
 
-def test_without_accounts_no_key_is_asked_for(site):
+def test_without_accounts_no_key_is_needed(site):
     site.book = None
     session = site.connect(b"own", b"anything")
     assert session.transport.value() == b"READY I -\r\n"
     assert session.caller.account == ""
 
 
-def test_a_database_is_told_the_account():
+def test_start_names_the_account_to_the_database():
     async def go():
         database = DatabaseFactory()
         settings = database.make_settings()
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The adapter stays at the boundary: its names nowhere else, no decisions in it."""
+"""Limits of the adapter: its outer names stand nowhere else, and it decides nothing."""
 
 import ast
 import re
@@ -31,10 +31,10 @@
     "BERYLTRACK_BOOT",
     "api/objects",
 )
-"""Names that only the users' platform has."""
+"""Names of the users' platform that the product does not use itself."""
 
 DECIDING = re.compile(r"^(time|random|datetime)$")
-"""Modules by which code reads a clock or a random number."""
+"""Modules that give a clock or random numbers."""
 
 
 def get_imports(path):
@@ -46,7 +46,7 @@
             yield from (alias.name for alias in node.names)
 
 
-def test_only_the_composition_imports_the_adapter():
+def test_only_the_composition_modules_import_the_adapter():
     importing = {
         path.name
         for path in ROOT.rglob("*.py")
@@ -56,7 +56,7 @@
     assert importing <= COMPOSITION
 
 
-def test_the_names_of_the_wire_stand_in_the_adapter_alone():
+def test_outer_names_stand_only_in_the_adapter():
     found = [
         (path.name, name)
         for path in ROOT.rglob("*.py")
@@ -82,8 +82,8 @@
     assert total <= 1850
 
 
-def test_a_process_of_the_platform_loads_only_what_it_runs():
-    """PostgreSQL, SQL and TLS cost memory and start-up time that is paid for."""
+def test_the_platform_process_imports_no_unused_library():
+    """Libraries for PostgreSQL, SQL and TLS cost memory and start-up time."""
     unwanted = ("pygwire", "sqlglot", "opentelemetry", "scramp", "matplotlib")
     seen, waiting = set(), ["beryltrack.daemon.node_process", "beryltrack.daemon.node"]
     while waiting:
--- a/tests/platform/test_caller.py
+++ b/tests/platform/test_caller.py
@@ -1,4 +1,4 @@
-"""Callers of the line protocol: sessions, transactions, bad input."""
+"""Callers' connections in the line protocol: sessions, transactions, invalid input."""
 
 from types import SimpleNamespace
 
@@ -37,19 +37,19 @@
 
 
 class Transport(StringTransport):
-    """A transport that takes the socket options of a real one."""
+    """A transport that accepts the socket options of a real one."""
 
     def setTcpNoDelay(self, enabled):  # noqa: N802
         pass
 
 
 class Handler:
-    """Plans each statement, answers what is local and keeps the rest."""
+    """Plans each statement, answers local ones and records the plans of the others."""
 
     def __init__(self):
         self.protocol = LineProtocol(ROUTES.get, lambda route: RequestPolicy())
         self.plans = []
-        self.forgotten = []
+        self.dropped = []
 
     def check_session(self, caller):
         return self.protocol.check_session(caller)
@@ -68,7 +68,7 @@
         return done
 
     def drop_session(self, caller):
-        self.forgotten.append(caller)
+        self.dropped.append(caller)
 
 
 class Session:
@@ -91,7 +91,7 @@
         return sent
 
     def finish(self, status=IDLE):
-        """Answer the statement that runs."""
+        """Answer the running statement."""
         _, done = self.handler.plans[-1]
         self.caller.send_ready(status)
         done.callback(None)
@@ -110,7 +110,7 @@
     assert session.transport.disconnecting
 
 
-def test_a_caller_that_comes_while_the_instance_leaves_is_refused_as_not_run():
+def test_a_leaving_instance_refuses_new_callers_as_not_run():
     session = Session()
     factory = session.caller._factory
     factory.leave()
@@ -122,7 +122,7 @@
     assert transport.disconnecting
 
 
-def test_settings_and_prepared_statements_are_answered_here(session):
+def test_session_statements_are_answered_without_a_database(session):
     session.send("QUERY 1 SET a b", "QUERY 2 PREPARE s WRITE q", "QUERY 3 ROLLBACK")
     assert session.take() == b"COMPLETE -\r\nREADY I -\r\n" * 3
     assert session.handler.plans == []
@@ -135,7 +135,7 @@
     assert len(session.handler.plans) == 2
 
 
-def test_what_a_statement_does_is_told_by_its_prepared_form(session):
+def test_an_execute_has_the_kind_of_its_prepared_statement(session):
     session.send("QUERY 1 PREPARE s WRITE q", "QUERY 2 EXECUTE s a x")
     plan, _ = session.handler.plans[0]
     assert not plan.is_read
@@ -146,7 +146,7 @@
     assert session.take().startswith(b"ERROR UNPREPARED ")
 
 
-def test_in_a_failed_transaction_only_its_end_is_taken(session):
+def test_a_failed_transaction_accepts_only_its_end(session):
     session.send("QUERY 1 BEGIN")
     session.finish(TransactionStatus.ERROR_TRANSACTION)
     session.take()
@@ -167,7 +167,7 @@
     assert reads == ["any", "any", "primary"]
 
 
-def test_only_sessions_that_may_see_replicas_are_tracked(session):
+def test_only_sessions_that_may_read_from_replicas_are_tracked(session):
     session.send("QUERY 1 READ a")
     assert session.caller.session.is_tracked
     fresh = Session("fresh")
@@ -183,7 +183,7 @@
         (make_outcome_unknown_error("no"), b"INDOUBT"),
     ],
 )
-def test_an_error_promises_no_more_than_it_says(session, error, code):
+def test_an_error_code_promises_no_more_than_the_error(session, error, code):
     session.caller.send_error(error)
     assert session.take().startswith(b"ERROR " + code + b" ")
 
@@ -193,17 +193,17 @@
     assert session.transport.disconnected
 
 
-def test_statements_without_end_end_the_connection(session):
+def test_too_many_waiting_statements_end_the_connection(session):
     session.send(*(f"QUERY {number} READ a" for number in range(9)))
     assert session.transport.disconnected
 
 
-def test_an_unknown_word_ends_the_connection(session):
+def test_an_unknown_keyword_ends_the_connection(session):
     session.send("HELLO")
     assert session.transport.disconnected
 
 
-def test_a_transaction_that_rests_is_ended(session):
+def test_an_idle_transaction_is_ended(session):
     session.send("QUERY 1 BEGIN")
     session.finish(TransactionStatus.IN_TRANSACTION)
     session.clock.advance(2.9)
@@ -212,7 +212,7 @@
     assert session.transport.disconnected
 
 
-def test_a_caller_that_does_not_read_is_cut_off(session):
+def test_a_caller_that_does_not_read_is_disconnected(session):
     session.caller.pauseProducing()
     session.send("QUERY 1 READ a")
     assert session.handler.plans == []
@@ -220,12 +220,12 @@
     assert session.transport.disconnected
 
 
-def test_a_caller_that_leaves_is_forgotten_once(session):
+def test_a_caller_that_disconnects_is_dropped_once(session):
     session.send("QUERY 1 BEGIN")
     session.caller.connectionLost()
-    assert session.handler.forgotten == []
+    assert session.handler.dropped == []
     session.handler.plans[0][1].callback(None)
-    assert session.handler.forgotten == [session.caller]
+    assert session.handler.dropped == [session.caller]
 
 
 def test_leaving_waits_for_the_end_of_a_transaction(session):
@@ -244,7 +244,7 @@
     return format_setups(connection, session.caller.retained_state, plan.shape)
 
 
-def test_a_connection_is_brought_to_the_session(session):
+def test_a_connection_gets_the_session_state(session):
     connection = SimpleNamespace(
         values={}, prepared={}, statement_numbers=iter(range(1, 9)), via="", account=""
     )
@@ -258,7 +258,7 @@
 
 
 class Target:
-    """Notes how long its runs may last."""
+    """Records the time limits of its runs in seconds."""
 
     values: dict = {}
     prepared: dict = {}
@@ -281,7 +281,7 @@
     Deferred.fromCoroutine(protocol.run(target, plan, None, session.caller))
 
 
-def test_only_a_read_outside_of_a_transaction_is_soon_taken_for_lost(session):
+def test_only_a_read_outside_a_transaction_has_the_short_timeout(session):
     policy = RequestPolicy(0.8, 0.4, run_timeout=0.8, read_timeout=0.3)
     session.handler.protocol = LineProtocol(ROUTES.get, lambda route: policy)
     target = Target()
@@ -292,7 +292,7 @@
     assert target.limits == [0.3, 0.8, 0.8]
 
 
-def test_a_read_through_an_owner_is_left_its_time(session):
+def test_a_read_through_an_owner_has_the_full_timeout(session):
     policy = RequestPolicy(0.8, 0.4, run_timeout=0.8, read_timeout=0.3)
     session.handler.protocol = LineProtocol(ROUTES.get, lambda route: policy)
     target = Target("owner")
--- a/tests/platform/test_group.py
+++ b/tests/platform/test_group.py
@@ -1,4 +1,4 @@
-"""Control requests over the line protocol, over real sockets."""
+"""Control requests over the line protocol on real sockets."""
 
 import pytest
 from returns.result import Success
@@ -21,7 +21,7 @@
 
 
 class Promotions:
-    """Answers promotions as a test says."""
+    """Records promotions and gives the answer that a test sets."""
 
     def __init__(self):
         self.calls = []
@@ -33,7 +33,7 @@
 
 
 class Site:
-    """One database, its promotions and the adapter."""
+    """One database, a promotion service and the adapter."""
 
     def __init__(self):
         self.database = DatabaseFactory()
@@ -65,7 +65,7 @@
     run(made.stop)
 
 
-def test_status_tells_received_and_applied_apart(site):
+def test_status_has_the_received_and_the_applied_position(site):
     status = site.call("get_status").unwrap()
     assert (status.role, status.term) == (PRIMARY, 3)
     assert status.received == LogPosition(3, 9)
@@ -73,7 +73,7 @@
     assert status.heard_age is None and status.is_role_fenced and not status.is_held
 
 
-def test_a_paused_replica_has_granted(site):
+def test_a_replica_on_hold_has_granted(site):
     site.database.answers[b"QUERY - PAUSE 4"] = (
         b"DATAROW replica 3 3.9 4 0 0 1\r\nCOMPLETE -\r\nREADY I 3.7\r\n"
     )
@@ -81,7 +81,7 @@
     assert reply.granted and reply.status.is_held and reply.status.term == 4
 
 
-def test_a_primary_grants_only_if_it_is_not_taken_for_lost(site):
+def test_a_primary_grants_only_if_its_loss_is_not_the_reason(site):
     site.database.answers[b"QUERY - PAUSE"] = site.database.answers[b"QUERY - STATUS"]
     assert not site.call("grant", 4, "node/1", 0.5).unwrap().granted
     assert site.call("grant", 4, "node/1", 0.0).unwrap().granted
@@ -100,12 +100,12 @@
     assert site.call("promote", 4, "node/1", 1).failure().text == "lost"
 
 
-def test_a_database_without_a_slot_is_at_work(site):
+def test_a_refusal_for_lack_of_a_slot_counts_as_an_answer(site):
     site.database.answers[b"QUERY - STATUS"] = b"ERROR BUSY db-1\r\nREADY I 3.7\r\n"
     assert site.call("get_status").failure().is_answered
 
 
-def test_requests_that_come_together_are_answered_one_after_the_other(site):
+def test_simultaneous_requests_are_answered_one_after_the_other(site):
     names = ("get_status", "release", "get_status")
     site.database.answers[b"QUERY - RESUME"] = site.database.answers[b"QUERY - STATUS"]
 
@@ -116,12 +116,12 @@
         ]
         return gatherResults(calls)
 
-    # The connection is open already, so that all want the same one.
+    # The connection is open, so that all requests use the same one.
     site.call("get_status")
     assert all(isinstance(result, Success) for result in run(call_all))
 
 
-def test_a_database_that_is_gone_fails_and_is_found_again(site):
+def test_a_stopped_database_fails_and_is_reached_after_its_restart(site):
     site.call("get_status")
     port = site.database.port.getHost().port
     run(site.database.stop)
@@ -137,7 +137,7 @@
     assert site.call("get_status").unwrap().role == PRIMARY
 
 
-def test_a_connection_that_has_fallen_silent_is_no_silent_database(site):
+def test_a_silent_connection_is_replaced_before_the_database_fails(site):
     site.call("get_status")
     first = site.database.sessions[0]
     first.dataReceived = lambda data: None
@@ -145,7 +145,7 @@
     assert len(site.database.sessions) == 2 and len(site.silent) == 1
 
 
-def test_a_database_that_was_heard_otherwise_is_waited_for(site):
+def test_a_late_answer_is_awaited_if_the_database_answers_elsewhere(site):
     site.call("get_status")
     first = site.database.sessions[0]
     take = first.dataReceived
@@ -159,7 +159,7 @@
     assert len(site.database.sessions) == 1
 
 
-def test_an_owner_has_more_time_than_a_database(site):
+def test_an_owner_has_a_longer_timeout_than_a_database(site):
     site.calls._limits = ControlLimits(0.1, 0.05, 8.0)
     site.call("get_status")
     first = site.database.sessions[0]
@@ -181,7 +181,7 @@
     assert not failure.is_answered
 
 
-def test_an_owner_without_a_way_to_the_database_tells_nothing_of_it(site):
+def test_an_unreachable_error_of_an_owner_is_no_answer_of_the_database(site):
     site.database.answers[b"QUERY - STATUS"] = (
         b"ERROR UNREACHABLE no way\r\nREADY I -\r\n"
     )
--- a/tests/platform/test_lines.py
+++ b/tests/platform/test_lines.py
@@ -1,4 +1,4 @@
-"""The codec of the line protocol takes any bytes."""
+"""Parsing of the line protocol: any bytes give a message or a defined error."""
 
 import pytest
 from hypothesis import given
@@ -42,7 +42,7 @@
         (b"QUERY 1 SET name a b", b"SET", (b"name", b"a b")),
     ],
 )
-def test_statements_are_told_apart(line, verb, fields):
+def test_statements_are_parsed(line, verb, fields):
     statement = parse_query(line)
     assert (statement.verb, statement.fields) == (verb, fields)
 
@@ -61,11 +61,11 @@
         b"QUERY 1 PREPARE s1 DROP x",
     ],
 )
-def test_what_is_no_statement_is_refused(line):
+def test_an_invalid_statement_is_refused(line):
     assert parse_query(line) is None
 
 
-def test_a_position_is_asked_for():
+def test_a_required_position_is_formatted():
     assert lines.format_after(LogPosition(3, 1207)) == b"AFTER 3.1207 "
 
 
@@ -78,6 +78,6 @@
         (b"Try again in x seconds.", "busy: Try again in x seconds.", 0.0),
     ],
 )
-def test_when_to_come_back_is_read_of_a_refusal(text, message, retry_after):
+def test_the_retry_time_of_a_refusal_is_parsed(text, message, retry_after):
     error = decode_error(b"ERROR BUSY " + text)
     assert (error.message, error.retry_after) == (message, retry_after)
--- a/tests/platform/test_relay.py
+++ b/tests/platform/test_relay.py
@@ -65,7 +65,7 @@
 
 
 class Statuses(Task):
-    """Gives the statuses that a test has put there."""
+    """Returns the statuses that a test has set."""
 
     async def ask_status(self, database):
         return Success(self.statuses.pop(0))
@@ -106,7 +106,7 @@
         )
         self.factory = LineRelayFactory(reactor, handler, BOUNDS)
         self.sessions, build = [], self.factory.buildProtocol
-        self.factory.buildProtocol = lambda addr: self.note(build(addr))
+        self.factory.buildProtocol = lambda addr: self.record_session(build(addr))
         self.port = reactor.listenTCP(0, self.factory, interface=HOST)
         self.endpoint = Endpoint(HOST, self.port.getHost().port)
 
@@ -118,7 +118,7 @@
             reactor, endpoint, "group", database, 0.5, SocketLimits(), account
         )
 
-    def note(self, session):
+    def record_session(self, session):
         self.sessions.append(session)
         return session
 
@@ -126,27 +126,27 @@
         is_known = (group, database) == ("group", "db-1")
         return Lender(self.pool, self.task) if is_known else None
 
-    def tell(self, endpoint, demand, text=b"READ x"):
-        """Return what an instance of this release was told after its statement."""
+    def run_with_demand(self, endpoint, demand, text=b"READ x"):
+        """Run a statement with a demand; return the load reports and the end."""
         statement = parse_query(b"QUERY q1 " + text)
         unit = SimpleNamespace(statement=statement, shape=None)
 
         async def go():
             session = await self.connect(endpoint)
-            told = []
+            reports = []
             session.via, session.demand = "owner", demand
-            session.on_report = lambda report, since: told.append(report)
+            session.on_report = lambda report, since: reports.append(report)
             running = run_statement(
                 session, RetainedState(), unit, None, "", CollectingSink()
             )
             end = await running.addTimeout(1.0, reactor)
             session.close()
-            return told, end
+            return reports, end
 
         return run(lambda: Deferred.fromCoroutine(go()))
 
-    def ask(self, *texts):
-        """Return how each statement of one session ended."""
+    def run_statements(self, *texts):
+        """Return the rows and the end of each statement of one session."""
 
         async def go():
             session = await self.connect(self.endpoint)
@@ -181,15 +181,15 @@
     run(made.stop)
 
 
-def test_a_statement_passes_with_its_identifier_and_position(site):
-    ((rows, end),) = site.ask("q1 AFTER 3.7 READ x")
+def test_a_statement_is_relayed_with_its_identifier_and_position(site):
+    ((rows, end),) = site.run_statements("q1 AFTER 3.7 READ x")
     assert b"QUERY q1 AFTER 3.7 READ x" in site.database.seen
     assert (rows, end.tail) == (b"DATAROW a\r\n", b"COMPLETE 7.1\r\n")
     assert end.position == LogPosition(3, 8)
 
 
 def test_a_transaction_runs_on_one_connection(site):
-    ends = site.ask("q1 BEGIN", "q2 WRITE x y", "q3 COMMIT")
+    ends = site.run_statements("q1 BEGIN", "q2 WRITE x y", "q3 COMMIT")
     assert [end.status for _, end in ends] == [
         TransactionStatus.IN_TRANSACTION,
         TransactionStatus.IN_TRANSACTION,
@@ -198,12 +198,12 @@
     assert len(site.database.sessions) == 1
 
 
-def test_a_proof_comes_with_the_answer_and_its_age(site):
+def test_an_answer_carries_a_proof_and_its_age(site):
     site.task.proof = Sample(LogPosition(3, 9), 49.0)
     before = get_monotonic_clock(reactor)()
-    ((_, end),) = site.ask("q1 AFTER 3.7 READ x")
+    ((_, end),) = site.run_statements("q1 AFTER 3.7 READ x")
     assert end.proof.position == LogPosition(3, 9)
-    # The proof is a second old, counted from when the statement was sent.
+    # The proof is a second old, counted from the time at which the statement was sent.
     assert before - 1.0 <= end.proof.sent_at <= get_monotonic_clock(reactor)() - 1.0
 
 
@@ -214,7 +214,7 @@
         make_status(REPLICA, 4, LogPosition(3, 9), LogPosition(3, 7), True),
     ],
 )
-def test_a_status_passes(site, status):
+def test_a_status_is_relayed(site, status):
     site.task.statuses.append(status)
     group = GroupSettings("group", "", (site.settings,), "", "", 0.0, 0.5)
     calls = ControlCalls(
@@ -233,7 +233,7 @@
     ok = b"COMPLETE -\r\nREADY I 3.7\r\n"
     site.database.answers |= {b"QUERY - SET": ok, b"QUERY - PREPARE": ok}
     site.database.answers[b"QUERY q4 EXECUTE p1 k"] = ok
-    site.ask("- SET a b", "- PREPARE p7 READ shape", "q4 EXECUTE p7 k")
+    site.run_statements("- SET a b", "- PREPARE p7 READ shape", "q4 EXECUTE p7 k")
     assert site.database.seen[1:] == [
         b"QUERY - SET a b",
         b"QUERY - PREPARE p1 READ shape",
@@ -241,16 +241,16 @@
     ]
 
 
-def test_what_one_session_sets_another_does_not_see(site):
+def test_a_session_does_not_see_values_of_another(site):
     ok = b"COMPLETE -\r\nREADY I 3.7\r\n"
     site.database.answers |= {b"QUERY - SET": ok, b"QUERY - RESET": ok}
     site.database.answers[b"QUERY q5 READ"] = ok
-    site.ask("- SET a b", "q5 READ k")
-    site.ask("q5 READ k")
+    site.run_statements("- SET a b", "q5 READ k")
+    site.run_statements("q5 READ k")
     assert site.database.seen[-2:] == [b"QUERY - RESET", b"QUERY q5 READ k"]
 
 
-def test_a_full_owner_refuses_what_it_has_not_sent(site):
+def test_a_full_owner_refuses_a_statement_that_it_has_not_sent(site):
     async def go():
         first = await site.connect(site.endpoint)
         await first.run(b"QUERY q1 BEGIN\r\n", CollectingSink())
@@ -264,52 +264,54 @@
 
 def test_a_lost_answer_ends_the_session(site):
     with pytest.raises((TargetLost, TimeoutError)):
-        site.ask("q8 READ never")
+        site.run_statements("q8 READ never")
 
 
-def test_who_lends_no_connection_refuses_the_session(site):
+def test_an_instance_that_lends_no_connection_refuses_the_session(site):
     with pytest.raises(ConnectRefused) as refused:
         run(site.connect, site.endpoint, "db-2")
     assert refused.value.sqlstate == CANNOT_CONNECT_NOW
 
 
 def test_a_malformed_statement_is_refused(site):
-    ((_, end),) = site.ask("q1 NONSENSE x")
+    ((_, end),) = site.run_statements("q1 NONSENSE x")
     assert end.error is not None
     assert not any(b"NONSENSE" in line for line in site.database.seen)
 
 
-def test_a_session_says_whose_statements_come(site):
+def test_an_account_message_sets_the_account_of_the_connection(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
-    ends = site.ask("- ACCOUNT one new", "q1 READ x")
+    ends = site.run_statements("- ACCOUNT one new", "q1 READ x")
     assert [end.error for _, end in ends] == [None, None]
     assert b"START group one db-1" in site.database.seen
 
 
 def test_no_statement_runs_on_a_connection_of_another_account(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
-    site.ask("- ACCOUNT one new", "q1 READ x", "- ACCOUNT two new", "q1 READ x")
+    site.run_statements(
+        "- ACCOUNT one new", "q1 READ x", "- ACCOUNT two new", "q1 READ x"
+    )
     starts = [each for each in site.database.seen if each.startswith(b"START")]
     assert starts == [b"START group one db-1", b"START group two db-1"]
 
 
-def test_whose_statements_come_does_not_change_inside_of_a_transaction(site):
-    ends = site.ask("- ACCOUNT one new", "q1 BEGIN", "- ACCOUNT two new")
+def test_the_account_does_not_change_inside_a_transaction(site):
+    ends = site.run_statements("- ACCOUNT one new", "q1 BEGIN", "- ACCOUNT two new")
     assert [end.error is None for _, end in ends] == [True, True, False]
 
 
-def test_an_account_over_its_limit_is_told_so_in_the_callers_words(site):
+def test_an_over_limit_error_reaches_callers_with_their_code(site):
     site.pool._admit = lambda account: 0.25
-    *_, (_, end) = site.ask("- ACCOUNT one new", "q1 READ x")
+    *_, (_, end) = site.run_statements("- ACCOUNT one new", "q1 READ x")
     assert end.error.sqlstate == CONFIGURATION_LIMIT_EXCEEDED
     assert end.error_frame.startswith(b"ERROR TOOMANY ") and b"0.25" in end.error_frame
     assert not [each for each in site.database.seen if each.startswith(b"QUERY q1")]
 
 
-def test_what_was_counted_elsewhere_is_not_counted_again(site):
+def test_an_operation_counted_elsewhere_is_not_counted_again(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
     site.pool._admit = lambda account: 0.25
-    *_, (_, end) = site.ask("- ACCOUNT one counted", "q1 READ x")
+    *_, (_, end) = site.run_statements("- ACCOUNT one counted", "q1 READ x")
     assert end.error is None
 
 
@@ -317,39 +319,39 @@
 FULL = DatabaseReport(4, 4, (0.1, 0.4), 0.01, 7)
 
 
-def watch_lending(site):
-    """Return the list of what the owner's pool is asked for from now on."""
-    asked, lend = [], site.pool.lend
+def record_demands(site):
+    """Return the list to which the owner's pool adds each further demand."""
+    demands, lend = [], site.pool.lend
 
-    def note(deadline, demand, is_counted):
-        asked.append(demand)
+    def record(deadline, demand, is_counted):
+        demands.append(demand)
         return lend(deadline, demand, is_counted)
 
-    site.pool.lend = note
-    return asked
+    site.pool.lend = record
+    return demands
 
 
 def test_a_demand_reaches_the_owner_and_no_database(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
-    asked = watch_lending(site)
-    _, end = site.tell(site.endpoint, URGENT)
-    assert end.error is None and asked == [URGENT]
+    demands = record_demands(site)
+    _, end = site.run_with_demand(site.endpoint, URGENT)
+    assert end.error is None and demands == [URGENT]
     assert site.database.seen[-1] == b"QUERY q1 READ x"
 
 
-def test_a_demand_stands_between_the_position_and_the_statement(site):
-    asked = watch_lending(site)
-    ((_, end),) = site.ask("q1 AFTER 3.7 WITHIN 0+ 250 200 READ x")
-    assert end.error is None and asked == [URGENT]
+def test_a_demand_is_parsed_between_position_and_statement(site):
+    demands = record_demands(site)
+    ((_, end),) = site.run_statements("q1 AFTER 3.7 WITHIN 0+ 250 200 READ x")
+    assert end.error is None and demands == [URGENT]
     assert site.database.seen[-1] == b"QUERY q1 AFTER 3.7 READ x"
 
 
-def test_an_instance_of_an_earlier_release_demands_nothing_and_is_told_nothing(site):
+def test_an_earlier_release_sends_no_demand_and_gets_no_report(site):
     site.pool.get_report = lambda: FULL
-    asked = watch_lending(site)
-    site.ask("q1 AFTER 3.7 READ x")
-    assert asked == [DEFAULT_DEMAND]
-    # Its sessions break at any word that they do not know.
+    demands = record_demands(site)
+    site.run_statements("q1 AFTER 3.7 READ x")
+    assert demands == [DEFAULT_DEMAND]
+    # Its sessions break at any keyword that they do not know.
     (session,) = site.sessions
     assert not session.sends_demands and session.last_report is None
 
@@ -359,65 +361,67 @@
         b"START": b"READY I -\r\n",
         b"QUERY q1 READ x": b"COMPLETE 7.1\r\nREADY I 3.8\r\n",
     }
-    told, end = site.tell(site.settings.endpoint, URGENT)
-    assert end.error is None and told == []
+    reports, end = site.run_with_demand(site.settings.endpoint, URGENT)
+    assert end.error is None and reports == []
     assert site.database.seen[-1] == b"QUERY q1 READ x"
 
 
-def test_an_owner_tells_of_its_load_with_an_answer(site):
+def test_an_answer_carries_the_owners_load_report(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
     site.pool.get_report = lambda: FULL
-    (told,), end = site.tell(site.endpoint, URGENT)
-    assert told.report == FULL and end.error is None
+    (timed,), end = site.run_with_demand(site.endpoint, URGENT)
+    assert timed.report == FULL and end.error is None
 
 
-def test_an_owner_without_load_tells_nothing(site):
+def test_an_owner_without_load_sends_no_report(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
     site.pool.get_report = lambda: FULL._replace(running=1, waits=(0.0,))
-    assert site.tell(site.endpoint, URGENT)[0] == []
+    assert site.run_with_demand(site.endpoint, URGENT)[0] == []
 
 
-def test_a_demand_comes_with_the_first_statement_of_a_transaction_alone(site):
-    asked = watch_lending(site)
-    ends = site.ask("q1 WITHIN 0+ 250 200 BEGIN", "q2 WRITE x y", "q3 COMMIT")
-    assert [end.error for _, end in ends] == [None, None, None] and asked == [URGENT]
-    *_, (_, end) = site.ask("q1 BEGIN", "q2 WITHIN 0+ 250 200 WRITE x y")
+def test_only_the_first_statement_of_a_transaction_may_carry_a_demand(site):
+    demands = record_demands(site)
+    ends = site.run_statements(
+        "q1 WITHIN 0+ 250 200 BEGIN", "q2 WRITE x y", "q3 COMMIT"
+    )
+    assert [end.error for _, end in ends] == [None, None, None] and demands == [URGENT]
+    *_, (_, end) = site.run_statements("q1 BEGIN", "q2 WITHIN 0+ 250 200 WRITE x y")
     assert end.error.sqlstate == PROTOCOL_VIOLATION
 
 
 @pytest.mark.parametrize("prefix", ["WITHIN", "WITHIN x 250 200", "WITHIN 0 250"])
 def test_a_malformed_demand_is_answered_as_malformed(site, prefix):
-    ((_, end),) = site.ask(f"q1 {prefix} READ x")
+    ((_, end),) = site.run_statements(f"q1 {prefix} READ x")
     assert end.error.sqlstate == PROTOCOL_VIOLATION
     assert not any(b"READ" in line for line in site.database.seen)
 
 
-def test_what_one_operation_demanded_the_next_one_does_not(site):
+def test_a_demand_applies_to_one_operation(site):
     site.database.answers[b"QUERY q1 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
-    asked = watch_lending(site)
-    site.ask("q1 WITHIN 0+ 250 200 READ x", "q1 READ x")
-    assert asked == [URGENT, DEFAULT_DEMAND]
+    demands = record_demands(site)
+    site.run_statements("q1 WITHIN 0+ 250 200 READ x", "q1 READ x")
+    assert demands == [URGENT, DEFAULT_DEMAND]
 
 
 @pytest.mark.parametrize(
     "reason",
     [RefusalReason.QUEUE_FULL, RefusalReason.TOO_LATE, RefusalReason.OVER_LIMIT],
 )
-def test_a_time_to_come_back_passes_as_the_owner_said_it(site, reason):
+def test_the_owners_retry_time_is_passed_on_unchanged(site, reason):
     refused = PoolRefused(PoolRefusal(reason, 0.374))
     site.pool.lend = lambda *words: fail(refused)
-    _, end = site.tell(site.endpoint, URGENT)
+    _, end = site.run_with_demand(site.endpoint, URGENT)
     assert end.status is TransactionStatus.IDLE
     assert end.error.retry_after == 0.37
     assert end.error.hint == "Try again in 0.37 seconds."
     assert end.error.message.endswith(reason.value)
-    # A caller is told so once, whether it gets the error or the line as it came.
+    # The caller reads the time once, both in the error and in the line as received.
     for text in (encode_error(end.error), end.error_frame):
         assert text.count(b"Try again in 0.37 seconds.") == 1 == text.count(b"Try")
 
 
-def test_a_write_whose_time_the_owners_queue_used_up_is_told_that_it_did_not_run(site):
-    """Its sender would else give it up, and not know what became of it."""
+def test_a_write_that_times_out_in_the_owners_queue_is_refused_as_not_run(site):
+    """Without the refusal its sender would time out with an unknown outcome."""
 
     async def go():
         first = await site.connect(site.endpoint)
@@ -431,8 +435,8 @@
     assert not any(line.startswith(b"QUERY q9") for line in site.database.seen)
 
 
-def test_a_transaction_between_two_statements_takes_no_room_at_the_database(site):
-    """One statement may run, on two connections."""
+def test_an_idle_transaction_uses_no_slot_of_the_gate(site):
+    """The database has two connections and runs one statement at a time."""
     answers = site.database.answers
     answers[b"QUERY q9 READ x"] = b"COMPLETE 7.1\r\nREADY I 3.8\r\n"
     reports = []
@@ -460,7 +464,7 @@
     assert reports[-1].service_time > 0.0
 
 
-def test_an_answer_that_is_lost_frees_its_room_and_shows_it(site):
+def test_a_lost_answer_frees_its_slot_and_lowers_the_limit(site):
     async def go():
         site.pool.set_capacity(SharedCapacity(slots=4, owners=1, connections=8))
         before = site.pool.get_report().limit
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Configuration, databases and a process's settings in the platform's form."""
+"""Parsing of the platform's configuration, database entries and process settings."""
 
 import copy
 
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize(
     ("value", "count"), [(None, 1), ([], 1), ("text", 1), ({"routes": [1]}, 2)]
 )
-def test_what_is_no_configuration_is_a_finding(value, count):
+def test_an_invalid_configuration_is_a_finding(value, count):
     found, findings = read_configuration(make_item(value))
     assert found is None and len(findings) == count
 
@@ -96,7 +96,7 @@
     assert found.endpoint == Endpoint("10.1.0.9", 80)
 
 
-def test_a_database_that_starts_again_has_another_name():
+def test_a_restarted_database_has_another_name():
     first, _ = read_entry(make_item(ENTRY | {"born": 1764728000000}, "servers/i-1"))
     again, _ = read_entry(make_item(ENTRY | {"born": 1764728000900}, "servers/i-1"))
     assert first.name != again.name
@@ -108,7 +108,7 @@
     assert found is None and findings[0].source == "servers/i-1"
 
 
-def test_a_process_learns_its_settings():
+def test_the_settings_of_a_process_are_read():
     settings = parse_node_settings(BOOT)
     assert settings.member_listen == Endpoint("10.1.0.8", 7440)
     assert settings.promotion == Endpoint("10.2.0.2", 83)
@@ -116,13 +116,13 @@
     assert (settings.change_limit, settings.drain_limit) == (3.0, 7.0)
 
 
-def test_a_process_learns_within_what_time_changes_must_be_in_force():
+def test_the_time_limits_of_a_process_are_read():
     bounds = {"grace_s": 6, "config_apply_ms": 5000, "drain_ms": 10000}
     settings = parse_node_settings(BOOT | {"bounds": bounds})
     assert (settings.change_limit, settings.drain_limit) == (5.0, 10.0)
 
 
-def test_a_file_that_is_not_there_is_a_finding(tmp_path):
+def test_a_missing_file_is_a_finding(tmp_path):
     missing = str(tmp_path / "none.json")
     settings, findings = read_node_settings({"BERYLTRACK_BOOT": missing})
     assert settings is None and findings[0].source == missing
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The dialect of the platform's object store, against scripted answers."""
+"""Calls of the platform's object store, against scripted HTTP answers."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 class ScriptedHttp:
-    """Gives one answer after the other and keeps the calls."""
+    """Returns one answer after another and records the calls."""
 
     timeout = 2.0
 
@@ -52,7 +52,7 @@
     assert http.calls == [("GET", "/api/objects/config/main", None)]
 
 
-def test_an_object_that_is_not_there_is_none():
+def test_a_missing_object_is_none():
     assert call(ScriptedHttp((404, {})), "get", "config/main").unwrap() is None
 
 
@@ -67,7 +67,7 @@
     assert http.calls[1][1] == "/api/objects/servers?after=a"
 
 
-def test_a_watch_tells_changes_and_removals():
+def test_a_watch_returns_changes_and_removals():
     events = [
         {"removed": False, "object": make_object("a", 6, {"x": 1})},
         {"removed": True, "object": make_object("b", 7, {"x": 1})},
@@ -81,7 +81,7 @@
     assert http.calls[0][1] == "/api/objects/servers?watch=5&wait_ms=20000"
 
 
-def test_forgotten_changes_are_told_apart():
+def test_a_watch_of_dropped_changes_is_expired():
     failure = call(ScriptedHttp((410, {})), "watch", "servers", 5, 20.0).failure()
     assert failure.kind is ErrorKind.EXPIRED
 
@@ -103,6 +103,6 @@
 
 
 @pytest.mark.parametrize("value", [{}, {"meta": {}}, [], {"meta": {"name": "a"}}])
-def test_a_faulty_answer_is_invalid(value):
+def test_a_malformed_answer_is_invalid(value):
     failure = call(ScriptedHttp((200, value)), "get", "config/main").failure()
     assert failure.kind is ErrorKind.INVALID
--- a/tests/platform/test_target.py
+++ b/tests/platform/test_target.py
@@ -1,4 +1,4 @@
-"""Connections to databases of the line protocol, over real sockets."""
+"""Connections to databases over the line protocol on real sockets."""
 
 import pytest
 from twisted.internet import reactor
@@ -18,7 +18,7 @@
 
 
 class Sink:
-    """Keeps what it is sent."""
+    """Collects the bytes that it receives."""
 
     def __init__(self):
         self.data = b""
@@ -62,7 +62,7 @@
     assert database.seen == [b"START group beryltrack db-1"]
 
 
-def test_an_answer_passes_through(database):
+def test_an_answer_is_passed_on(database):
     database.answers[b"QUERY 1 READ"] = (
         b"DATAROW a\r\nDATAROW b c\r\nCOMPLETE 7.1\r\nREADY T 3.8\r\n"
     )
@@ -104,7 +104,7 @@
         query(database, b"QUERY - SET a b\r\nQUERY 1 READ x\r\n", 1)
 
 
-def test_a_database_without_room_refuses(database):
+def test_a_full_database_refuses_the_connection(database):
     database.answers[b"START"] = b"ERROR TOOMANY db-1\r\n"
     with pytest.raises(ConnectRefused) as refused:
         connect(database.endpoint)
@@ -125,7 +125,7 @@
         connect(database.endpoint, timeout=0.05)
 
 
-def test_a_run_that_is_given_up_ends_its_connection(database):
+def test_a_cancelled_run_closes_its_connection(database):
     closed = []
 
     async def go():
@@ -143,19 +143,19 @@
     assert closed == [None]
 
 
-def test_an_instance_without_a_way_to_the_database_is_used_no_more(database):
+def test_a_connection_to_an_owner_that_does_not_reach_the_database_is_closed(database):
     database.answers[b"QUERY 1"] = b"ERROR UNREACHABLE no way\r\nREADY I -\r\n"
-    told = []
+    calls = []
 
     async def go():
         target = await connect_line_target(
             reactor, database.endpoint, "group", "db-1", 2.0, LIMITS
         )
-        target.on_target_unreachable = lambda has_left: told.append(
+        target.on_target_unreachable = lambda has_left: calls.append(
             (target.broken, has_left)
         )
         end = await target.run(b"QUERY 1 READ a\r\n", Sink())
         return end.error.sqlstate, target.broken
 
     assert run(lambda: Deferred.fromCoroutine(go())) == (CANNOT_CONNECT_NOW, True)
-    assert told == [(False, False)]
+    assert calls == [(False, False)]
--- a/tests/platform/test_unreadable_objects.py
+++ b/tests/platform/test_unreadable_objects.py
@@ -1,4 +1,7 @@
-"""Objects of the store that another writer may have left cost themselves alone."""
+"""Malformed objects in the store, which any client may write.
+
+A reader must leave out only such an object and still read all others.
+"""
 
 import json
 
@@ -73,32 +76,32 @@
 
 
 @pytest.mark.parametrize(("field", "value"), BAD_FIELDS)
-def test_an_entry_with_a_field_of_another_kind_names_no_database(field, value):
+def test_an_entry_with_an_invalid_field_is_left_out(field, value):
     found, findings = read_entry(make_item(ENTRY | {field: value}, "servers/i-1"))
     assert found is None and findings
     assert findings[0].source == "servers/i-1" and field in findings[0].place
 
 
 @pytest.mark.parametrize("field", sorted(ENTRY.keys() - {"database_role"}))
-def test_an_entry_that_lacks_a_field_names_no_database(field):
+def test_an_entry_that_lacks_a_field_is_left_out(field):
     value = {name: each for name, each in ENTRY.items() if name != field}
     found, findings = read_entry(make_item(value, "servers/i-1"))
     assert found is None and field in findings[0].place
 
 
 @pytest.mark.parametrize("value", [None, [], "text", 7, {}])
-def test_what_is_no_entry_names_no_database(value):
+def test_a_value_that_is_no_entry_is_left_out(value):
     found, findings = read_entry(make_item(value, "servers/i-1"))
     assert found is None and findings
 
 
 @pytest.mark.parametrize("name", ["", "i 1", "i-1\r\n", "i-é", "\ud800"])
-def test_an_entry_under_a_name_that_no_database_has_is_left_out(name):
+def test_an_entry_with_an_invalid_name_is_left_out(name):
     found, findings = read_entry(make_item(ENTRY, f"servers/{name}"))
     assert found is None and findings
 
 
-def test_fields_that_are_not_known_do_no_harm():
+def test_unknown_fields_are_ignored():
     found, findings = read_entry(make_item(ENTRY | {"other": [1]}, "servers/i-1"))
     assert found is not None and findings == []
 
@@ -127,7 +130,7 @@
     assert peer is None or peer.relay_endpoint.port in range(1, 65536)
 
 
-def test_a_route_that_cannot_be_read_costs_itself_alone():
+def test_only_the_route_that_cannot_be_read_is_left_out():
     bad = CONFIG["routes"][0] | {"kind": "eventual"}
     value = CONFIG | {"routes": [bad, CONFIG["routes"][1], 7]}
     found, findings = read_configuration(make_item(value))
@@ -136,7 +139,7 @@
 
 
 class RawHttp:
-    """Gives one answer as bytes."""
+    """Returns the same answer, as raw bytes, to each call."""
 
     timeout = 2.0
 
@@ -178,7 +181,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_OBJECTS, ids=range(len(BAD_OBJECTS)))
-def test_an_object_that_cannot_be_decoded_takes_no_other_one_away(bad):
+def test_only_the_object_that_cannot_be_decoded_is_left_out(bad):
     good = json.dumps(make_object("i-1", ENTRY)).encode()
     last = json.dumps(make_object("i-2", ENTRY)).encode()
     body = b'{"items": [%s, %s, %s], "has_more": false, "current_rev": 9}'
@@ -186,7 +189,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_OBJECTS, ids=range(len(BAD_OBJECTS)))
-def test_a_change_that_cannot_be_decoded_takes_no_other_one_away(bad):
+def test_only_the_change_that_cannot_be_decoded_is_left_out(bad):
     good = json.dumps({"object": make_object("i-1", ENTRY), "removed": False}).encode()
     body = b'{"events": [{"object": %s, "removed": false}, %s], "current_rev": 9}'
     store = PlatformStore(RawHttp(body % (bad, good)))
@@ -199,7 +202,7 @@
 @pytest.mark.parametrize(
     "fields", [(7, 1, {}, False), ("servers/i-2", "x", {}, False), ("a",), ()]
 )
-def test_an_object_of_another_instances_copy_costs_itself_alone(fields):
+def test_only_the_malformed_object_of_a_snapshot_is_left_out(fields):
     good = PlatformObject("servers/i-1", 3, ENTRY, False)
     copies = {"servers": {"servers/i-1": good, "x": fields}}
     found = decode_snapshot(encode_snapshot(copies))
