--- a/beryltrack/command/fleet.py
+++ b/beryltrack/command/fleet.py
@@ -59,7 +59,7 @@
     seen_by, instances : int
         Number of instances that agree on term and primary, and of all that serve it.
     databases : tuple of DatabaseReport
-        Its members; for each the newest report, first of instances that reach it.
+        Its members; for each the newest report, preferably of one that reaches it.
     """
 
     name: str
--- a/beryltrack/platform/boot.py
+++ b/beryltrack/platform/boot.py
@@ -74,7 +74,7 @@
         capacity=_read_capacity(fields.get("limits") or {}),
         tolerance=Tolerance(
             float(bounds.get("quota_overage", 0.0)),
-            float(bounds.get("quota_slack", 0.0)),  # Operations per window.
+            float(bounds.get("quota_slack", 0.0)),  # Operations in any window.
             float(bounds.get("quota_window_s", Tolerance().window)),
         ),
     )
--- a/beryltrack/platform/caller.py
+++ b/beryltrack/platform/caller.py
@@ -45,7 +45,7 @@
         self.write(lines.READY_LINES[status])
 
     def answer_local(self, is_done: bool) -> None:
-        """Answer a statement that changes only the session: done or malformed."""
+        """Answer a statement that ran on the session alone; malformed if not done."""
         if is_done:
             self.write(lines.EMPTY_COMPLETE)
         else:
--- a/beryltrack/platform/codes.py
+++ b/beryltrack/platform/codes.py
@@ -64,7 +64,7 @@
     fields = line.split(b" ", 2)
     code = fields[1] if len(fields) > 1 else b""
     text = fields[2].decode("utf-8", "replace") if len(fields) > 2 else ""
-    # Take the retry time of another instance out of the text, so that it is given once.
+    # Split off the retry time that an instance gave, so that no other is added to it.
     text, hint, retry_after = split_refusal(text)
     name = code.decode("ascii", "replace").lower()
     state = _SQLSTATES_BY_CODE.get(code, SYSTEM_ERROR)
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -146,7 +146,7 @@
     -------
     tuple
         The entry, None if it cannot be read, and the findings. An entry that another
-        program has written cannot be read.
+        program has written counts as unreadable.
     """
     found, findings = fields.read_fields(item.path, "", item.value, _ENTRY_FIELDS)
     try:
