--- a/beryltrack_standins/lines/__init__.py
+++ b/beryltrack_standins/lines/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform: databases, store and promotions, in one process."""
+"""Stand-ins for the users' line-protocol databases, object store and promotions."""
--- a/beryltrack_standins/lines/database.py
+++ b/beryltrack_standins/lines/database.py
@@ -1,4 +1,9 @@
-"""The line protocol of a database, over the model of its group."""
+"""A database that speaks the line protocol, over the model of its group.
+
+A client sends ``START`` and then ``QUERY ID STATEMENT`` lines; they are run one after
+the other. An answer ends with ``READY``, the state of the transaction and the position
+that readers see.
+"""
 
 import random
 from typing import Protocol as Interface
@@ -13,26 +18,30 @@
 from beryltrack_standins.lines.group import Database, Group
 
 WORK_TIME = (0.001, 0.012)
-"""Bounds of the seconds that a statement runs."""
+"""Bounds in seconds of the time that a statement runs."""
 
 
 class Observer(Interface):
-    """Sees what databases run."""
+    """Receives the statements and commits of databases."""
 
     def observe_run(
-        self, database: Database, session: "DatabaseSession", line: bytes, text: bytes
+        self,
+        database: Database,
+        session: "DatabaseSession",
+        request_id: bytes,
+        text: bytes,
     ) -> None:
-        """Take a statement that a database runs, by its identifier and text."""
+        """Record that a database runs a statement."""
 
-    def observe_commit(self, line: bytes, position: LogPosition) -> None:
-        """Take the position of a statement that has committed."""
+    def observe_commit(self, request_id: bytes, position: LogPosition) -> None:
+        """Record the position at which a statement has committed."""
 
 
 class DatabaseSession(Protocol):
     """One connection to a database."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take a new connection; a database that is down takes none."""
+        """Accept a connection; reset it if the database has crashed."""
         self.buffer = LineBuffer()
         self.values: dict[bytes, bytes] = {}
         self.prepared: dict[bytes, tuple[bytes, bytes]] = {}
@@ -44,37 +53,37 @@
         self.account = ""
         self.lines: list[bytes] = []
         self.is_busy = False
-        self.is_gone = False
+        self.is_closed = False
         self.factory.sessions.add(self)
         self.transport.setTcpNoDelay(True)
         if not (self.factory.database.is_up or self.factory.is_silent):
             self.transport.abortConnection()
 
     def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
-        """Roll back what is open."""
-        self.writes, self.is_gone = None, True
+        """Roll back the open transaction."""
+        self.writes, self.is_closed = None, True
         self.factory.sessions.discard(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take messages; they are run one after the other."""
+        """Queue the received messages, which are run one after the other."""
         self.lines.extend(self.buffer.feed(data))
-        self._go_on()
+        self._run_next()
 
-    def _go_on(self) -> None:
-        """Run the next message."""
-        if self.lines and not self.is_busy and not self.is_gone:
+    def _run_next(self) -> None:
+        """Start the next message unless one is running."""
+        if self.lines and not self.is_busy and not self.is_closed:
             self.is_busy = True
-            Deferred.fromCoroutine(self._take(self.lines.pop(0)))
+            Deferred.fromCoroutine(self._handle_message(self.lines.pop(0)))
 
-    async def _take(self, line: bytes) -> None:
+    async def _handle_message(self, line: bytes) -> None:
         """Run one message and answer it."""
         answer = await self._answer(line)
         self.is_busy = False
-        if self.is_gone or not self.factory.database.is_up:
+        if self.is_closed or not self.factory.database.is_up:
             return
         if answer:
             self.transport.write(answer)
-        self._go_on()
+        self._run_next()
 
     async def _answer(self, line: bytes) -> bytes:
         """Return the answer to one message."""
@@ -93,25 +102,25 @@
     async def _run(self, request_id: bytes, text: bytes) -> bytes:
         """Run one statement."""
         database, group = self.factory.database, self.factory.group
-        word = text.split(b" ")[0]
-        if request_id == b"-" and word in _CONTROL:
-            return _CONTROL[word](group, database, text) + self._ready()
-        if word in (b"SET", b"PREPARE", b"DEALLOCATE", b"RESET"):
-            self._set(text)
+        keyword = text.split(b" ")[0]
+        if request_id == b"-" and keyword in _CONTROL:
+            return _CONTROL[keyword](group, database, text) + self._ready()
+        if keyword in (b"SET", b"PREPARE", b"DEALLOCATE", b"RESET"):
+            self._change_session_state(text)
             return b"COMPLETE -\r\n" + self._ready()
         delay = self.factory.rng.uniform(*WORK_TIME)
         await deferLater(self.factory.reactor, delay)
-        if self.is_gone or not database.is_up:
+        if self.is_closed or not database.is_up:
             return b""
-        if word == b"AFTER":
-            _, place, text = text.split(b" ", 2)
-            if parse_position(place) > database.visible:
+        if keyword == b"AFTER":
+            _, position, text = text.split(b" ", 2)
+            if parse_position(position) > database.visible:
                 return b"ERROR LAGGING %s\r\n" % database.name.encode() + self._ready()
         result = self._execute(request_id, text)
         return result + self._ready()
 
-    def _set(self, text: bytes) -> None:
-        """Change what the connection keeps."""
+    def _change_session_state(self, text: bytes) -> None:
+        """Change the connection's settings or prepared statements."""
         fields = text.split(b" ", 3)
         if fields[0] == b"RESET":
             self.values.clear()
@@ -135,7 +144,7 @@
         begins_reading = verb == b"BEGIN" and bool(fields)
         if self.is_failed and verb not in (b"COMMIT", b"ROLLBACK"):
             return b"ERROR MALFORMED\r\n"
-        if self._must_lead(verb, begins_reading) and not self._leads():
+        if self._needs_primary(verb, begins_reading) and not self._is_primary():
             self.is_failed = self.writes is not None
             return b"ERROR READONLY %s\r\n" % database.name.encode()
         self.factory.observer.observe_run(database, self, request_id, text)
@@ -156,7 +165,7 @@
             self.writes, self.is_failed = None, False
         return self._complete()
 
-    def _must_lead(self, verb: bytes, begins_reading: bool) -> bool:
+    def _needs_primary(self, verb: bytes, begins_reading: bool) -> bool:
         """Return whether only the primary may run a statement here."""
         if self.writes is None:
             return verb in (b"WRITE", b"BEGIN") and not begins_reading
@@ -164,26 +173,26 @@
             return False
         return verb != b"COMMIT" or bool(self.writes)
 
-    def _leads(self) -> bool:
-        """Return whether the database leads, and did when the transaction began."""
+    def _is_primary(self) -> bool:
+        """Return whether the database leads, in the term of the open transaction."""
         database = self.factory.database
         same_term = self.writes is None or self.term == database.term
         return database.role == PRIMARY and same_term
 
     def _commit(self, request_id: bytes, writes: dict[bytes, bytes]) -> None:
-        """Commit writes and tell the observer where."""
+        """Commit writes and report their position to the observer."""
         position = self.factory.group.commit(self.factory.database, writes)
         self.factory.observer.observe_commit(request_id, position)
 
     def _complete(self) -> bytes:
-        """Return the end of an answer, which only this database can give."""
+        """Return the end of an answer with a signature unique to this execution."""
         return b"COMPLETE %s.%d\r\n" % (
             self.factory.database.name.encode(),
             next(self.factory.numbers),
         )
 
     def _ready(self) -> bytes:
-        """Return how the transaction stands and what readers see."""
+        """Return the READY line: the transaction's state and the visible position."""
         state = b"I" if self.writes is None else b"E" if self.is_failed else b"T"
         return b"READY %s %d.%d\r\n" % (state, *self.factory.database.visible)
 
@@ -195,7 +204,7 @@
 
 
 def _pause(group: Group, database: Database, text: bytes) -> bytes:
-    """Hold a replica, if the term is above the newest one."""
+    """Hold a replica for a term, if that is above the replica's own."""
     term = int(text.split(b" ")[1])
     if database.role != PRIMARY and term > database.term:
         database.held = term
@@ -203,7 +212,7 @@
 
 
 def _resume(group: Group, database: Database, text: bytes) -> bytes:
-    """Let a replica receive again."""
+    """End a replica's hold."""
     group.release(database)
     return _make_row(database)
 
@@ -223,22 +232,22 @@
 
 
 class DatabaseFactory(Factory):
-    """Listens as one database.
+    """Accepts connections to one database.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Carries the time that statements run.
+        Source of delayed calls, for the time that statements run.
     group : Group
         The group's model.
     name : str
         The database's identifier.
     observer : Observer
-        Sees what it runs.
+        Receives the statements that it runs and their commits.
     rng : random.Random
-        Source of the times.
+        Source of the times that statements run.
     numbers : iterator of int
-        Makes signatures unique.
+        Numbers that make the signatures of answers unique.
     """
 
     noisy = False
@@ -257,26 +266,30 @@
         self.is_silent = False
 
     def crash(self, is_silent: bool) -> None:
-        """Stop the database; its connections break unless it goes dark."""
+        """Stop the database, and reset its connections unless it becomes silent.
+
+        A silent database, as after a loss of power, leaves its connections open and
+        accepts new ones, but answers nothing.
+        """
         self.group.crash(self.database.name)
         self.is_silent = is_silent
         if not is_silent:
             self.break_connections()
 
     def restart(self) -> None:
-        """Start the database again, without the connections of before."""
+        """Reset all connections and restart the database with its log."""
         self.is_silent = False
         self.break_connections()
         self.group.restart(self.database.name)
 
     def restart_empty(self) -> None:
-        """Start the database again with nothing of what it held."""
+        """Reset all connections and restart the database without its log and term."""
         self.is_silent = False
         self.break_connections()
         self.group.restart_empty(self.database.name)
 
     def break_connections(self) -> None:
-        """Break all connections; what runs on them ends with the process."""
+        """Reset all connections and end the statements that run on them."""
         for session in tuple(self.sessions):
-            session.is_gone = True
+            session.is_closed = True
             session.transport.abortConnection()
--- a/beryltrack_standins/lines/group.py
+++ b/beryltrack_standins/lines/group.py
@@ -1,11 +1,11 @@
 """A group of databases that replicate asynchronously, with terms and promotions.
 
-The model is what the users' pages say of their databases: a commit is the primary's
-alone until replicas have received it, which takes a network delay; readers of a
-replica see it later still. A promotion takes effect at once everywhere, whoever is cut
-off, and rolls back what its database had not received. Where primaries go on, the
-former one does not notice it: it leads its own term until it is stepped down, or some
-time after it can reach the next one.
+The model follows the documentation of the users' databases. Only the primary has a
+commit until replicas have received it, after a network delay; readers of a replica see
+it later still. A promotion takes effect at once in all databases, also in partitioned
+ones, and rolls back what the promoted database had not received. If former primaries
+continue, the former primary does not notice the promotion: it leads its own term until
+it is stepped down, or until some time after it can reach the new primary.
 """
 
 import random
@@ -15,17 +15,18 @@
 from beryltrack.groups.messages import PRIMARY, REPLICA, LogPosition
 
 RECEIVE_DELAY = (0.001, 0.004)
-"""Bounds of the seconds after which a replica has received a commit."""
+"""Bounds in seconds of the time until a replica has received a commit."""
 
 APPLY_DELAY = (0.005, 0.06)
-"""Bounds of the seconds after which its readers see a commit that it received."""
+"""Bounds in seconds of the time from a commit's receipt until readers see it."""
 
 STEP_DOWN_DELAY = 1.0
-"""Seconds for which a former primary goes on once it can reach the next one."""
+"""Seconds from a promotion until the former primary steps down, if it can reach the new
+primary by then; otherwise the interval at which this is checked again."""
 
 
 class Commit(NamedTuple):
-    """One entry of a log: its position, and the data by item."""
+    """One entry of a log: its position, and the values written, by item."""
 
     position: LogPosition
     writes: dict[bytes, bytes]
@@ -58,11 +59,11 @@
 
     @property
     def visible(self) -> LogPosition:
-        """The last entry that its readers see."""
+        """The last entry that readers can see."""
         return self.log[self.applied - 1].position if self.applied else self.start
 
     def read(self, item: bytes) -> bytes:
-        """Return the data of an item as its readers see it."""
+        """Return an item's value as readers see it, ``none`` if there is none."""
         return next(
             (
                 commit.writes[item]
@@ -79,13 +80,13 @@
     Parameters
     ----------
     clock : IReactorTime
-        Carries the delays.
+        Source of delayed calls.
     names : tuple of str
-        Identifiers; the first one leads.
+        Identifiers; the first database is the primary.
     rng : random.Random
         Source of the delays.
     former_primary_continues : bool
-        True if a former primary goes on.
+        True if a former primary continues to lead its own term.
     """
 
     def __init__(
@@ -109,12 +110,12 @@
 
     @property
     def primary(self) -> Database | None:
-        """The database that leads the newest term."""
+        """The primary of the newest term, None if there is none."""
         leaders = [each for each in self.databases.values() if each.role == PRIMARY]
         return max(leaders, key=lambda each: each.term, default=None)
 
     def commit(self, database: Database, writes: dict[bytes, bytes]) -> LogPosition:
-        """Append a commit to the primary's log and send it to the replicas."""
+        """Append a commit to the primary's log, and replicate it."""
         last = database.received
         commit = Commit(LogPosition(database.term, last.offset + 1), writes)
         database.log.append(commit)
@@ -126,7 +127,7 @@
         return commit.position
 
     def promote(self, name: str) -> None:
-        """Have a database lead the next term with what it has received."""
+        """Make a database the primary of the next term, with the log that it has."""
         chosen = self.databases[name]
         if chosen.role == PRIMARY or not chosen.is_up:
             return
@@ -135,12 +136,12 @@
         self.term += 1
         for each in self.databases.values():
             if each is not former or not self.former_primary_continues:
-                self._follow(each, chosen)
+                self._make_replica(each, chosen)
         chosen.role, chosen.term, chosen.held = PRIMARY, self.term, 0
         chosen.applied = len(chosen.log)
         self._catch_up(chosen)
         if former is not None and self.former_primary_continues:
-            self._clock.callLater(STEP_DOWN_DELAY, self._notice, former)
+            self._clock.callLater(STEP_DOWN_DELAY, self._step_down_former, former)
 
     def step_down(self, database: Database, term: int) -> None:
         """Make a primary of a lower term a replica."""
@@ -148,46 +149,46 @@
             return
         database.role = REPLICA
         if self.primary is not None:
-            self._follow(database, self.primary)
+            self._make_replica(database, self.primary)
             self._replicate(self.primary, database)
 
-    def _notice(self, former: Database) -> None:
-        """Have a former primary follow the next one, once it can reach that."""
+    def _step_down_former(self, former: Database) -> None:
+        """Step a former primary down once it can reach the new primary."""
         if former.role != PRIMARY or former is self.primary:
             return
         if former.is_partitioned or not former.is_up:
-            self._clock.callLater(STEP_DOWN_DELAY, self._notice, former)
+            self._clock.callLater(STEP_DOWN_DELAY, self._step_down_former, former)
         else:
             self.step_down(former, self.term)
 
-    def _follow(self, database: Database, primary: Database) -> None:
-        """Take back what another one's log does not have, and lead no more."""
-        kept = {commit.position for commit in primary.log}
-        lost = [c.position for c in database.log if c.position not in kept]
+    def _make_replica(self, database: Database, primary: Database) -> None:
+        """Make a database a replica; roll back commits that the primary lacks."""
+        positions = {commit.position for commit in primary.log}
+        lost = [c.position for c in database.log if c.position not in positions]
         self.rolled_back.update(lost)
-        database.log = [c for c in database.log if c.position in kept]
+        database.log = [c for c in database.log if c.position in positions]
         database.applied = min(database.applied, len(database.log))
         database.role = REPLICA
 
     def release(self, database: Database) -> None:
-        """Let a replica receive again."""
+        """End a replica's hold, so that it receives again."""
         database.held = 0
         if self.primary is not None:
             self._replicate(self.primary, database)
 
     def catch_up(self) -> None:
-        """Send what was held up while databases were cut off from each other."""
+        """Replicate what could not be sent while databases were partitioned."""
         if self.primary is not None:
             self._catch_up(self.primary)
 
     def _catch_up(self, primary: Database) -> None:
-        """Send a primary's log to all replicas that may receive."""
+        """Send a primary's log to all replicas that can receive it."""
         for replica in self.databases.values():
             if replica is not primary:
                 self._replicate(primary, replica)
 
     def _replicate(self, primary: Database, replica: Database) -> None:
-        """Bring a replica's log up to that of its primary."""
+        """Send a replica the primary's log, unless it is held or cannot be reached."""
         if primary is not self.primary or replica.held or replica.role == PRIMARY:
             return
         if primary.is_partitioned or replica.is_partitioned:
@@ -202,18 +203,19 @@
             self._clock.callLater(delay, self._apply, replica, commit.position)
 
     def _apply(self, replica: Database, position: LogPosition) -> None:
-        """Show a commit to a replica's readers, in the order of the log."""
+        """Make a commit visible to a replica's readers, with all before it."""
         for index in range(replica.applied, len(replica.log)):
             if replica.log[index].position <= position:
                 replica.applied = index + 1
 
     @property
     def may_restart_empty(self) -> bool:
-        """True if a database may start again empty.
+        """True if a database may restart empty.
 
-        One at a time: what two have lost before either has caught up was perhaps
-        nowhere else. Nor while a call to promote one is under way, which the promotion
-        service carries out for whatever runs under the identifier by then.
+        Only one at a time may: if two lose their data before the first has caught up,
+        no database may be left with a commit that both had. None may during a
+        promotion, because the service promotes the database that runs under the
+        identifier when the call takes effect, even one that restarted empty.
         """
         if any(self.promoting.values()) or self.primary is None:
             return False
@@ -223,7 +225,7 @@
         return database.received >= needed
 
     def restart_empty(self, name: str) -> None:
-        """Start a database again that holds and knows nothing of before."""
+        """Restart a database that has lost its log and its term."""
         database = self.databases[name]
         longest = max(each.received for each in self.databases.values())
         self._emptied = (database, longest)
@@ -233,11 +235,11 @@
         self.restart(name)
 
     def crash(self, name: str) -> None:
-        """Stop a database; it keeps its log."""
+        """Stop a database without loss of its log."""
         self.databases[name].is_up = False
 
     def restart(self, name: str) -> None:
-        """Start a database again; its hold is over."""
+        """Restart a database with its log; its hold has ended."""
         database = self.databases[name]
         database.is_up, database.held = True, 0
         if self.primary is not None and self.primary is not database:
--- a/beryltrack_standins/lines/store.py
+++ b/beryltrack_standins/lines/store.py
@@ -1,7 +1,9 @@
-"""The users' store of objects and their promotion service, over HTTP.
+"""The users' object store and their promotion service, over HTTP.
 
-One instance of the server listens for each node, so that each can be given addresses
-of its own for the databases and be turned away on its own.
+The store keeps objects by kind and name under one revision counter, with conditional
+writes and watches (long polls). Promotions carry fencing tokens. Each proxy instance
+has a server of its own, so that it can have its own addresses of the databases and its
+own faults.
 """
 
 import json
@@ -23,16 +25,18 @@
 from beryltrack_standins.lines.group import Group
 
 MAX_EVENTS = 200
-"""Changes that the store remembers."""
+"""Number of changes in the history that watches read; older ones are compacted."""
 
 ERA_HEADER = "Store-Era"
-"""Names the header that rises by one each time the store is restored from a backup."""
+"""Header with the era, which rises by one at each restore from a backup."""
 
 LOST, REFUSING, SILENT, LATE = "lost", "refusing", "silent", "late"
+"""Faults of a `StoreView`: answers to changes are lost, each call is refused with 503,
+no call is answered, changes take effect after their connection was cut."""
 
 
 class Event(NamedTuple):
-    """One change: its revision, the object, and whether that is gone."""
+    """One change: its revision, the object, and whether the object was removed."""
 
     revision: int
     kind: str
@@ -41,7 +45,7 @@
 
 
 class Change(NamedTuple):
-    """What a call is to change, and the revision on which that depends (or None)."""
+    """A requested change, and the revision that it is conditional on (or None)."""
 
     method: bytes
     kind: str
@@ -51,7 +55,7 @@
 
 
 class Backup(NamedTuple):
-    """All that the store held at a moment: its revision, objects and changes."""
+    """A copy of the store's state: its revision, objects and history of changes."""
 
     revision: int
     objects: dict[tuple[str, str], dict]
@@ -64,8 +68,8 @@
     Parameters
     ----------
     era : int or None
-        How often it was restored from a backup, as its answers tell; None if they tell
-        nothing of that.
+        How often it was restored from a backup, which its answers report in
+        `ERA_HEADER`; None if they have no such header.
     """
 
     def __init__(self, era: int | None = 1):
@@ -79,7 +83,7 @@
         self._watches: list[Callable[[], None]] = []
 
     def change(self, kind: str, name: str, spec: object, removed: bool = False) -> dict:
-        """Write or remove an object; return it."""
+        """Write or remove an object, and return its new version."""
         self.revision += 1
         self.writes += 1
         item = {"meta": {"name": name, "revision": self.revision}, "spec": spec}
@@ -96,7 +100,7 @@
         return item
 
     def compact(self) -> None:
-        """Forget all changes, as a store that compacts its history."""
+        """Drop the history; watches from before the present revision get 410 Gone."""
         self.events.clear()
         self.compacted_revision = self.revision
 
@@ -105,10 +109,10 @@
         return Backup(self.revision, dict(self.objects), tuple(self.events))
 
     def restore(self, backup: Backup, aborts_watches: bool = True) -> None:
-        """Go back to a backup: what was written since is gone.
+        """Go back to a backup and lose all later writes.
 
-        Revisions after the backup's are given out again. A wait that is not cut off
-        goes on from a revision that now stands for something else.
+        Revisions after the backup's are assigned again. A watch that is not aborted
+        continues from a revision that now stands for another change.
         """
         self.revision, self.objects = backup.revision, dict(backup.objects)
         self.events = list(backup.events)
@@ -118,16 +122,16 @@
             abort()
 
     def get_events(self, kind: str, after: int) -> list[Event]:
-        """Return the changes of a kind after a revision."""
+        """Return the changes of a kind after a revision, oldest first."""
         return [each for each in self.events if each.kind == kind and each[0] > after]
 
     def notify_once(self, callback: Callable[[], None]) -> None:
-        """Call back once at the next change."""
+        """Call `callback` once, at the next change."""
         self._watches.append(callback)
 
 
 class StoreView(Resource):
-    """The store as one node sees it.
+    """The store as one proxy instance sees it.
 
     Parameters
     ----------
@@ -136,9 +140,9 @@
     store : Store
         The objects.
     rewrite : callable
-        Changes the spec of an object for this node, by kind and name.
+        Returns the spec of an object for this instance, given its kind, name and spec.
     rng : random.Random
-        Decides which answers are lost.
+        Decides which answers are lost and which changes are late.
     """
 
     isLeaf = True
@@ -170,19 +174,19 @@
         change = self._read_change(request, kind, name)
         if self.fault == LATE and self._rng.random() < 0.4:
             delay = self._rng.uniform(0.3, 6.0)
-            self._reactor.callLater(delay, self._carry_out, change)
+            self._reactor.callLater(delay, self._apply_change, change)
             request.transport.abortConnection()
             return NOT_DONE_YET
-        done = self._carry_out(change)
+        result = self._apply_change(change)
         if self.fault == LOST and self._rng.random() < 0.4:
             request.transport.abortConnection()
             return NOT_DONE_YET
-        if isinstance(done, int):
-            return self._refuse(request, done)
-        return self._send(request, done)
+        if isinstance(result, int):
+            return self._refuse(request, result)
+        return self._send(request, result)
 
     def _get(self, request, kind: str, name: str):
-        """Read one object, list a kind, or wait for its changes."""
+        """Read one object, list the objects of a kind, or watch a kind."""
         if name:
             item = self._store.objects.get((kind, name))
             return self._send(request, item) if item else self._refuse(request, 404)
@@ -191,7 +195,7 @@
             wait = int(request.args.get(b"wait_ms", [b"1000"])[0]) / 1000
             return self._watch(request, kind, int(watch[0]), wait)
         items = [
-            self._show(kind, item)
+            self._rewrite_item(kind, item)
             for (each, _), item in self._store.objects.items()
             if each == kind
         ]
@@ -199,26 +203,26 @@
         return self._send(request, page)
 
     def _watch(self, request, kind: str, after: int, wait: float):
-        """Answer as soon as there is a change, or with none after a time."""
+        """Answer at the next change, or with no change after `wait` seconds."""
         if after < self._store.compacted_revision or after > self._store.revision:
             return self._refuse(request, GONE)
-        gone = []
-        request.notifyFinish().addErrback(gone.append)
+        closed = []
+        request.notifyFinish().addErrback(closed.append)
         timer = deferLater(self._reactor, wait, lambda: finish(True))
         timer.addErrback(lambda _: None)
 
-        def finish(at_once: bool = False) -> None:
-            if gone or request.finished:
+        def finish(timed_out: bool = False) -> None:
+            if closed or request.finished:
                 self._store.watch_aborts.discard(abort)
                 return
             events = self._store.get_events(kind, after)
-            if not (events or at_once):
+            if not (events or timed_out):
                 self._store.notify_once(finish)
                 return
             timer.cancel()
             self._store.watch_aborts.discard(abort)
             changes = [
-                {"object": self._show(kind, each.item), "removed": each.removed}
+                {"object": self._rewrite_item(kind, each.item), "removed": each.removed}
                 for each in events
             ]
             body = {"events": changes, "current_rev": self._store.revision}
@@ -228,8 +232,8 @@
         def abort() -> None:
             self._store.watch_aborts.discard(abort)
             timer.cancel()
-            if not (gone or request.finished):
-                gone.append(None)
+            if not (closed or request.finished):
+                closed.append(None)
                 request.transport.abortConnection()
 
         self._store.watch_aborts.add(abort)
@@ -237,7 +241,7 @@
         return NOT_DONE_YET
 
     def _read_change(self, request, kind: str, name: str) -> Change:
-        """Return what a call is to change."""
+        """Return the change that a call requests."""
         body = json.loads(request.content.read() or b"{}")
         meta = body.get("meta", {})
         revision = request.args.get(b"revision", [meta.get("revision")])[0]
@@ -245,47 +249,52 @@
         name = name or meta.get("name", "")
         return Change(request.method, kind, name, body.get("spec"), condition)
 
-    def _carry_out(self, change: Change) -> dict | int:
-        """Create, replace or remove an object on its condition; return it, or why not.
+    def _apply_change(self, change: Change) -> dict | int:
+        """Create, replace or remove an object if the change's condition holds.
 
-        A call whose answer is lost may be carried out seconds later.
+        Under the fault `LATE` this may run seconds after the connection was cut.
+
+        Returns
+        -------
+        dict or int
+            The object, or the HTTP status of the refusal.
         """
-        kept = self._store.objects.get((change.kind, change.name))
+        stored = self._store.objects.get((change.kind, change.name))
         removed = change.method == b"DELETE"
         if change.method == b"POST":
-            if kept is not None:
+            if stored is not None:
                 return CONFLICT
-        elif kept is None:
+        elif stored is None:
             return NOT_FOUND
-        elif change.condition not in (None, kept["meta"]["revision"]):
+        elif change.condition not in (None, stored["meta"]["revision"]):
             return CONFLICT
-        elif not removed and kept["spec"] == change.spec:
-            return kept
+        elif not removed and stored["spec"] == change.spec:
+            return stored
         return self._store.change(change.kind, change.name, change.spec, removed)
 
-    def _show(self, kind: str, item: dict) -> dict:
-        """Return an object with the addresses that this node is to use."""
+    def _rewrite_item(self, kind: str, item: dict) -> dict:
+        """Return an object with the addresses that this instance has to use."""
         spec = self._rewrite(kind, item["meta"]["name"], item["spec"])
         return {**item, "spec": spec}
 
     def _send(self, request, value: object) -> bytes:
-        """Return a JSON body."""
+        """Set the content type and return the JSON body."""
         request.setHeader(b"content-type", b"application/json")
         return json.dumps(value).encode()
 
     def _refuse(self, request, code: int) -> bytes:
-        """Return an error."""
+        """Set the status of an error and return an empty JSON object."""
         request.setResponseCode(code)
         return b"{}"
 
 
 class FencingTokenLog:
-    """The tokens that the promotion service has seen, shared by all its views.
+    """The fencing tokens that the promotion service has received, for all its views.
 
     Parameters
     ----------
     is_fenced : bool
-        True if it refuses a lower token than it has seen.
+        True if the service refuses a token that is lower than one it has accepted.
     """
 
     def __init__(self, is_fenced: bool = True):
@@ -295,17 +304,23 @@
         self._holders: dict[tuple[str, int], str] = {}
 
     def record_call(self, group: str, token: int, holder: str) -> None:
-        """Take a call as it arrives; note one that breaks the order of tokens."""
+        """Record a call on arrival, and a breach if its token is out of order.
+
+        Without a fence a token lower than an earlier one is a breach; in any case so
+        is a token that two holders send.
+        """
         highest = self._highest.get(group, 0)
         if not self.is_fenced and token < highest:
             self.breaches.append(f"{holder} sends token {token} after {highest}")
         if self._holders.setdefault((group, token), holder) != holder:
-            self.breaches.append(f"{holder} sends token {token} of another one")
+            self.breaches.append(
+                f"{holder} sends token {token}, which is another holder's"
+            )
         if not self.is_fenced:
             self._highest[group] = max(highest, token)
 
     def accept_token(self, group: str, token: int) -> bool:
-        """Return whether a call may have its effect now."""
+        """Return whether the fence lets a call take effect now, and raise the fence."""
         if self.is_fenced and token < self._highest.get(group, 0):
             return False
         self._highest[group] = max(token, self._highest.get(group, 0))
@@ -313,16 +328,16 @@
 
 
 class PromotionView(Resource):
-    """The promotion service as one node sees it.
+    """The promotion service as one proxy instance sees it.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Carries out promotions some time after the call.
+        Source of timers; a promotion takes effect some time after its call.
     groups : dict of str to Group
-        The groups.
-    tokens : PromotionLog
-        The tokens seen; shared by all nodes.
+        The groups by name.
+    tokens : FencingTokenLog
+        The tokens received; shared by the views of all instances.
     rng : random.Random
         Decides which calls are late.
     """
@@ -338,7 +353,7 @@
         self._rng = rng
 
     def render_POST(self, request):  # noqa: N802
-        """Take one call; one that is late is carried out without an answer."""
+        """Answer one call; a late one takes effect after its connection was cut."""
         body = json.loads(request.content.read())
         token = int(request.getHeader("Beryltrack-Fencing-Token") or 0)
         group = self._groups.get(body.get("service", ""))
@@ -350,27 +365,29 @@
         group.promoting[body["id"]] += 1
         if self._rng.random() < self.late_share:
             delay = self._rng.uniform(1.0, 3.0)
-            self._reactor.callLater(delay, self._carry_out, group, body, token)
+            self._reactor.callLater(delay, self._begin_promotion, group, body, token)
             request.transport.abortConnection()
             return NOT_DONE_YET
-        if not self._carry_out(group, body, token):
+        if not self._begin_promotion(group, body, token):
             request.setResponseCode(CONFLICT)
         return b"{}"
 
-    def _carry_out(self, group: Group, body: dict, token: int) -> bool:
-        """Begin a promotion unless it is fenced off."""
+    def _begin_promotion(self, group: Group, body: dict, token: int) -> bool:
+        """Begin a promotion; return False if it is fenced off or the database down."""
         name, database = body["service"], group.databases[body["id"]]
         if not (database.is_up and self._tokens.accept_token(name, token)):
             group.promoting[database.name] -= 1
             return False
-        self._reactor.callLater(PROMOTE_TIME, self._finish, group, database.name)
+        self._reactor.callLater(
+            PROMOTE_TIME, self._finish_promotion, group, database.name
+        )
         return True
 
-    def _finish(self, group: Group, name: str) -> None:
-        """Let a database lead."""
+    def _finish_promotion(self, group: Group, name: str) -> None:
+        """Make a database the primary."""
         group.promoting[name] -= 1
         group.promote(name)
 
 
 PROMOTE_TIME = 0.3
-"""Seconds from a call until the named database leads."""
+"""Seconds from a call until the named database is the primary."""
