--- a/beryltrack_standins/database/__init__.py
+++ b/beryltrack_standins/database/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for a database group: terms, a log and asynchronous replication."""
+"""Stand-in databases that speak PostgreSQL's protocol, with terms and replication."""
--- a/beryltrack_standins/database/connection.py
+++ b/beryltrack_standins/database/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a stand-in database: start-up, passwords, and its messages.
+"""One connection to a stand-in database: start-up, SCRAM log-on and messages.
 
-Messages are taken from the received bytes one at a time, each after the one before
-is answered, so that pipelined requests wait here and not in the session.
+Messages are decoded one at a time, each after the previous one is answered, so that
+pipelined requests wait here and not in the session.
 """
 
 import logging
@@ -37,14 +37,14 @@
 
 
 class CancelKey(NamedTuple):
-    """What a cancel request names.
+    """Identifies a connection in a cancel request.
 
     Parameters
     ----------
     process_id : int
         Number of the connection.
     secret : bytes
-        Its secret.
+        Secret of the connection.
     """
 
     process_id: int
@@ -52,14 +52,14 @@
 
 
 class DatabaseConnection(Protocol):
-    """One connection.
+    """One client connection.
 
     Parameters
     ----------
     server : DatabaseServer
         The server that accepted it.
     key : CancelKey
-        What a cancel request has to name.
+        The key that cancel requests for this connection have to contain.
     """
 
     def __init__(self, server, key: CancelKey):
@@ -92,14 +92,14 @@
         self._server.add(self)
 
     def connectionLost(self, reason: Failure) -> None:
-        """Undo what the client left open."""
-        self._writer.note_lost()
+        """Undo the open transaction."""
+        self._writer.handle_connection_lost()
         if self._requests is not None:
             self._requests.close()
         self._server.remove(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes, and answer the messages in them in turn."""
+        """Buffer received bytes, and answer the messages in them in order."""
         self._inbox += data
         self.pump()
 
@@ -109,46 +109,48 @@
             self._requests.cancel()
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Reset the connection."""
         self._writer.abort()
 
     def pump(self) -> None:
-        """Send what waits, and answer messages unless one is being answered."""
+        """Send pending messages, and answer requests unless one is being answered."""
         self._writer.flush()
         if not self._busy:
             self._busy = True
-            Deferred.fromCoroutine(self._answer_messages()).addErrback(self._on_fault)
+            Deferred.fromCoroutine(self._answer_messages()).addErrback(self._on_error)
 
     async def _answer_messages(self) -> None:
-        """Answer messages until none is whole."""
+        """Answer messages until no complete one is left."""
         try:
             while (message := self._read_message()) is not None:
                 await self._handlers[type(message)](message)
                 self._writer.flush()
         except CancelledError:
-            # Only the loss of the connection cancels what is not a statement.
+            # Outside a statement, only the loss of the connection cancels.
             if not self._writer.closed:
                 raise
         finally:
             self._busy = False
 
     def _read_message(self) -> messages.PGMessage | None:
-        """Return the next whole message, or None."""
+        """Return the next complete message, or None."""
         if self._writer.closed or self._server.database.frozen:
             return None
         data = bytes(self._inbox)
         self._inbox.clear()
         return next(self._wire.receive(data), None)
 
-    def _on_fault(self, failure: Failure) -> None:
-        """Answer a violation of the protocol, or a fault of ours, and close."""
+    def _on_error(self, failure: Failure) -> None:
+        """Answer a protocol violation or internal error, and close the connection."""
         is_violation = failure.check(PygwireError, KeyError)
         state = errors.PROTOCOL_VIOLATION if is_violation else errors.INTERNAL_ERROR
-        log.error("database: closed a connection: %s", failure.getTraceback())
+        log.error(
+            "database: connection closed after an error: %s", failure.getTraceback()
+        )
         self._close_with(SqlError(state, failure.getErrorMessage()))
 
     def _close_with(self, error: SqlError) -> None:
-        """Answer an error and close the connection."""
+        """Send a fatal error and close the connection."""
         if not self._writer.closed:
             self._writer.write_error(error, "FATAL")
             self._writer.close()
@@ -172,7 +174,7 @@
         application = message.params.get("application_name", "")
         self.is_control = application == CONTROL_APPLICATION
         user = message.params.get("user", "")
-        if not self._server.count(self):
+        if not self._server.admit(self):
             text = f"too many connections, at most {options.max_connections}"
             return self._close_with(SqlError(errors.TOO_MANY_CONNECTIONS, text))
         if options.users is None:
@@ -183,8 +185,8 @@
     async def _on_sasl_initial(self, message: messages.SASLInitialResponse) -> None:
         text = message.data.decode()
         try:
-            # libpq leaves the name empty, which scramp refuses; the proof of the
-            # password is over the message as it came.
+            # libpq leaves the user name empty, which scramp refuses. The client's
+            # proof covers the message as received, so the original is kept for it.
             self._scram.set_client_first(text.replace("n=,", "n=*,", 1))
             self._scram.client_first_bare = text.split(",", 2)[2]
         except scramp.ScramException as error:
@@ -205,12 +207,12 @@
         self._writer.close()
 
     def _refuse_password(self, error: Exception) -> None:
-        """Close because the password is wrong."""
+        """Refuse a wrong password and close the connection."""
         text = f"password authentication failed: {error}"
         self._close_with(SqlError(errors.BAD_PASSWORD, text))
 
     def _finish_startup(self) -> None:
-        """Tell the client that it may ask."""
+        """Complete the start-up, after which the client can send requests."""
         session = self._server.make_session()
         self._requests = RequestHandler(session, self._server.database, self._writer)
         self._handlers |= self._requests.handlers
--- a/beryltrack_standins/database/control_calls.py
+++ b/beryltrack_standins/database/control_calls.py
@@ -1,4 +1,8 @@
-"""The functions by which proxies watch and steer a database (docs/DESIGN.md)."""
+"""SQL functions by which proxies observe and control a database (docs/DESIGN.md).
+
+They return the database's status, long polls included, and execute the steps of a
+failover: grant a term, promote, stop writes.
+"""
 
 import json
 import re
@@ -26,7 +30,7 @@
 
 
 async def call_control(database: Database, text: str) -> Table:
-    """Run one control function and return its answer.
+    """Run one control function, and return its result.
 
     Parameters
     ----------
@@ -38,12 +42,12 @@
     Returns
     -------
     Table
-        One row.
+        One row: the status, after the decision if the function makes one.
 
     Raises
     ------
     SqlError
-        42601 if the function or its arguments are not known.
+        42601 if there is no such function, or it has other arguments.
     """
     name, arguments = _parse_call(text)
     try:
@@ -88,7 +92,7 @@
 def _make_condition(
     database: Database, term: int, received: int, applied: int
 ) -> Condition:
-    """Return the condition that a long poll waits for."""
+    """Return the condition that ends a long poll of the status."""
     leaving = database.log.leaving
 
     def holds(status: DatabaseStatus) -> bool:
@@ -103,7 +107,7 @@
 
 
 def _make_table(database: Database, column: str = "", value: Value = None) -> Table:
-    """Return the status row, after one more column if one is named."""
+    """Return the status row, preceded by `column` unless that is empty."""
     row = _get_status_row(database.status)
     if not column:
         return Table(STATUS_COLUMNS, (row,))
--- a/beryltrack_standins/database/dialect.py
+++ b/beryltrack_standins/database/dialect.py
@@ -1,7 +1,7 @@
-"""Statement texts: their kind, their parts, and what sqlite3 reads differently.
+"""Splits SQL texts into statements, classifies them and translates them for sqlite3.
 
-The fix-ups cover what tests and first sessions commonly use; the stand-in is no
-PostgreSQL. All results are cached by text, because callers repeat their texts.
+The translation covers only the parts of PostgreSQL's dialect that tests and simple
+sessions use. All results are cached by text, because callers repeat their texts.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class StatementKind(enum.Enum):
-    """What a statement asks of the session."""
+    """How the session has to handle a statement."""
 
     READ = "read"
     LOCK = "lock"
@@ -39,15 +39,15 @@
     Parameters
     ----------
     kind : StatementKind
-        What it asks of the session.
+        How the session has to handle it.
     text : str
         The text for sqlite3.
     tag : str
         The start of its command tag.
     parameters : int
-        The highest number among its parameters.
+        The highest number among its parameters (``$N``), zero if it has none.
     returns_rows : bool
-        True if it answers with rows.
+        True if its answer has rows.
     sleep : str
         The argument of ``pg_sleep``; empty if it is not called.
     """
@@ -82,15 +82,15 @@
     "UNLISTEN": StatementKind.SET,
     "SHOW": StatementKind.SHOW,
 }
-# A statement's kind shows in this many first words.
-WORDS = 8
-# A text without these is one statement and begins with its first word.
+# The kind of a statement follows from this many first words.
+_MAX_KIND_WORDS = 8
 _WORD = re.compile(r"\w+")
+# A text without these is one statement and begins with its first word.
 _NEEDS_TOKENIZER = re.compile(r";|--|/\*|\$\D|[\"\\]")
 _TWO_WORD_TAGS = ("CREATE", "DROP", "ALTER", "DISCARD")
 _TAGS = {"START": "BEGIN", "END": "COMMIT", "ABORT": "ROLLBACK"}
 _STRING = r"'(?:[^']|'')*'"
-# One pair of brackets inside another is as deep as the fix-ups look.
+# The patterns match at most one pair of brackets inside another.
 _BRACKETS = r"\((?:[^()]|\([^()]*\))*\)"
 _CAST = re.compile(
     rf"(?P<operand>{_STRING}|\$\d+|\w+(?:\.\w+)?(?:{_BRACKETS})?|{_BRACKETS})"
@@ -114,12 +114,12 @@
     (re.compile(r"^\s*TRUNCATE(?:\s+TABLE)?\b", re.I), "DELETE FROM"),
 )
 _LOCKING = re.compile(r"\bFOR\s+(?:NO\s+KEY\s+)?(?:UPDATE|SHARE)\b", re.I)
-_CHANGES = re.compile(r"\b(?:INSERT\s+INTO|UPDATE|DELETE\s+FROM)\b", re.I)
+_DATA_CHANGE = re.compile(r"\b(?:INSERT\s+INTO|UPDATE|DELETE\s+FROM)\b", re.I)
 _CONTROL = re.compile(r"^\s*SELECT\s+\*\s+FROM\s+beryltrack_\w+\s*\(", re.I)
 _SLEEP = re.compile(r"\bpg_sleep\(\s*(\$\d+|[\d.]+)\s*(?:::\w+)?\)", re.I)
 _PARAMETER = re.compile(r"\$(\d+)")
-# The tokenizer takes the dollars in ``$1,$2`` for those of a quoted string.
-_CLOSE_PARAMETER = re.compile(r"""'[^']*'|"[^"]*"|\$\d+(?=,)""")
+# The tokenizer mistakes the dollars in ``$1,$2`` for the quotes of a string.
+_ADJACENT_PARAMETER = re.compile(r"""'[^']*'|"[^"]*"|\$\d+(?=,)""")
 
 
 @functools.lru_cache(maxsize=4096)
@@ -134,7 +134,7 @@
     Returns
     -------
     tuple of Statement
-        The statements; none for an empty text.
+        The statements; empty for an empty text.
 
     Raises
     ------
@@ -143,7 +143,7 @@
     """
     if not _NEEDS_TOKENIZER.search(text) and text.count("'") % 2 == 0:
         return (_prepare_statement(text),) if text.strip() else ()
-    text = _CLOSE_PARAMETER.sub(_space_parameter, text)
+    text = _ADJACENT_PARAMETER.sub(_space_parameter, text)
     try:
         tokens = sqlglot.tokenize(text, read="postgres")
     except SqlglotError as error:
@@ -152,19 +152,19 @@
         tokens, lambda token: token.token_type == TokenType.SEMICOLON
     )
     return tuple(
-        _prepare_statement(_cut(text, list(part)))
+        _prepare_statement(_get_source(text, list(part)))
         for is_end, part in parts
         if not is_end
     )
 
 
 def _space_parameter(match: re.Match[str]) -> str:
-    """Return a parameter with a space after it, and a literal as it is."""
+    """Return a parameter with a space after it, and a literal unchanged."""
     return f"{match[0]} " if match[0].startswith("$") else match[0]
 
 
 def translate(text: str) -> str:
-    """Return a statement of PostgreSQL in the words of sqlite3."""
+    """Translate a statement from PostgreSQL's dialect to sqlite3's."""
     text = _SERIES.sub(_expand_series, _translate_casts(text))
     return functools.reduce(
         lambda result, change: change[0].sub(change[1], result), _REPLACEMENTS, text
@@ -182,7 +182,7 @@
 
 
 def _write_cast(match: re.Match[str]) -> str:
-    """Return one cast, or the string literal that was passed over."""
+    """Return one cast as ``CAST``, and a string literal unchanged."""
     if match["operand"] is None:
         return match[0]
     return f"CAST({match['operand']} AS {match['type'].removesuffix('[]')})"
@@ -200,21 +200,21 @@
     )
 
 
-def _cut(text: str, tokens: list[Token]) -> str:
-    """Return the part of a text that a run of tokens stands for."""
+def _get_source(text: str, tokens: list[Token]) -> str:
+    """Return the part of a text that consecutive tokens cover."""
     return text[tokens[0].start : tokens[-1].end + 1]
 
 
 def _prepare_statement(source: str) -> Statement:
-    """Return the statement of a text that is one statement."""
-    found = itertools.islice(_WORD.finditer(source), WORDS)
-    words = [match[0].upper() for match in found]
-    kind = _get_kind(source, words)
+    """Classify and translate a text that is one statement."""
+    found = itertools.islice(_WORD.finditer(source), _MAX_KIND_WORDS)
+    keywords = [match[0].upper() for match in found]
+    kind = _get_kind(source, keywords)
     sleep = _SLEEP.search(source)
     return Statement(
         kind,
         translate(source),
-        _get_tag(words),
+        _get_tag(keywords),
         max(map(int, _PARAMETER.findall(source)), default=0),
         kind in (StatementKind.READ, StatementKind.LOCK, StatementKind.SHOW)
         or kind is StatementKind.CONTROL
@@ -223,26 +223,26 @@
     )
 
 
-def _get_kind(source: str, words: list[str]) -> StatementKind:
-    """Return what a statement asks of the session."""
-    kind = _KINDS.get(words[0] if words else "", StatementKind.WRITE)
-    if kind is StatementKind.BEGIN and "ONLY" in words:
+def _get_kind(source: str, keywords: list[str]) -> StatementKind:
+    """Return the kind of a statement."""
+    kind = _KINDS.get(keywords[0] if keywords else "", StatementKind.WRITE)
+    if kind is StatementKind.BEGIN and "ONLY" in keywords:
         return StatementKind.BEGIN_READ_ONLY
-    if kind is StatementKind.ROLLBACK and "TO" in words:
+    if kind is StatementKind.ROLLBACK and "TO" in keywords:
         return StatementKind.SAVEPOINT
     if kind is StatementKind.READ and _CONTROL.match(source):
         return StatementKind.CONTROL
     if kind is StatementKind.READ and _LOCKING.search(source):
         return StatementKind.LOCK
-    if words[:1] == ["WITH"] and _CHANGES.search(source):
+    if keywords[:1] == ["WITH"] and _DATA_CHANGE.search(source):
         return StatementKind.WRITE
     return kind
 
 
-def _get_tag(words: list[str]) -> str:
-    """Return the start of the command tag."""
-    if not words or words[0] in _TWO_WORD_TAGS:
-        return " ".join(words[:2])
-    if _KINDS.get(words[0]) is StatementKind.READ:
+def _get_tag(keywords: list[str]) -> str:
+    """Return the start of a statement's command tag."""
+    if not keywords or keywords[0] in _TWO_WORD_TAGS:
+        return " ".join(keywords[:2])
+    if _KINDS.get(keywords[0]) is StatementKind.READ:
         return "SELECT"
-    return _TAGS.get(words[0], words[0])
+    return _TAGS.get(keywords[0], keywords[0])
--- a/beryltrack_standins/database/engine.py
+++ b/beryltrack_standins/database/engine.py
@@ -1,7 +1,7 @@
-"""In-memory copies of a database's tables, changed only by running statements.
+"""In-memory sqlite3 copies of a database's tables, for statement-based replication.
 
-Replicas run the statements of the log again. All that a statement may read
-beside the tables (the time, random numbers) is therefore fixed in its log record.
+Replicas run the statements of the log again. The other inputs of a statement (the
+time, and random numbers seeded from it) are therefore fixed by its log record.
 """
 
 import datetime
@@ -12,13 +12,13 @@
 from typing import NamedTuple
 
 SERVER_VERSION = "16.4"
-_CACHED_STATEMENTS = 512
+_CACHED_STATEMENTS = 512  # per copy
 
 Value = int | float | str | bytes | None
 
 
 class LoggedStatement(NamedTuple):
-    """A statement as the log holds it.
+    """A statement as recorded in the log.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     parameters : tuple of Value
         The bound parameters, ``$1`` first.
     at : float
-        When it was first run, seconds since the epoch.
+        When the primary ran it, seconds since the epoch.
     """
 
     text: str
@@ -68,7 +68,7 @@
         )
 
     def apply(self, statements: Sequence[LoggedStatement]) -> None:
-        """Run the statements of one log entry, all or none."""
+        """Run the statements of one log entry in one transaction."""
         if len(statements) == 1:
             self.run(statements[0]).fetchall()
             return
@@ -86,7 +86,7 @@
         self._connection.execute("COMMIT")
 
     def roll_back(self) -> None:
-        """Roll the transaction back, if there is one."""
+        """Roll the open transaction back, if there is one."""
         if self._connection.in_transaction:
             self._connection.execute("ROLLBACK")
 
@@ -116,7 +116,7 @@
         return moment.isoformat(" ", "microseconds")
 
     def _get_random(self) -> random.Random:
-        """Return the statement's random numbers, the same on each replica."""
+        """Return the statement's random generator, seeded alike on each replica."""
         if self._random is None:
             self._random = random.Random(self._at)
         return self._random
--- a/beryltrack_standins/database/errors.py
+++ b/beryltrack_standins/database/errors.py
@@ -1,4 +1,4 @@
-"""SQLSTATEs that a stand-in database answers with, and what stands for which."""
+"""SQLSTATEs of a stand-in database, and their mapping from the errors of sqlite3."""
 
 import sqlite3
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 
 SQLITE_ERRORS = (sqlite3.Error,)
 
-# Fragments of the messages of sqlite3, first match wins.
+# SQLSTATEs by fragments of sqlite3's messages; the first match counts.
 _SQLITE_STATES = (
     ("UNIQUE constraint", "23505"),
     ("NOT NULL constraint", "23502"),
@@ -41,14 +41,14 @@
 
 
 class SqlError(Exception):
-    """An error that is answered to the client.
+    """An error that is sent to the client.
 
     Parameters
     ----------
     sqlstate : str
         Its SQLSTATE.
     message : str
-        What went wrong.
+        Its message.
     """
 
     def __init__(self, sqlstate: str, message: str):
@@ -58,7 +58,7 @@
 
 
 def get_sql_error(error: sqlite3.Error) -> SqlError:
-    """Return the answer that stands for an error of sqlite3."""
+    """Return an error of sqlite3 with the SQLSTATE that corresponds to it."""
     text = str(error)
     states: Iterator[str] = (
         state for fragment, state in _SQLITE_STATES if fragment in text
--- a/beryltrack_standins/database/replica_log.py
+++ b/beryltrack_standins/database/replica_log.py
@@ -1,7 +1,9 @@
-"""The log of one stand-in database and its rules for terms, without any I/O.
+"""The replicated log of one stand-in database and its rules for terms, without I/O.
 
-Both the databases that speak PostgreSQL and the fakes of the bench use this
-model, so that the rules of a database group stand in one place.
+The rules follow Raft: a database grants a term to one candidate, a primary
+appends entries of its own term, and a replica discards entries that the primary of a
+higher term lacks. Commits do not wait for replicas, as replication is asynchronous.
+Both the databases that speak PostgreSQL and the fakes of the bench use this model.
 """
 
 from collections.abc import Sequence
@@ -17,7 +19,7 @@
     TermStart,
 )
 
-# A status names this many of the last terms, as docs/DESIGN.md says.
+# Number of the last terms that a status contains, as docs/DESIGN.md specifies.
 HISTORY_LIMIT = 32
 
 
@@ -29,7 +31,7 @@
     term : int
         The term in which it was written.
     statements : tuple of object
-        What a replica has to run to apply it; empty at the start of a term.
+        The statements that apply it; empty for the entry that starts a term.
     """
 
     term: int
@@ -37,14 +39,14 @@
 
 
 class ReplicaLog:
-    """The terms, log and positions of one database.
+    """The term, log and positions of one database.
 
     Parameters
     ----------
     name : str
         The database's name in its group.
     incarnation : str
-        Names the data; a database that starts again empty has another one.
+        Identifies the data; a database that restarts empty gets another one.
     """
 
     def __init__(self, name: str, incarnation: str = "1"):
@@ -82,7 +84,7 @@
         return LogPosition(self.entries[offset - 1].term, offset)
 
     def get_status(self, now: float) -> DatabaseStatus:
-        """Return what the database says of itself at the time `now` (seconds)."""
+        """Return the database's status at the time `now` (seconds)."""
         heard_age = 0.0 if self.role == PRIMARY else now - self.heard_at
         return DatabaseStatus(
             self.name,
@@ -99,16 +101,16 @@
     def grant(
         self, term: int, candidate: str, lost_after: float, now: float
     ) -> GrantReply:
-        """Promise a term to one candidate, and refuse all lower terms from then on.
+        """Grant a term to one candidate, and refuse lower terms from then on.
 
         Parameters
         ----------
         term : int
-            The term asked for.
+            The requested term.
         candidate : str
-            Who asks, by a name unique to this attempt.
+            The candidate's name, unique to this attempt.
         lost_after : float
-            Seconds without a word from the primary after which it counts as
+            Seconds without replication from the primary after which it counts as
             lost. Zero for a planned hand-over.
         now : float
             The current time, seconds.
@@ -122,12 +124,18 @@
         hears_primary = self.get_status(now).heard_age < lost_after
         granted = repeated or (term > self.term and not hears_primary)
         if granted and not repeated:
-            self._see_term(term)
+            self._adopt_term(term)
             self.granted_to = candidate
         return GrantReply(granted, self.get_status(now))
 
     def promote(self, term: int, candidate: str) -> bool:
-        """Become the primary of a term that this database granted to `candidate`."""
+        """Become the primary of a term that this database granted to `candidate`.
+
+        Returns
+        -------
+        bool
+            False if it has granted another term or another candidate.
+        """
         if self.term != term or self.granted_to != candidate:
             return False
         if self.role != PRIMARY:
@@ -138,16 +146,16 @@
         return True
 
     def append(self, statements: tuple[object, ...]) -> LogPosition:
-        """Append one entry of the own term, as the primary does at each commit."""
+        """Append an entry of the present term, as the primary does at each commit."""
         self._extend((Entry(self.term, statements),))
         return self.received
 
     def can_write(self) -> bool:
-        """Return whether the database takes writes now."""
+        """Return whether the database accepts writes now."""
         return self.role == PRIMARY and not self.stopped_writes
 
     def receive(self, primary: "ReplicaLog", now: float, limit: int = 1000) -> bool:
-        """Copy new entries from a primary, unless its term is over.
+        """Copy new entries from a primary, unless its term is lower than this log's.
 
         Parameters
         ----------
@@ -156,17 +164,17 @@
         now : float
             The current time, seconds.
         limit : int
-            The most entries to copy in one call.
+            Maximum number of entries to copy in one call.
 
         Returns
         -------
         bool
-            True if the primary was heard, False if it was refused.
+            True if the primary was accepted, False if it was refused.
         """
         if primary.role != PRIMARY or primary.term < self.term:
             return False
         if primary.term > self.term:
-            self._see_term(primary.term)
+            self._adopt_term(primary.term)
         self.heard_at = now
         common = self._get_common_length(primary)
         self._truncate(common)
@@ -174,7 +182,7 @@
         return True
 
     def _extend(self, entries: Sequence[Entry]) -> None:
-        """Add entries at the end, and note where terms begin among them."""
+        """Append entries, and record where terms begin among them."""
         for entry in entries:
             if not self._history or self._history[-1].term != entry.term:
                 self._history.append(TermStart(entry.term, len(self.entries)))
@@ -188,14 +196,14 @@
         self._history = [start for start in self._history if start.offset < length]
         self.applied_offset = min(self.applied_offset, length)
 
-    def _see_term(self, term: int) -> None:
-        """Adopt a higher term: whoever led a lower one stops leading."""
+    def _adopt_term(self, term: int) -> None:
+        """Adopt a higher term, as a replica."""
         self.term = term
         self.granted_to = ""
         self.role = REPLICA
 
     def _get_common_length(self, other: "ReplicaLog") -> int:
-        """Return how many first entries both logs share."""
+        """Return the length of the common prefix of both logs."""
         length = min(len(self.entries), len(other.entries))
         while (
             length and self.entries[length - 1].term != other.entries[length - 1].term
--- a/beryltrack_standins/database/requests.py
+++ b/beryltrack_standins/database/requests.py
@@ -1,4 +1,7 @@
-"""The requests of one connection: simple queries, and the extended protocol."""
+"""Requests of one connection in PostgreSQL's simple and extended query protocols.
+
+After an error in the extended protocol, all messages until the next Sync are skipped.
+"""
 
 from collections.abc import Awaitable, Callable, Iterator, Sequence
 from typing import NamedTuple
@@ -17,6 +20,7 @@
 from beryltrack_standins.database.writer import MessageWriter
 
 POSITION_PARAMETER = "beryltrack.position"
+# Rows sent before the handler waits for a client that reads slowly.
 _CHUNK_ROWS = 64
 
 Handler = Callable[[messages.PGMessage], Awaitable[None]]
@@ -30,7 +34,7 @@
     statement : Statement or None
         The statement; None for an empty text.
     oids : tuple of int
-        The types of its parameters, as far as they were named.
+        The types of its parameters that Parse named; zero where it left one open.
     """
 
     statement: Statement | None
@@ -72,9 +76,9 @@
     session : Session
         Runs the statements.
     database : Database
-        Tells the applied position.
+        Source of the applied position.
     writer : MessageWriter
-        Takes the answers.
+        Sends the answers.
     """
 
     def __init__(self, session: Session, database: Database, writer: MessageWriter):
@@ -101,11 +105,11 @@
         self._session.cancel()
 
     def close(self) -> None:
-        """Undo what the client left open."""
+        """Undo the open transaction."""
         self._session.close()
 
     def send_ready(self) -> None:
-        """Tell the applied position if it is new, then that all is answered."""
+        """Send the applied position if it changed, then ReadyForQuery."""
         position = format_position(self._database.log.applied)
         if position != self._position:
             self._position = position
@@ -157,7 +161,7 @@
             await self._describe_portal(self._get_portal(message.name))
 
     def _describe_statement(self, prepared: Prepared) -> None:
-        """Describe a statement that has not run; its columns are told as text."""
+        """Describe a statement that has not run; its columns are described as text."""
         statement = prepared.statement
         count = 0 if statement is None else statement.parameters
         oids = [oid or values.TEXT_OID for oid in prepared.oids]
@@ -171,7 +175,7 @@
         self._writer.write(_describe_columns(answer, ()))
 
     async def _describe_portal(self, portal: Portal) -> None:
-        """Run a portal that has rows, and describe them as they are."""
+        """Run a portal that returns rows, and describe their actual types."""
         if portal.statement is None or not portal.statement.returns_rows:
             self._writer.write(messages.NoData())
             return
@@ -179,7 +183,7 @@
         self._writer.write(_describe_columns(portal.answer, portal.formats))
 
     async def _run_portal(self, portal: Portal) -> None:
-        """Run a portal's statement, unless it has run."""
+        """Run a portal's statement unless it has run already."""
         if portal.answer is None:
             portal.answer = await self._session.run(portal.statement, portal.parameters)
             portal.rows = iter(portal.answer.rows)
@@ -223,7 +227,7 @@
         formats: Sequence[int],
         limit: int | None,
     ) -> int:
-        """Send rows as fast as the client reads them; return how many."""
+        """Send rows as fast as the client reads them, and return their number."""
         sent = 0
         while sent != limit and not self._writer.closed:
             row = _read_row(rows)
@@ -237,7 +241,7 @@
         return sent
 
     def _skip_after_error(self, handler: Handler) -> Handler:
-        """Return a handler whose errors skip all messages until the next Sync."""
+        """Wrap a handler so that its errors skip all messages until the next Sync."""
 
         async def handle(message: messages.PGMessage) -> None:
             if self._is_skipping:
@@ -251,7 +255,7 @@
         return handle
 
     def _fail(self, error: SqlError | CancelledError) -> None:
-        """Answer a failed statement."""
+        """Send the error of a failed statement."""
         if isinstance(error, CancelledError):
             error = SqlError(errors.QUERY_CANCELED, "canceled on the client's request")
         self._session.fail()
@@ -283,7 +287,7 @@
     answer: Answer, formats: Sequence[int]
 ) -> messages.RowDescription:
     """Return the description of an answer's columns."""
-    formats = values.spread_formats(formats, len(answer.columns))
+    formats = values.expand_formats(formats, len(answer.columns))
     return messages.RowDescription(
         [
             messages.FieldDescription(
@@ -305,7 +309,7 @@
 ) -> tuple[Value, ...]:
     """Return the parameters of a Bind message."""
     count = len(message.param_values)
-    formats = values.spread_formats(message.param_formats, count)
+    formats = values.expand_formats(message.param_formats, count)
     types = [*oids, *[0] * (count - len(oids))]
     return tuple(
         values.decode_parameter(data, oid, bool(is_binary))
--- a/beryltrack_standins/database/server.py
+++ b/beryltrack_standins/database/server.py
@@ -1,4 +1,4 @@
-"""The listener of one stand-in database: its connections, limits and faults."""
+"""The listener of one stand-in database, with its connections, limits and faults."""
 
 import random
 from typing import NamedTuple
@@ -16,28 +16,29 @@
 from beryltrack_standins.database.session import Session, SessionLimits
 
 HOST = "127.0.0.1"
-# Few rounds keep start-up fast; nothing that is secret stands behind this.
+# Few rounds keep start-up fast; the stand-ins have no real secrets.
 _SCRAM_ROUNDS = 4096
-_SECRET_BYTES = 4
+_SECRET_BYTES = 4  # of a cancel key
 
 
 class DatabaseOptions(NamedTuple):
-    """How a stand-in database serves its clients.
+    """Limits and delays of a stand-in database.
 
     Parameters
     ----------
     max_connections : int
-        Most connections, without those of the application `beryltrack-control`.
+        Limit of the connections, without those of the application
+        `beryltrack-control`.
     slots : int
-        Statements that run at once.
+        Number of statements that run concurrently.
     connect_delay : float
-        Seconds that a new connection takes.
+        Seconds until a new connection is answered.
     service_time : float
         Seconds for which each statement holds a slot.
     lock_timeout : float
         Longest wait for the open write transaction, seconds.
     users : dict of str to str, or None
-        Passwords by user; None trusts everybody.
+        Passwords by user; None accepts all users without a password.
     """
 
     max_connections: int = 20
@@ -49,18 +50,18 @@
 
 
 class ConnectionCounts(NamedTuple):
-    """The connections of a database.
+    """Counts of a database's connections.
 
     Parameters
     ----------
     open : int
-        Those that count against the limit now.
+        Open connections that count against the limit.
     peak : int
-        The most that were open at once.
+        Maximum of `open` so far.
     refused : int
-        How many were refused at the limit.
+        Connections refused at the limit so far.
     control : int
-        Control connections now.
+        Open control connections.
     """
 
     open: int
@@ -110,13 +111,13 @@
 
     @property
     def counts(self) -> ConnectionCounts:
-        """The connections now and before."""
+        """The present and past numbers of connections."""
         counted = sum(item.is_counted for item in self._connections.values())
         control = sum(item.is_control for item in self._connections.values())
         return ConnectionCounts(counted, self._peak, self._refused, control)
 
     def start(self) -> None:
-        """Listen, on the same port as before if there was one."""
+        """Listen, after a stop on the same port as before."""
         if self._port is None:
             port = self.endpoint.port
             self._port = self.clock.listenTCP(port, self, interface=HOST)
@@ -124,7 +125,7 @@
             self.database.running = True
 
     def stop(self) -> Deferred[None]:
-        """Close the listener and cut all connections, as a crash does."""
+        """Close the listener and reset all connections, as a crash does."""
         port, self._port = self._port, None
         self.database.running = False
         for connection in [*self._connections.values()]:
@@ -132,15 +133,15 @@
         return maybeDeferred(port.stopListening if port else lambda: None)
 
     def drop_sessions(self) -> None:
-        """Undo what all clients left open, as the end of the process does.
+        """Roll back all open transactions, as the end of the process does.
 
-        For a process that ended without a word: its connections were never told.
+        For a process that ended without its connections being closed.
         """
         for connection in [*self._connections.values()]:
             connection.connectionLost(Failure(ConnectionLost()))
 
     def set_frozen(self, frozen: bool) -> None:
-        """Answer nothing, or go on with all that waited."""
+        """Stop answering, or continue with the pending messages."""
         self.database.frozen = frozen
         if not frozen:
             for connection in [*self._connections.values()]:
@@ -154,15 +155,15 @@
         return DatabaseConnection(self, key)
 
     def add(self, connection: DatabaseConnection) -> None:
-        """Note an open connection."""
+        """Register an open connection."""
         self._connections[connection.key.process_id] = connection
 
     def remove(self, connection: DatabaseConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         self._connections.pop(connection.key.process_id, None)
 
-    def count(self, connection: DatabaseConnection) -> bool:
-        """Count a connection against the limit; return False if it is reached."""
+    def admit(self, connection: DatabaseConnection) -> bool:
+        """Count a connection against the limit; return False if that is reached."""
         if connection.is_control:
             return True
         if self.counts.open >= self.options.max_connections:
@@ -173,24 +174,24 @@
         return True
 
     def cancel(self, key: CancelKey) -> None:
-        """Cancel the statement of a connection if the secret is right."""
+        """Cancel the statement of the connection with this key, if there is one."""
         connection = self._connections.get(key.process_id)
         if connection is not None and connection.key == key:
             connection.cancel()
 
     def make_session(self) -> Session:
-        """Return the session of a new connection."""
+        """Return a session for a new connection."""
         return Session(self.clock, self.database, self._limits)
 
     def make_scram_server(self, user: str) -> scramp.core.ScramServer:
-        """Return the server's side of a password check.
+        """Return the server's side of a SCRAM exchange.
 
         PostgreSQL takes the user from the start-up message, not from SCRAM.
         """
         return self._mechanism.make_server(lambda _: self._get_secret(user))
 
     def _get_secret(self, user: str):
-        """Return what is known of a user's password."""
+        """Return a user's SCRAM verifier, or raise ScramException if there is none."""
         if user not in self._secrets:
             raise scramp.ScramException(f"user {user} is not known")
         return self._secrets[user]
--- a/beryltrack_standins/database/session.py
+++ b/beryltrack_standins/database/session.py
@@ -1,4 +1,8 @@
-"""One client's session: its transaction and the course of each statement."""
+"""One client's session: its transaction state and the execution of its statements.
+
+A write transaction takes the database's write lock at its first write. Statements wait
+for a slot, take the service time and then run on the copy that they have to see.
+"""
 
 import itertools
 import sqlite3
@@ -33,21 +37,21 @@
 from beryltrack_standins.database.tables import Answer, Table
 from beryltrack_standins.database.values import get_column_oids
 
-# Column types are seen from this many first rows.
+# Number of first rows from which column types are inferred.
 FIRST_ROWS = 256
-# A frozen database looks this often whether it may go on, seconds.
+# Seconds between two checks of whether a frozen database may continue.
 FROZEN_INTERVAL = 0.005
 
 _RETURNING_KINDS = (StatementKind.READ, StatementKind.LOCK)
 
 
 class SessionLimits(NamedTuple):
-    """What bounds the work of a database's sessions.
+    """Limits shared by a database's sessions.
 
     Parameters
     ----------
     slots : DeferredSemaphore
-        The statements that may run at once.
+        Slots for concurrent statements.
     service_time : float
         Seconds for which each statement holds its slot.
     lock_timeout : float
@@ -69,7 +73,7 @@
     database : Database
         The database.
     limits : SessionLimits
-        Bounds shared by the database's sessions.
+        Limits shared by the database's sessions.
     """
 
     def __init__(self, clock: IReactorTime, database: Database, limits: SessionLimits):
@@ -98,12 +102,12 @@
         return TransactionStatus.IDLE
 
     def cancel(self) -> None:
-        """Cancel what the running statement waits for, if it waits."""
+        """Cancel the running statement if it is waiting."""
         if self._waiting is not None:
             self._waiting.cancel()
 
     def close(self) -> None:
-        """Undo the open transaction; the client is gone."""
+        """Roll back the open transaction of a client that disconnected."""
         self._closed = True
         self.cancel()
         self._end()
@@ -155,7 +159,7 @@
             case StatementKind.CONTROL:
                 call = call_control(self._database, statement.text)
                 table = await self._wait(Deferred.fromCoroutine(call))
-                await self._wait_thawed()
+                await self._wait_unfrozen()
                 return _answer_table(table)
         return await self._run_sql(statement, parameters)
 
@@ -182,7 +186,7 @@
         Raises
         ------
         SqlError
-            25006 if the database does not lead any more; nothing was written.
+            25006 if the database is not the primary any more; nothing was written.
         """
         transaction, self._transaction = self._transaction, None
         self._end()
@@ -190,36 +194,36 @@
             transaction.commit()
 
     def finish_implicit(self) -> None:
-        """Commit what ran outside a transaction block."""
+        """Commit the implicit transaction, if no transaction block is open."""
         if not self._in_block:
             self.commit()
 
     def fail(self) -> None:
-        """Note that a statement failed: the open transaction cannot go on."""
+        """Mark the transaction block failed; end an implicit transaction."""
         if not self._in_block:
             self._end()
             return
         self._failed = True
         if not self._has_savepoint:
-            self._drop_transaction()
+            self._roll_back_transaction()
 
     async def _run_sql(
         self, statement: Statement, parameters: Sequence[Value]
     ) -> Answer:
-        """Run a statement of sqlite3 on the copy that it has to see."""
+        """Run a statement in a slot, on the copy that it has to see."""
         if statement.kind is not StatementKind.READ:
             await self._begin_writing()
         logged = LoggedStatement(statement.text, tuple(parameters), get_wall_time())
         await self._wait(self._limits.slots.acquire())
         try:
             await self._sleep(statement, parameters)
-            await self._wait_thawed()
+            await self._wait_unfrozen()
             return self._execute(statement, logged)
         finally:
             self._limits.slots.release()
 
     def _execute(self, statement: Statement, logged: LoggedStatement) -> Answer:
-        """Run a statement now, and note it for the log if it is a write."""
+        """Run a statement now, and record it for the log if it is a write."""
         transaction = self._transaction
         if transaction is not None:
             transaction.check()
@@ -235,7 +239,7 @@
             raise SqlError(FAILED_TRANSACTION, "the transaction has failed")
         if self._failed and statement.tag != "ROLLBACK":
             raise SqlError(FAILED_TRANSACTION, "the transaction has failed")
-        # A reader's savepoints have no effect that could be undone.
+        # A savepoint without writes has nothing to undo.
         if self._read_only or not self._database.log.can_write():
             return Answer(statement.tag, None)
         self._has_savepoint = True
@@ -243,7 +247,7 @@
         return await self._run_sql(statement, ())
 
     async def _begin_writing(self) -> None:
-        """Begin the write transaction at the first write, when its turn comes."""
+        """Begin the write transaction once the write lock is acquired."""
         if self._read_only or not self._database.log.can_write():
             raise SqlError(READ_ONLY, f"{self._database.name} takes no writes now")
         if self._transaction is not None:
@@ -259,7 +263,7 @@
                 self._database.write_lock.release()
 
     async def _sleep(self, statement: Statement, parameters: Sequence[Value]) -> None:
-        """Wait for as long as the statement takes."""
+        """Wait for the service time and the seconds of ``pg_sleep``."""
         seconds = self._limits.service_time
         if statement.sleep.startswith("$"):
             seconds += float(parameters[int(statement.sleep[1:]) - 1] or 0.0)
@@ -269,20 +273,20 @@
             await self._wait(deferLater(self._clock, seconds))
 
     async def _wait(self, deferred: Deferred) -> object:
-        """Wait for something in a way that `cancel` ends."""
+        """Wait for a Deferred, which `cancel` can cancel."""
         self._waiting = deferred
         try:
             return await deferred
         finally:
             self._waiting = None
 
-    async def _wait_thawed(self) -> None:
-        """Wait while the database is frozen, whatever became ready meanwhile.
+    async def _wait_unfrozen(self) -> None:
+        """Wait while the database is frozen.
 
         Raises
         ------
         CancelledError
-            If the client went away meanwhile.
+            If the client disconnected meanwhile.
         """
         while self._database.frozen and not self._closed:
             await deferLater(self._clock, FROZEN_INTERVAL)
@@ -290,11 +294,13 @@
             raise CancelledError
 
     def _run_set(self, statement: Statement) -> Answer:
-        """Accept SET, RESET, DISCARD and the like."""
-        words = statement.text.replace("=", " ").split()
-        if statement.tag == "SET" and len(words) >= 3:
-            is_scoped = words[1].upper() in ("SESSION", "LOCAL") and len(words) > 3
-            name, value = words[1 + is_scoped], words[-1]
+        """Accept SET, RESET, DISCARD and similar statements."""
+        keywords = statement.text.replace("=", " ").split()
+        if statement.tag == "SET" and len(keywords) >= 3:
+            is_scoped = (
+                keywords[1].upper() in ("SESSION", "LOCAL") and len(keywords) > 3
+            )
+            name, value = keywords[1 + is_scoped], keywords[-1]
             self.parameters[name.lower()] = value.strip("'")
         if "TRANSACTION" in statement.text.upper():
             self._read_only |= "READ ONLY" in statement.text.upper()
@@ -307,29 +313,29 @@
         return _answer_table(Table((name,), ((value,),)))._replace(tag="SHOW")
 
     def _end(self) -> None:
-        """Leave the transaction block; undo a write transaction that is open."""
+        """Leave the transaction block, and roll back an open write transaction."""
         self._in_block = False
         self._read_only = False
         self._failed = False
         self._has_savepoint = False
-        self._drop_transaction()
+        self._roll_back_transaction()
 
-    def _drop_transaction(self) -> None:
-        """Undo the open write transaction, if there is one."""
+    def _roll_back_transaction(self) -> None:
+        """Roll back the open write transaction, if there is one."""
         transaction, self._transaction = self._transaction, None
         if transaction is not None:
             transaction.roll_back()
 
 
 def _raise_lock_timeout(result: object, timeout: float) -> None:
-    """Turn a wait for the write lock that ran out of time into an error."""
+    """Raise the error (55P03) of a wait for the write lock that timed out."""
     raise SqlError(LOCK_TIMEOUT, f"no write lock within {timeout} s")
 
 
 def _run_on_copy(
     copy: SqlCopy, statement: Statement, logged: LoggedStatement
 ) -> Answer:
-    """Run a statement on a copy and return its answer."""
+    """Run a statement on a copy, and return its answer."""
     try:
         cursor = copy.run(logged)
         if cursor.description is None:
@@ -340,9 +346,9 @@
         raise get_sql_error(error) from error
     columns = tuple(column[0] for column in cursor.description)
     oids = get_column_oids(first, len(columns))
-    # A short first chunk is the whole answer, as it was at one moment.
-    is_whole = not is_lazy or len(first) < FIRST_ROWS
-    rows = first if is_whole else itertools.chain(first, cursor)
+    # Fewer rows than requested are the complete result, as of one moment.
+    is_complete = not is_lazy or len(first) < FIRST_ROWS
+    rows = first if is_complete else itertools.chain(first, cursor)
     return Answer(statement.tag, None, columns, oids, rows)
 
 
--- a/beryltrack_standins/database/tables.py
+++ b/beryltrack_standins/database/tables.py
@@ -1,4 +1,4 @@
-"""What a statement answers: rows with their columns, or only a command tag."""
+"""Results of statements: rows with their columns, or only a command tag."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Table(NamedTuple):
-    """Rows that are known as a whole.
+    """A complete set of rows.
 
     Parameters
     ----------
@@ -29,10 +29,10 @@
     tag : str
         The start of the command tag.
     count : int or None
-        The rows that the statement changed; None if the tag counts the rows sent
-        or has no count.
+        Number of rows that the statement changed; None if the tag counts the rows
+        sent or has no count.
     columns : tuple of str or None
-        The names of the columns; None if there are no rows to send.
+        The names of the columns; None if the statement returns no rows.
     oids : tuple of int
         The types of the columns.
     rows : iterable of rows
@@ -47,7 +47,7 @@
 
 
 def format_tag(answer: Answer, sent: int) -> str:
-    """Return the whole command tag after `sent` rows were sent."""
+    """Return the complete command tag after `sent` rows were sent."""
     match answer.tag:
         case "SELECT" | "FETCH":
             return f"{answer.tag} {sent}"
--- a/beryltrack_standins/database/values.py
+++ b/beryltrack_standins/database/values.py
@@ -1,4 +1,4 @@
-"""Parameters and columns between PostgreSQL's wire formats and sqlite3's values."""
+"""Conversion between PostgreSQL's text and binary formats and sqlite3's values."""
 
 import struct
 from collections.abc import Sequence
@@ -47,10 +47,11 @@
         raise SqlError(PROTOCOL_VIOLATION, text) from error
 
 
-def spread_formats(formats: Sequence[int], count: int) -> Sequence[int]:
-    """Return one format for each of `count` values, as the protocol reads a list.
+def expand_formats(formats: Sequence[int], count: int) -> Sequence[int]:
+    """Return one format for each of `count` values from a list of format codes.
 
-    None stands for all in text, one for all alike.
+    As the protocol defines it, an empty list means text for all values, and a list of
+    one code applies to all values.
     """
     if len(formats) == count:
         return formats
@@ -58,7 +59,7 @@
 
 
 def get_column_oids(rows: Sequence[Sequence[Value]], width: int) -> tuple[int, ...]:
-    """Return the type of each column, seen from the first rows."""
+    """Return the type of each column, inferred from the first rows."""
     columns = zip(*rows, strict=True) if rows else [()] * width
     return tuple(map(_get_oid, columns))
 
@@ -66,19 +67,19 @@
 def encode_row(
     row: Sequence[Value], oids: Sequence[int], formats: Sequence[int]
 ) -> list[bytes | None]:
-    """Return the columns of a row in the formats that the client asked for."""
+    """Return the columns of a row in the formats that the client requested."""
     if not any(formats):
         return [_encode_text(value) for value in row]
     return [
         _encode_binary(value, oid) if is_binary else _encode_text(value)
         for value, oid, is_binary in zip(
-            row, oids, spread_formats(formats, len(row)), strict=True
+            row, oids, expand_formats(formats, len(row)), strict=True
         )
     ]
 
 
 def _get_oid(column: Sequence[Value]) -> int:
-    """Return the type of one column; text if nothing better is known."""
+    """Return the type of one column; text if its values have no common type."""
     types = {type(value) for value in column if value is not None}
     if types == {int, float}:
         return FLOAT8_OID
--- a/beryltrack_standins/database/writer.py
+++ b/beryltrack_standins/database/writer.py
@@ -1,4 +1,4 @@
-"""What a connection sends: messages in order, as fast as the client reads them."""
+"""Sends a connection's messages in order, at the pace at which the client reads."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 @implementer(IPushProducer)
 class MessageWriter:
-    """Collects messages and hands them to the transport.
+    """Buffers messages and writes them to the transport.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     wire : BackendConnection
         The state of the protocol.
     is_frozen : callable
-        Returns whether the database answers nothing at present.
+        Returns whether the database is frozen, so that it sends nothing.
     """
 
     def __init__(
@@ -39,34 +39,34 @@
         transport.registerProducer(self, True)
 
     def pauseProducing(self) -> None:
-        """Hold back rows until the client has read more."""
+        """Hold rows back until the client has read more."""
         if self._resumed is None:
             self._resumed = Deferred()
 
     def resumeProducing(self) -> None:
-        """Go on sending rows."""
+        """Continue to send rows."""
         resumed, self._resumed = self._resumed, None
         if resumed is not None:
             resumed.callback(None)
 
     def stopProducing(self) -> None:
-        """Send no more rows; the connection is lost."""
+        """Do nothing: `handle_connection_lost` ends the sending of rows."""
 
     def send(self, message: messages.PGMessage) -> None:
-        """Write a message that changes the phase of the protocol."""
+        """Buffer a message that changes the phase of the protocol."""
         self._pending.append(self._wire.send(message))
 
     def write(self, message: messages.PGMessage) -> None:
-        """Write a message within a phase, without asking the state machine."""
+        """Buffer a message that the protocol's state machine need not know."""
         self._pending.append(message.to_wire())
 
     def write_error(self, error: SqlError, severity: str = "ERROR") -> None:
-        """Write an error."""
+        """Buffer an ErrorResponse."""
         fields = {"S": severity, "V": severity, "C": error.sqlstate, "M": error.message}
         self.write(messages.ErrorResponse(fields))
 
     def flush(self) -> None:
-        """Send what was written, unless the database is frozen."""
+        """Send the buffered messages, unless the database is frozen."""
         if self._pending and not self.closed and not self._is_frozen():
             self._transport.writeSequence(self._pending)
             self._pending.clear()
@@ -77,20 +77,20 @@
         while self._resumed is not None and not self.closed:
             await self._resumed
 
-    def note_lost(self) -> None:
-        """Note that the connection is gone, and end a wait for the client."""
+    def handle_connection_lost(self) -> None:
+        """Mark the connection closed, and end a wait for the client."""
         self.closed = True
         self.resumeProducing()
 
     def close(self) -> None:
-        """Send what was written and close the connection."""
+        """Send the buffered messages and close the connection."""
         self.flush()
         self.closed = True
         self._transport.unregisterProducer()
         self._transport.loseConnection()
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Reset the connection."""
         self.closed = True
         self._transport.unregisterProducer()
         self._transport.abortConnection()
