--- a/beryltrack_standins/__init__.py
+++ b/beryltrack_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems that beryltrack serves, for tests and local runs."""
+"""Stand-ins for the systems around the proxy, for tests and local runs."""
--- a/beryltrack_standins/control.py
+++ b/beryltrack_standins/control.py
@@ -1,4 +1,4 @@
-"""The control endpoint of a local site: faults and the state of the stand-ins."""
+"""HTTP control endpoint of a local site: fault injection and state of the stand-ins."""
 
 import json
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class ControlServer(Resource):
-    """Takes faults by ``POST /faults`` and tells the state by ``GET /state``.
+    """Injects faults (``POST /faults``) and returns the state (``GET /state``).
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
         return self._port.stopListening()
 
     def render_POST(self, request: Request) -> bytes:
-        """Put one fault in force."""
+        """Inject the fault in the request body."""
         try:
             body = json.loads(request.content.read())
             self.set_fault(body["target"], body["fault"], body.get("value"))
@@ -77,21 +77,21 @@
         return _format_body({})
 
     def render_GET(self, request: Request) -> bytes:
-        """Tell the state of the stand-ins."""
+        """Return the state of the stand-ins."""
         return _format_body(self.get_state())
 
     def set_fault(self, target: str, fault: str, value: object = None) -> None:
-        """Put a fault in force.
+        """Inject a fault.
 
         Parameters
         ----------
         target : str
             A database's name, or ``platform``.
         fault : str
-            One of `DATABASE_FAULTS`, or of the platform's faults.
+            One of `DATABASE_FAULTS`, or one of the platform's ``FAULTS``.
         value : object
-            ``lag``: seconds; ``leave``: False takes it back; ``slow``: seconds;
-            ``lose_answers``: how many.
+            ``lag`` and ``slow``: seconds; ``leave``: False ends it; ``lose_answers``:
+            the number of answers, all by default.
 
         Raises
         ------
@@ -116,7 +116,7 @@
 
 
 def _set_database_fault(server: DatabaseServer, fault: str, value: object) -> None:
-    """Put a fault of a database in force."""
+    """Inject a fault into a database."""
     database = server.database
     match fault:
         case "stop":
@@ -159,5 +159,5 @@
 
 
 def _format_body(value: object) -> bytes:
-    """Return a JSON body."""
+    """Return a value as a JSON body."""
     return json.dumps(value).encode()
--- a/beryltrack_standins/group.py
+++ b/beryltrack_standins/group.py
@@ -1,4 +1,4 @@
-"""One stand-in database group: replication between its databases."""
+"""Asynchronous replication between the databases of a stand-in group."""
 
 from collections.abc import Sequence
 
@@ -9,14 +9,16 @@
 from beryltrack_standins.database.database import Database
 
 HEARTBEAT_INTERVAL = 0.02
+"""Seconds between two rounds of replication without commits."""
+
 _FIRST_TERM = 1
 _FIRST_CANDIDATE = "first"
 
 
 class ReplicationGroup:
-    """Replicates asynchronously from the primary of the highest term.
+    """Replicates asynchronously from the reachable primary of the highest term.
 
-    Replicas pull a short time after each commit, and at each heartbeat.
+    Replicas pull its log a short time after each commit, and at each heartbeat.
 
     Parameters
     ----------
@@ -49,15 +51,15 @@
         self._heartbeat.start(HEARTBEAT_INTERVAL)
 
     def stop(self) -> None:
-        """Replicate no more."""
+        """Stop replication."""
         self._heartbeat.stop()
         if self._pending is not None and self._pending.active():
             self._pending.cancel()
 
     def replicate(self) -> None:
-        """Let each database pull from the primary that it reaches."""
+        """Have each reachable database pull from the reachable primary."""
         reachable = [database for database in self.databases if database.reachable]
-        primaries = [database for database in reachable if _leads(database)]
+        primaries = [database for database in reachable if _is_primary(database)]
         if not primaries:
             return
         primary = max(primaries, key=lambda database: database.log.term)
@@ -66,16 +68,18 @@
                 database.pull(primary.log)
 
     def _schedule(self) -> None:
-        """Replicate soon, unless that is already due."""
+        """Schedule replication after the delay, unless it is scheduled."""
         if self._pending is None:
-            self._pending = self._clock.callLater(self._receive_delay, self._run)
+            self._pending = self._clock.callLater(
+                self._receive_delay, self._replicate_scheduled
+            )
 
-    def _run(self) -> None:
-        """Replicate now."""
+    def _replicate_scheduled(self) -> None:
+        """Replicate after a commit."""
         self._pending = None
         self.replicate()
 
 
-def _leads(database: Database) -> bool:
-    """Return whether a database believes that it is the primary."""
+def _is_primary(database: Database) -> bool:
+    """Return whether a database considers itself the primary."""
     return database.log.role == PRIMARY
--- a/beryltrack_standins/platform/limits.py
+++ b/beryltrack_standins/platform/limits.py
@@ -1,4 +1,4 @@
-"""Rates, outages and counts of the platform's calls."""
+"""Rate limits and faults of the stand-in platform."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,18 @@
 
 
 class PlatformOptions(NamedTuple):
-    """How the stand-in platform serves its clients.
+    """Limits and delays of the stand-in platform.
 
     Parameters
     ----------
     writes_per_second : float
-        The rate of writes that it takes.
+        The limit of the rate of writes.
     reads_per_second : float
-        The rate of reads that it takes; a watch counts as one.
+        The limit of the rate of reads; a watch counts as one.
     list_lag : float
-        Seconds after which a change of an instance shows in the list.
+        Seconds until a change of an instance appears in the instance list.
     max_value_bytes : int
-        The largest value that it holds.
+        The largest value that it accepts, as the size of the request body.
     """
 
     writes_per_second: float = 500.0
@@ -27,7 +27,7 @@
 
 
 class TokenBucket:
-    """Lets calls through at a rate, with bursts of one second's worth.
+    """A token bucket that admits calls at a rate, with bursts of one second's worth.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         self._answers_to_lose = 0.0
 
     def set(self, fault: str, value: object) -> None:
-        """Put a fault in force, or end all of them by ``up``.
+        """Inject a fault, or end all faults with ``up``.
 
         Raises
         ------
@@ -82,7 +82,7 @@
                 raise ValueError(f"no such fault: {fault}")
 
     def take_lost_answer(self) -> bool:
-        """Return whether the answer to a write that took effect gets lost."""
+        """Return whether the answer to a write that took effect is lost; count it."""
         if self._answers_to_lose <= 0:
             return False
         self._answers_to_lose -= 1
@@ -90,7 +90,7 @@
 
 
 def _get_count(value: object) -> float:
-    """Return how many answers get lost; all of them unless a number is given."""
+    """Return how many answers are lost; infinity unless a number is given."""
     if value is None or value is True:
         return float("inf")
     return float(value)
--- a/beryltrack_standins/platform/server.py
+++ b/beryltrack_standins/platform/server.py
@@ -1,4 +1,9 @@
-"""The platform's HTTP interface, as docs/DESIGN.md describes it."""
+"""The platform's HTTP interface, as docs/DESIGN.md describes it.
+
+It serves an object store with conditional changes and watches (long polls), and the
+list of proxy instances. Rates are limited by token buckets (429); an outage answers
+each call with 503.
+"""
 
 import json
 import logging
@@ -28,14 +33,14 @@
 
 HOST = "127.0.0.1"
 ERA_HEADER = "Store-Era"
-_MAX_WATCH = 300.0
-_DEFAULT_WATCH = 30.0
+_MAX_WATCH_SECONDS = 300.0
+_DEFAULT_WATCH_SECONDS = 30.0
 
 log = logging.getLogger(__name__)
 
 
 class HttpError(Exception):
-    """An answer that is not 200.
+    """An answer with a status other than 200.
 
     Parameters
     ----------
@@ -52,7 +57,7 @@
 
 
 class InstanceObject(TypedDict):
-    """One instance of the list."""
+    """One entry of the instance list."""
 
     name: str
     host: str
@@ -69,9 +74,9 @@
     reactor : reactor
         The reactor.
     options : PlatformOptions
-        Rates and delays.
+        Limits and delays.
     era : int, optional
-        The era of its store; without it the store has no eras.
+        The era of its store, which each answer reports; by default none is reported.
     """
 
     isLeaf = True
@@ -97,12 +102,12 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The address it listens at."""
+        """The address at which it listens."""
         return Endpoint(HOST, self._port.getHost().port)
 
     @property
     def watch_count(self) -> int:
-        """The number of watches that are waiting."""
+        """The number of pending watches."""
         return len(self._watches)
 
     def start(self) -> None:
@@ -110,31 +115,31 @@
         self._port = self._reactor.listenTCP(0, _QuietSite(self), interface=HOST)
 
     def stop(self) -> Deferred[None]:
-        """Stop listening, and end the waiting watches."""
+        """Stop listening, and answer the pending watches."""
         self._wake_watches()
         return self._port.stopListening()
 
     def set_fault(self, fault: str, value: object) -> None:
-        """Put a fault in force; see `PlatformFaults.set`."""
+        """Inject a fault; see `PlatformFaults.set`."""
         self.faults.set(fault, value)
         if self.faults.down:
             self._wake_watches()
 
     def restore(self, backup: StoreBackup) -> None:
-        """Let the store be restored from a backup; waits go on in the new era."""
+        """Restore the store from a backup; pending watches continue in the new era."""
         self.store.restore(backup)
         self._wake_watches()
 
     def render(self, request: Request) -> int:
-        """Answer one call."""
+        """Handle one call; its answer is sent later."""
         lost = request.notifyFinish()
         call = Deferred.fromCoroutine(self._answer(request))
         lost.addErrback(lambda _: call.cancel())
-        call.addErrback(_report_fault)
+        call.addErrback(_log_error)
         return NOT_DONE_YET
 
     async def _answer(self, request: Request) -> None:
-        """Carry out one call and send its answer."""
+        """Execute one call and send its answer."""
         try:
             code, body = 200, await self._call(request)
         except HttpError as error:
@@ -152,7 +157,7 @@
         request.finish()
 
     async def _call(self, request: Request) -> dict[str, object] | None:
-        """Return the JSON object of the answer, None if it gets lost."""
+        """Execute one call; return its JSON object, None if the answer is lost."""
         path = unquote(request.path.decode()).strip("/")
         if path == "calls":
             return dict(self.calls)
@@ -172,7 +177,7 @@
                 return self._put(rest, request)
             case "DELETE", "objects" if rest:
                 version = _get_text(request, "if_version")
-                return self._finish(
+                return self._complete_change(
                     self.store.delete(rest, int(version) if version else None)
                 )
             case "GET", "watch":
@@ -184,7 +189,7 @@
         raise HttpError(404, {"error": f"no such resource: {method} /{path}"})
 
     def _admit(self, is_write: bool, path: str) -> None:
-        """Count a call, and refuse it over its rate or in an outage."""
+        """Count a call, and refuse it during an outage (503) or over its rate (429)."""
         self.calls["total"] += 1
         self.calls["writes" if is_write else "reads"] += 1
         self.calls["watches"] += path == "watch"
@@ -195,7 +200,7 @@
             raise HttpError(429, {"error": "too many calls"})
 
     def _check_outage(self) -> None:
-        """Refuse a call in an outage."""
+        """Raise HttpError (503) during an outage."""
         if self.faults.down:
             self.calls["refused"] += 1
             raise HttpError(503, {"error": "out of service"})
@@ -218,10 +223,18 @@
         if len(data) > self._options.max_value_bytes:
             raise HttpError(413, {"error": "value is too large"})
         body = json.loads(data)
-        return self._finish(self.store.put(path, body["value"], body.get("if_version")))
+        return self._complete_change(
+            self.store.put(path, body["value"], body.get("if_version"))
+        )
 
-    def _finish(self, result: ChangeResult) -> dict[str, object] | None:
-        """Tell the outcome of a change, unless its answer gets lost."""
+    def _complete_change(self, result: ChangeResult) -> dict[str, object] | None:
+        """Wake the watches after a change; return its answer, None if that is lost.
+
+        Raises
+        ------
+        HttpError
+            409 if the condition of the change did not hold.
+        """
         if result.done:
             self._wake_watches()
         if result.done and self.faults.take_lost_answer():
@@ -231,11 +244,11 @@
         return {"version": result.version}
 
     async def _watch(self, request: Request) -> dict[str, object]:
-        """Wait for a change under a prefix."""
+        """Return the changes under a prefix once there are any, or at the timeout."""
         prefix = _get_text(request, "prefix")
         after = int(_get_text(request, "after") or 0)
-        timeout = float(_get_text(request, "timeout") or _DEFAULT_WATCH)
-        deadline = self._reactor.seconds() + min(timeout, _MAX_WATCH)
+        timeout = float(_get_text(request, "timeout") or _DEFAULT_WATCH_SECONDS)
+        deadline = self._reactor.seconds() + min(timeout, _MAX_WATCH_SECONDS)
         if after > self.store.revision:
             raise HttpError(410, {"error": "there is no such version"})
         while not (changes := self.store.list_changes(prefix, after)):
@@ -261,13 +274,13 @@
                 timer.cancel()
 
     def _wake_watches(self) -> None:
-        """Let each waiting watch look again."""
+        """Have each pending watch check again for changes or an outage."""
         watches, self._watches = self._watches, []
         for woken in watches:
             woken.callback(None)
 
     def _change_instance(self, name: str, request: Request) -> dict[str, object]:
-        """Note a change of the instance list, which shows after its lag."""
+        """Schedule a change of the instance list, which takes effect after its lag."""
         entry: InstanceObject | None = None
         if request.method == b"PUT":
             body = json.loads(request.content.read())
@@ -279,12 +292,12 @@
                 "state": str(body["state"]),
             }
         self._reactor.callLater(
-            self._options.list_lag, self._show_instance, name, entry
+            self._options.list_lag, self._apply_instance_change, name, entry
         )
         return {}
 
-    def _show_instance(self, name: str, entry: InstanceObject | None) -> None:
-        """Show a change in the instance list."""
+    def _apply_instance_change(self, name: str, entry: InstanceObject | None) -> None:
+        """Add, replace or remove an entry of the instance list."""
         if entry is None:
             self._instances.pop(name, None)
         else:
@@ -292,16 +305,16 @@
 
 
 class _QuietSite(Site):
-    """A site that logs no line for each call."""
+    """A site without an access log."""
 
     noisy = False
 
     def log(self, request: Request) -> None:
-        """Log nothing."""
+        """Do not log the request."""
 
 
 def _get_text(request: Request, name: str) -> str:
-    """Return an argument of the query, empty if it is missing."""
+    """Return a parameter of the query string, empty if it is missing."""
     return request.args.get(name.encode(), [b""])[0].decode()
 
 
@@ -312,7 +325,9 @@
     return {"path": item.path, "version": item.version, "value": item.value}
 
 
-def _report_fault(failure: Failure) -> None:
-    """Log a call that failed for a fault of ours; a lost client is none."""
+def _log_error(failure: Failure) -> None:
+    """Log an error in the stand-in itself; a client that disconnects is none."""
     if not failure.check(CancelledError):
-        log.error("platform: call failed: %s", failure.getTraceback())
+        log.error(
+            "platform: a call ended without an answer: %s", failure.getTraceback()
+        )
--- a/beryltrack_standins/platform/store.py
+++ b/beryltrack_standins/platform/store.py
@@ -1,4 +1,8 @@
-"""The platform's objects and their versions, without any I/O."""
+"""The platform's object store, without I/O.
+
+Each change of an object gets the next number of one sequence as its version, so that a
+watch can ask for the changes after a number. Changes may be conditional on the version.
+"""
 
 import bisect
 from typing import NamedTuple
@@ -14,7 +18,7 @@
     path : str
         Its path.
     version : int
-        A number of one growing sequence over all objects.
+        Its number in the one sequence of changes over all objects.
     value : JsonValue
         Its value; None once deleted.
     deleted : bool
@@ -28,14 +32,15 @@
 
 
 class ChangeResult(NamedTuple):
-    """What came of a conditional change.
+    """The outcome of a conditional change.
 
     Parameters
     ----------
     done : bool
         True if the change took effect.
     version : int
-        The version after it; the present one, zero for none, if it did not.
+        The new version; if the change did not take effect, the present version, zero
+        if there is no object.
     """
 
     done: bool
@@ -43,7 +48,7 @@
 
 
 class StoreBackup(NamedTuple):
-    """All that the store held at a moment."""
+    """A copy of the store's state."""
 
     revision: int
     objects: dict[str, StoredObject]
@@ -57,8 +62,8 @@
     Parameters
     ----------
     era : int or None
-        How often it was restored from a backup, as its answers tell; None if they tell
-        nothing of that.
+        How often it was restored from a backup, which the platform reports with each
+        answer; None if it reports none.
     """
 
     def __init__(self, era: int | None = None):
@@ -78,7 +83,7 @@
         )
 
     def restore(self, backup: StoreBackup) -> None:
-        """Go back to a backup: what was written since is gone."""
+        """Go back to a backup and lose all later writes."""
         self.revision, self._objects = backup.revision, dict(backup.objects)
         self._versions, self._paths = list(backup.versions), list(backup.paths)
         if self.era is not None:
@@ -90,7 +95,7 @@
         return None if found is None or found.deleted else found
 
     def list(self, prefix: str) -> tuple[StoredObject, ...]:
-        """Return the objects whose path begins with `prefix`, in order of path."""
+        """Return the objects whose path begins with `prefix`, sorted by path."""
         return tuple(
             item
             for path, item in sorted(self._objects.items())
@@ -98,18 +103,18 @@
         )
 
     def list_changes(self, prefix: str, after: int) -> tuple[StoredObject, ...]:
-        """Return what changed under a prefix after a revision, oldest first."""
+        """Return the objects that changed after a revision, oldest change first."""
         start = bisect.bisect_right(self._versions, after)
         paths = {path for path in self._paths[start:] if path.startswith(prefix)}
         changed = (self._objects[path] for path in paths)
         return tuple(sorted(changed, key=lambda item: item.version))
 
     def put(self, path: str, value: JsonValue, if_version: int | None) -> ChangeResult:
-        """Set an object if its version is `if_version`, or in any case for None."""
+        """Set an object if its version is `if_version`; None sets it in any case."""
         return self._change(path, if_version, value, False)
 
     def delete(self, path: str, if_version: int | None) -> ChangeResult:
-        """Delete an object if its version is `if_version`."""
+        """Delete an object if its version is `if_version`, or in any case for None."""
         return self._change(path, if_version, None, True)
 
     def _change(
--- a/beryltrack_standins/site.py
+++ b/beryltrack_standins/site.py
@@ -1,4 +1,4 @@
-"""A local site: the platform, database groups and the control endpoint at once."""
+"""A local site: platform, database groups and control endpoint in one reactor."""
 
 import itertools
 import random
@@ -16,24 +16,24 @@
 
 
 class SiteOptions(NamedTuple):
-    """What a local site is made of.
+    """The configuration of a local site.
 
     Parameters
     ----------
     groups : tuple of str
         The names of the database groups.
     databases : int
-        Databases in each group; named ``GROUP-1`` and so on.
+        Number of databases in each group; they are named ``GROUP-1`` and so on.
     zones : tuple of str
-        Availability zones, given to the databases in turn.
+        Availability zones, assigned to the databases in rotation.
     receive_delay : float
         Seconds from a commit to its receipt by the replicas.
     database : DatabaseOptions
         Limits and delays of each database.
     platform : PlatformOptions
-        Rates and delays of the platform.
+        Limits and delays of the platform.
     seed : int
-        Seed of the random numbers.
+        Seed of the random numbers for the secrets of cancel keys.
     """
 
     groups: tuple[str, ...] = ("main",)
@@ -49,7 +49,7 @@
 
 
 class SiteDatabase(NamedTuple):
-    """Where one database of the site is.
+    """The location and limits of one database of the site.
 
     Parameters
     ----------
@@ -60,11 +60,11 @@
     zone : str
         Its availability zone.
     endpoint : Endpoint
-        Where it listens.
+        The address at which it listens.
     max_connections : int
         Its connection limit.
     slots : int
-        Statements that it runs at once.
+        Number of statements that it runs concurrently.
     """
 
     group: str
@@ -83,7 +83,7 @@
     reactor : reactor
         The reactor.
     options : SiteOptions
-        What to make.
+        Its configuration.
     """
 
     def __init__(self, reactor, options: SiteOptions = DEFAULT_OPTIONS):
@@ -98,7 +98,7 @@
 
     @property
     def databases(self) -> tuple[SiteDatabase, ...]:
-        """All databases, in the order of their groups."""
+        """All databases, ordered by group."""
         limits = self.options.database
         return tuple(
             SiteDatabase(
@@ -123,14 +123,14 @@
         return self.control.url
 
     async def start(self) -> None:
-        """Start everything; the first database of each group leads."""
+        """Start all stand-ins, with the first database of each group as its primary."""
         self.platform.start()
         for group in self.options.groups:
             self._start_group(group)
         self.control.start()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all stand-ins."""
         for group in self._groups.values():
             group.stop()
         stopping = [server.stop() for server in self.servers.values()]
--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,7 +1,7 @@
 """Starts an instance from the copy of the package that the build has compiled.
 
-The repository is read-only where it is deployed, so that each start from its own
-sources would compile all of them again.
+The repository is read-only in a deployment, so Python could not cache the bytecode of
+its sources and each start would compile all of them again.
 """
 
 import sys
