--- a/tests/e2e/test_roam.py
+++ b/tests/e2e/test_roam.py
@@ -1,4 +1,4 @@
-"""Sessions that roam between two proxies while the primary is lost in every way."""
+"""Sessions that move between two proxies while primaries fail in each supported way."""
 
 from beryltrack.daemon.local_site import GROUP, USER
 from beryltrack_bench.roam import RoamOptions, roam
@@ -7,7 +7,7 @@
 from tests.local_proxies import run_proxies
 
 
-def test_every_promise_holds_while_primaries_are_lost():
+def test_no_guarantee_is_violated_while_primaries_fail():
     with run_proxies() as local:
         site = local.site
         ready = ReadyLine(
--- a/tests/e2e/test_roaming.py
+++ b/tests/e2e/test_roaming.py
@@ -1,4 +1,4 @@
-"""The checks of the roaming program see the defects that they look for."""
+"""The checks of the roaming program find the violations that they test for."""
 
 import random
 from collections import Counter
@@ -37,7 +37,7 @@
         (Outcome.UNKNOWN, {"b": 1}, ["mixed"]),
     ],
 )
-def test_counts_are_compared_with_what_was_told(outcome, rows, promises):
+def test_row_counts_are_compared_with_reported_outcomes(outcome, rows, promises):
     assert get_promises(outcome, rows) == promises
 
 
@@ -45,7 +45,7 @@
     ("value", "promises"),
     [(3, []), (4, []), (2, ["stale"]), (5, ["untrue refusal"])],
 )
-def test_a_read_is_compared_with_the_acknowledged_write(value, promises):
+def test_a_read_is_compared_with_the_last_acknowledged_write(value, promises):
     records = Records()
     login = Login("app", "main")
     session = RoamingSession("s", ("127.0.0.1:1",), login, records, random.Random(1))
@@ -63,13 +63,13 @@
     assert [item.promise for item in records.violations] == ["mixed"]
 
 
-def test_a_refused_repeat_does_not_settle_what_may_have_run():
+def test_a_refused_retry_leaves_an_unknown_outcome_unknown():
     assert _combine(Outcome.UNKNOWN, Outcome.NOT_RUN) is Outcome.UNKNOWN
     assert _combine(Outcome.UNKNOWN, Outcome.ACKNOWLEDGED) is Outcome.ACKNOWLEDGED
     assert _combine(Outcome.NOT_RUN, Outcome.ROLLED_BACK) is Outcome.ROLLED_BACK
 
 
-def test_an_error_tells_what_became_of_the_request():
+def test_errors_are_classified_by_the_outcome_of_the_request():
     lost = psycopg.OperationalError("lost")
     assert classify_error(lost, is_sent=True) is Outcome.UNKNOWN
     assert classify_error(lost, is_sent=False) is Outcome.NOT_RUN
@@ -79,7 +79,7 @@
     assert classify_error(error, is_sent=True) is Outcome.UNEXPECTED
 
 
-def test_the_gap_ends_with_a_write_that_began_after_the_fault():
+def test_the_gap_ends_with_a_write_that_started_after_the_fault():
     records = Records()
     records.note_acknowledged(Effect("a", Outcome.ACKNOWLEDGED, 1.0, 3.0))
     assert records.wait_for_write(2.0, 0.0) is None
@@ -88,7 +88,7 @@
     assert records.wait_for_write(2.0, 0.0) == 4.0
 
 
-def test_all_faults_of_a_ready_line_are_found():
+def test_all_defects_of_a_ready_line_are_found():
     site, findings = parse_ready_line('{"proxies": [], "control": 1}', "line")
     assert site is None
     assert [finding.place for finding in findings] == [
--- a/tests/e2e/test_rolling.py
+++ b/tests/e2e/test_rolling.py
@@ -1,4 +1,4 @@
-"""Every proxy is replaced under load, and callers lose nothing."""
+"""Rolling replacement of all proxies under load loses and doubles no write."""
 
 import threading
 
@@ -12,38 +12,38 @@
 
 
 class Writer(threading.Thread):
-    """A caller that writes through whatever proxy is live and keeps a record."""
+    """A caller that writes through a live proxy and records the acknowledged keys."""
 
     def __init__(self, number, live):
         super().__init__(daemon=True)
         self.number = number
         self.live = live
-        self.ending = threading.Event()
+        self.stopping = threading.Event()
         self.acknowledged = []
         self.errors = []
 
     def run(self):
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             try:
                 with connect(self.live[self.number % len(self.live)]) as connection:
                     self.write(connection)
             except (psycopg.errors.AdminShutdown, psycopg.OperationalError) as error:
-                # A proxy that leaves ends connections, and refuses new ones.
-                self.note(error)
+                # A leaving proxy closes its connections and refuses new ones.
+                self.record_error(error)
 
-    def note(self, error):
+    def record_error(self, error):
         if error.sqlstate not in (None, "57P01", "57P03"):
             self.errors.append(str(error))
 
     def write(self, connection):
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             key = f"{self.number}-{len(self.acknowledged)}"
             set_request_id(connection, key)
             connection.execute("INSERT INTO item VALUES (%s)", (key,))
             self.acknowledged.append(key)
 
 
-def test_rolling_replacement_loses_and_doubles_nothing():
+def test_rolling_replacement_loses_and_doubles_no_write():
     with run_proxies(count=2, seats=4) as local:
         with connect(local.proxies[0]) as setup:
             setup.execute("CREATE TABLE item (key text)")
@@ -60,7 +60,7 @@
             local.proxies.remove(leaving)
         written = [len(writer.acknowledged) for writer in writers]
         for writer in writers:
-            writer.ending.set()
+            writer.stopping.set()
         for writer in writers:
             writer.join()
         with connect(live[0]) as reader:
--- a/tests/e2e/test_store_restore.py
+++ b/tests/e2e/test_store_restore.py
@@ -1,8 +1,7 @@
-"""Real proxies go on when their store is restored to before anything that they wrote.
+"""Proxies keep serving when their store is restored to an empty backup.
 
-The copy is from before the site was set up: settings, seats and addresses are gone.
-Both proxies keep serving by what was confirmed, hold the seats that they held, and
-write seats and addresses again.
+The restore removes the settings, seats and addresses. Both proxies have to serve by the
+confirmed settings, hold the seats that they had, and write seats and addresses again.
 """
 
 import time
@@ -12,13 +11,13 @@
 from tests.local_proxies import connect, run_proxies
 from tests.reactor_thread import run
 
-PATIENCE = 40.0
-"""Seconds within which all is written again: a watch of 6 s, 5 s of spread, a poll."""
+RECOVERY_TIMEOUT = 40.0
+"""Seconds until all is written again: a watch of 6 s, 5 s of spread, and a poll."""
 
 
 def wait_until(holds):
-    """Return whether something holds in time."""
-    deadline = time.monotonic() + PATIENCE
+    """Return whether a condition holds within `RECOVERY_TIMEOUT`."""
+    deadline = time.monotonic() + RECOVERY_TIMEOUT
     while not holds():
         if time.monotonic() > deadline:
             return False
@@ -26,7 +25,7 @@
     return True
 
 
-def test_what_was_lost_is_written_again_and_callers_notice_nothing():
+def test_lost_objects_are_written_again_without_errors_for_callers():
     with run_proxies(count=2, seats=2, era=1) as local:
         store = local.site.platform.store
         budgets = [proxy.fleet.budget.task for proxy in local.proxies]
@@ -51,10 +50,11 @@
         assert wait_until(is_written_again)
         assert [run(lambda b=b: b.held_seats) for b in budgets] == held
 
-        def has_told(proxy):
+        def has_finding(proxy):
             return run(proxy.settings_task.findings.__len__) >= 1
 
-        # Seats are written again before the settings are polled the next time.
-        assert wait_until(lambda: all(map(has_told, local.proxies)))
+        # The finding follows later: seats are written again before the next poll of the
+        # settings.
+        assert wait_until(lambda: all(map(has_finding, local.proxies)))
         for caller in callers:
             caller.close()
--- a/tests/e2e/test_two_losses.py
+++ b/tests/e2e/test_two_losses.py
@@ -1,4 +1,4 @@
-"""A group goes on when two primaries were lost and the first has come back."""
+"""A group accepts writes after two lost primaries, once the first is back."""
 
 from tests.local_proxies import (
     connect,
@@ -14,7 +14,7 @@
     connection.execute("INSERT INTO item VALUES (%s)", (number,))
 
 
-def test_the_first_lost_primary_makes_a_majority_again():
+def test_the_first_lost_primary_restores_the_majority():
     with run_proxies(count=2) as local, connect(local.proxies[0], "new") as caller:
         caller.execute("CREATE TABLE item (id integer)")
         first = get_primary(local)
@@ -22,7 +22,7 @@
         write(caller, 1)
         second = get_primary(local)
         run(second.stop)
-        # It comes back as the primary of a term that is over.
+        # It returns as the primary of a former term.
         run(first.start)
         write(caller, 2)
         rows = caller.execute("SELECT id FROM item ORDER BY id").fetchall()
--- a/tests/standins/clock.py
+++ b/tests/standins/clock.py
@@ -1,4 +1,4 @@
-"""A group of stand-in databases under a clock that the test moves."""
+"""A group of stand-in databases with a clock that the test advances."""
 
 from twisted.internet.defer import Deferred, DeferredSemaphore
 from twisted.internet.task import Clock
@@ -12,7 +12,7 @@
 
 
 class ClockGroup:
-    """Three databases, the first of which leads term 1."""
+    """Three databases; the first is the primary of term 1."""
 
     def __init__(self, slots=3):
         self.clock = Clock()
@@ -22,27 +22,27 @@
         self.group.start()
 
     def make_session(self, number=0):
-        """Return a new session on one database."""
+        """Return a new session of one database."""
         return Session(self.clock, self.databases[number], self.limits)
 
     def advance(self, seconds=0.1):
-        """Let time pass in small steps."""
+        """Advance the clock in steps of 10 ms."""
         self.clock.pump([0.01] * round(seconds / 0.01))
 
     def fail_over(self, term=2, number=1):
-        """Make another database the primary, with grants of a majority."""
+        """Promote a replica by grants of the two replicas, a majority."""
         for database in self.databases[1:]:
             database.grant(term, "p", 0.0)
         assert self.databases[number].promote(term, "p")
 
     def count_rows(self, number):
-        """Return how many rows the readers of a database see."""
+        """Return the number of rows that readers of a database see."""
         rows = execute(self.make_session(number), "SELECT count(*) FROM t")
         return list(rows.result.rows)[0][0]
 
 
 def execute(session, text, parameters=()):
-    """Start a statement; the Deferred holds its answer once it is there."""
+    """Start a statement; return a Deferred of its answer."""
     (statement,) = parse_statements(text)
     deferred = Deferred.fromCoroutine(session.run(statement, parameters))
 
@@ -54,12 +54,12 @@
 
 
 def get_error(deferred):
-    """Return the error that a statement failed with."""
+    """Return the error of a failed statement."""
     failures = []
     deferred.addErrback(failures.append)
     return failures[0].value
 
 
 def get_state(deferred):
-    """Return the SQLSTATE that a statement failed with."""
+    """Return the SQLSTATE of a failed statement."""
     return get_error(deferred).sqlstate
--- a/tests/standins/site.py
+++ b/tests/standins/site.py
@@ -1,4 +1,4 @@
-"""A local site of stand-ins for tests, and blocking clients of it."""
+"""A local site of stand-ins for tests, and blocking clients for it."""
 
 import json
 import urllib.error
@@ -14,7 +14,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """The status and the JSON object of an answer."""
+    """The HTTP status and the JSON object of an answer."""
 
     code: int
     body: dict
@@ -22,7 +22,7 @@
 
 @contextmanager
 def running_site(options=DEFAULT_OPTIONS):
-    """Start a site, and stop it in the end."""
+    """Start a site, and stop it at the end."""
     site = run(LocalSite, reactor, options)
     run(site.start)
     try:
@@ -32,7 +32,7 @@
 
 
 def connect(site, name, **options):
-    """Return a psycopg connection to a database of the site."""
+    """Open a psycopg connection to a database of the site."""
     endpoint = site.servers[name].endpoint
     return psycopg.connect(
         host=endpoint.host,
@@ -43,7 +43,7 @@
 
 
 def call(url, method="GET", body=None):
-    """Call an HTTP interface of the stand-ins."""
+    """Call an HTTP interface of the stand-ins and return its answer."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method)
     try:
--- a/tests/standins/test_database_server.py
+++ b/tests/standins/test_database_server.py
@@ -1,4 +1,4 @@
-"""The stand-in database as psycopg sees it."""
+"""The stand-in database server with psycopg as its client."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -27,7 +27,7 @@
         yield connection
 
 
-def test_a_write_returns_its_row_and_its_position(connection):
+def test_a_write_returns_its_row_and_a_new_position(connection):
     before = connection.info.parameter_status("beryltrack.position")
     cursor = connection.execute("INSERT INTO t (v) VALUES (%s) RETURNING v", ("a",))
     assert cursor.fetchall() == [("a",)]
@@ -47,7 +47,7 @@
         assert connection.execute("SELECT count(*) FROM t").fetchone() == (1,)
 
 
-def test_a_failed_transaction_takes_no_statement_until_rollback(connection):
+def test_a_failed_transaction_refuses_statements_until_rollback(connection):
     connection.execute("BEGIN")
     with pytest.raises(psycopg.errors.UndefinedTable):
         connection.execute("INSERT INTO missing VALUES (1)")
@@ -84,7 +84,7 @@
     assert connection.execute("SELECT count(*) FROM t").fetchone() == (0,)
 
 
-def test_a_large_result_is_sent_whole(connection):
+def test_a_large_result_is_complete(connection):
     query = "SELECT g, repeat('x', 1000) FROM generate_series(1, 5000) AS g"
     rows = connection.execute(query).fetchall()
     assert [row[0] for row in rows] == list(range(1, 5001))
@@ -101,14 +101,14 @@
     thread = threading.Thread(target=sleep)
     thread.start()
     while not canceled.wait(0.01) and thread.is_alive():
-        # The older `cancel` would hold the interpreter lock that the reactor needs.
+        # `cancel` would hold the interpreter lock, which the reactor thread needs.
         connection.cancel_safe()
     thread.join()
     assert canceled.is_set()
     assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_a_frozen_database_answers_after_it_thaws(site, connection):
+def test_a_frozen_database_answers_once_it_is_unfrozen(site, connection):
     server = site.servers["main-1"]
     run(server.set_frozen, True)
     with ThreadPoolExecutor() as threads:
@@ -128,12 +128,12 @@
             with pytest.raises(psycopg.OperationalError, match="too many"):
                 connect(site, "main-1", password="secret")
             control = {"application_name": "beryltrack-control"}
-            with connect(site, "main-1", password="secret", **control) as watcher:
-                rows = watcher.execute("SELECT * FROM beryltrack_status()").fetchall()
+            with connect(site, "main-1", password="secret", **control) as client:
+                rows = client.execute("SELECT * FROM beryltrack_status()").fetchall()
                 assert rows[0][0] == "main-1"
 
 
-def test_a_stopped_database_comes_back_on_its_port_with_its_state():
+def test_a_restarted_database_has_its_port_and_data():
     with running_site() as site:
         with connect(site, "main-1") as connection:
             connection.execute("CREATE TABLE t (id INTEGER)")
--- a/tests/standins/test_dialect.py
+++ b/tests/standins/test_dialect.py
@@ -1,4 +1,4 @@
-"""Statement texts in the words of sqlite3."""
+"""Splitting, classifying and translating of statement texts for sqlite3."""
 
 import pytest
 
--- a/tests/standins/test_former_primary.py
+++ b/tests/standins/test_former_primary.py
@@ -1,4 +1,8 @@
-"""The stand-ins of databases that go on and of promotions that nobody fences."""
+"""Stand-ins of former primaries that continue, and of promotions without a fence.
+
+Such databases can lose acknowledged commits: a former primary accepts writes that no
+replica receives, and a late call with a lower fencing token promotes another database.
+"""
 
 import random
 
@@ -19,7 +23,7 @@
     return clock, group, group.databases["a"]
 
 
-def test_a_former_primary_takes_writes_that_nobody_receives():
+def test_a_former_primary_accepts_writes_that_no_replica_receives():
     clock, group, former = make_group()
     group.promote("b")
     assert group.primary.name == "b" and former.role == PRIMARY
@@ -29,7 +33,7 @@
     assert len(group.databases["c"].log) == 1
 
 
-def test_it_follows_once_it_has_noticed():
+def test_a_former_primary_steps_down_after_the_delay():
     clock, group, former = make_group()
     group.promote("b")
     lost = group.commit(former, {b"k": b"2"})
@@ -38,7 +42,7 @@
     assert lost in group.rolled_back
 
 
-def test_one_that_is_cut_off_goes_on_until_it_is_stepped_down():
+def test_a_partitioned_former_primary_continues_until_it_is_stepped_down():
     clock, group, former = make_group()
     former.is_partitioned = True
     group.promote("b")
@@ -48,7 +52,7 @@
     assert former.role == REPLICA
 
 
-def test_a_lower_token_is_a_breach_only_where_nobody_fences():
+def test_a_lower_token_is_a_breach_only_without_a_fence():
     for is_fenced, breaches in ((True, 0), (False, 1)):
         log = FencingTokenLog(is_fenced)
         for token, holder in ((4, "node-1"), (3, "node-2")):
--- a/tests/standins/test_group.py
+++ b/tests/standins/test_group.py
@@ -1,4 +1,4 @@
-"""Replication, its faults and the control functions under a clock."""
+"""Replication, its faults and the control functions, with a test clock."""
 
 import pytest
 
@@ -26,7 +26,7 @@
     return dict(zip(deferred.result.columns, row, strict=True))
 
 
-def test_lag_delays_what_readers_see_and_not_receipt(group):
+def test_lag_delays_visibility_and_not_receipt(group):
     group.databases[1].set_apply_lag(1.0)
     insert(group, 1)
     group.clock.advance(RECEIVE_DELAY)
@@ -36,7 +36,7 @@
     assert group.count_rows(1) == 1
 
 
-def test_an_isolated_primary_goes_on_and_loses_its_tail_on_return(group):
+def test_an_isolated_primary_accepts_writes_and_discards_them_on_return(group):
     group.databases[0].isolated = True
     insert(group, 1)
     group.advance()
@@ -64,7 +64,7 @@
     assert [group.count_rows(number) for number in range(3)] == [7, 7, 7]
 
 
-def test_a_new_primary_shows_all_it_received_before_it_writes(group):
+def test_a_new_primary_applies_all_received_entries_before_it_writes(group):
     group.databases[1].set_apply_lag(60.0)
     insert(group, 1)
     group.advance()
@@ -73,7 +73,7 @@
     assert insert(group, 2, number=1).called
 
 
-def test_a_frozen_primary_is_not_heard_and_steps_down_after_it_thaws(group):
+def test_a_frozen_primary_sends_nothing_and_steps_down_once_unfrozen(group):
     group.databases[0].frozen = True
     group.advance(1.0)
     assert group.databases[1].status.heard_age >= 0.9
--- a/tests/standins/test_lines.py
+++ b/tests/standins/test_lines.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the users' databases: replication, terms and transactions."""
+"""Line-protocol stand-in databases: replication, terms and transactions."""
 
 import itertools
 import random
@@ -14,8 +14,8 @@
 NAMES = ("a", "b", "c")
 
 
-class Runs:
-    """Notes what databases run and commit."""
+class Recorder:
+    """Records the statements and commits of databases."""
 
     def __init__(self):
         self.runs, self.commits = [], []
@@ -28,7 +28,7 @@
 
 
 class Transport(StringTransport):
-    """A transport that takes the option of a real one."""
+    """A transport that accepts TCP_NODELAY."""
 
     def setTcpNoDelay(self, enabled):  # noqa: N802
         pass
@@ -38,12 +38,12 @@
     """A group and sessions without sockets."""
 
     def __init__(self):
-        self.clock, self.runs = Clock(), Runs()
+        self.clock, self.recorder = Clock(), Recorder()
         self.group = Group(self.clock, NAMES, random.Random(1))
         numbers = itertools.count(1)
         self.factories = {
             name: DatabaseFactory(
-                self.clock, self.group, name, self.runs, random.Random(1), numbers
+                self.clock, self.group, name, self.recorder, random.Random(1), numbers
             )
             for name in NAMES
         }
@@ -77,27 +77,27 @@
     assert "DATAROW v" in site.ask(replica, "QUERY 2 AFTER 1.1 READ k")
 
 
-def test_a_replica_that_lacks_a_position_says_so(site):
+def test_a_replica_that_lacks_a_position_answers_lagging(site):
     assert "ERROR LAGGING" in site.ask(site.open("b"), "QUERY 1 AFTER 1.1 READ k")
 
 
-def test_a_replica_takes_no_writes(site):
+def test_a_replica_refuses_writes(site):
     session = site.open("b")
     assert "ERROR READONLY" in site.ask(session, "QUERY 1 WRITE k v")
     assert "ERROR READONLY" in site.ask(session, "QUERY 2 BEGIN")
     assert "READY T" in site.ask(session, "QUERY 3 BEGIN READ")
 
 
-def test_a_transaction_commits_as_one(site):
+def test_a_transaction_commits_at_one_position(site):
     session = site.open("a")
     for line in ("QUERY 1 BEGIN", "QUERY 2 WRITE k v", "QUERY 3 WRITE l w"):
         assert "READY T" in site.ask(session, line)
-    assert site.runs.commits == []
+    assert site.recorder.commits == []
     assert "READY I" in site.ask(session, "QUERY 4 COMMIT")
-    assert site.runs.commits == [(b"4", LogPosition(1, 1))]
+    assert site.recorder.commits == [(b"4", LogPosition(1, 1))]
 
 
-def test_a_promotion_rolls_back_what_its_database_lacks(site):
+def test_a_promotion_rolls_back_commits_that_the_new_primary_lacks(site):
     session = site.open("a")
     site.group.databases["b"].held = 2
     site.ask(session, "QUERY 1 WRITE k v")
@@ -108,13 +108,13 @@
     assert all(each.log == [] for each in site.group.databases.values())
 
 
-def test_a_transaction_of_a_primary_that_was_replaced_fails(site):
+def test_a_transaction_on_a_replaced_primary_fails(site):
     session = site.open("a")
     site.ask(session, "QUERY 1 BEGIN")
     site.ask(session, "QUERY 2 WRITE k v")
     site.group.promote("b")
     assert "ERROR READONLY" in site.ask(session, "QUERY 3 COMMIT")
-    assert site.runs.commits == []
+    assert site.recorder.commits == []
 
 
 def test_a_held_replica_receives_again_after_its_release(site):
@@ -126,7 +126,7 @@
     assert site.group.databases["b"].received == LogPosition(1, 1)
 
 
-def test_a_dark_database_answers_nothing_until_it_is_back(site):
+def test_a_silent_database_does_not_answer_until_it_restarts(site):
     session = site.open("a")
     site.factories["a"].crash(True)
     assert site.ask(session, "QUERY 1 READ k") == ""
@@ -134,5 +134,5 @@
     assert site.group.databases["a"].is_up
 
 
-def test_an_unknown_prepared_name_is_told(site):
+def test_an_unknown_prepared_name_is_an_error(site):
     assert "UNPREPARED" in site.ask(site.open("a"), "QUERY 1 EXECUTE p1 k")
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -31,7 +31,7 @@
     return call(f"{url}/objects/{path}", "PUT", body)
 
 
-def test_a_conditional_change_needs_the_present_version(url):
+def test_a_conditional_change_requires_the_present_version(url):
     created = put(url, "a/x", {"n": 1}, 0)
     assert put(url, "a/x", {"n": 2}, 0) == (409, {"version": created.body["version"]})
     changed = put(url, "a/x", {"n": 2}, created.body["version"])
@@ -39,7 +39,7 @@
     assert call(f"{url}/objects/a/x").body["value"] == {"n": 2}
 
 
-def test_a_deleted_object_shows_in_a_watch_and_not_in_a_list(url):
+def test_a_deleted_object_is_in_a_watch_and_not_in_a_list(url):
     version = put(url, "b/x", 1).body["version"]
     call(f"{url}/objects/b/x?if_version={version}", "DELETE")
     assert call(f"{url}/objects/b/x").code == 404
@@ -64,7 +64,7 @@
     assert answer.body == {"revision": revision, "objects": []}
 
 
-def test_a_lost_answer_has_its_effect(site, url):
+def test_a_change_whose_answer_is_lost_takes_effect(site, url):
     set_fault(site, "lose_answers", 1)
     with pytest.raises(OSError):
         put(url, "f/x", 1)
@@ -90,7 +90,7 @@
     return call(f"{url}/calls").body.get(kind, 0)
 
 
-def test_the_instance_list_shows_who_lives_and_who_leaves(url):
+def test_the_instance_list_contains_the_registered_instances(url):
     entry = {"host": "127.0.0.1", "port": 1, "zone": "a", "state": "leaving"}
     call(f"{url}/instances/p1", "PUT", entry)
     shown = {"instances": [{"name": "p1", **entry}]}
--- a/tests/standins/test_replica_log.py
+++ b/tests/standins/test_replica_log.py
@@ -1,4 +1,4 @@
-"""The stand-in database's rules for terms."""
+"""Terms, grants and replication in the log of a stand-in database."""
 
 from beryltrack.groups.messages import LogPosition
 from beryltrack_standins.database.replica_log import ReplicaLog
@@ -18,7 +18,7 @@
     assert log.grant(1, "p", 0.5, 10.0).granted
 
 
-def test_no_grant_while_the_primary_is_heard():
+def test_no_grant_while_the_primary_replicates():
     primary, replica = make_primary(), ReplicaLog("b")
     replica.receive(primary, 10.0)
     assert not replica.grant(2, "p", 0.5, 10.1).granted
@@ -32,7 +32,7 @@
     assert replica.received == LogPosition(0, 0)
 
 
-def test_the_tail_of_an_old_primary_is_discarded():
+def test_the_tail_of_a_former_primary_is_discarded():
     old, new = make_primary(), ReplicaLog("b")
     new.receive(old, 10.0)
     old.append(("lost",))
--- a/tests/standins/test_session.py
+++ b/tests/standins/test_session.py
@@ -1,4 +1,4 @@
-"""Transactions, locks and slots of the stand-in databases under a clock."""
+"""Transactions, locks and slots of the stand-in databases, with a test clock."""
 
 from twisted.internet.defer import CancelledError
 
@@ -11,7 +11,7 @@
     return group
 
 
-def test_a_second_writer_waits_for_the_first_and_gives_up():
+def test_a_second_writer_waits_until_the_lock_timeout():
     group = make_group()
     first, second = group.make_session(), group.make_session()
     execute(first, "BEGIN")
@@ -23,7 +23,7 @@
     assert get_state(waiting) == "55P03"
 
 
-def test_a_transaction_that_only_reads_blocks_no_writer():
+def test_a_read_only_transaction_blocks_no_writer():
     group = make_group()
     reader = group.make_session()
     execute(reader, "BEGIN")
@@ -51,7 +51,7 @@
     assert group.count_rows(0) == 1
 
 
-def test_a_savepoint_undoes_its_part_on_replicas_too():
+def test_a_rollback_to_a_savepoint_is_replicated():
     group = make_group()
     session = group.make_session()
     for text in (
@@ -68,7 +68,7 @@
     assert [group.count_rows(number) for number in range(3)] == [2, 2, 2]
 
 
-def test_the_commit_of_a_primary_that_was_replaced_is_refused_and_undone():
+def test_a_commit_on_a_replaced_primary_is_refused_and_rolled_back():
     group = make_group()
     session = group.make_session()
     execute(session, "BEGIN")
@@ -80,7 +80,7 @@
     assert [group.count_rows(number) for number in range(3)] == [0, 0, 0]
 
 
-def test_stopped_writes_resume_if_nobody_takes_over():
+def test_stopped_writes_resume_without_a_new_primary():
     group = make_group()
     execute(group.make_session(), "SELECT * FROM beryltrack_stop_writes(1)")
     refused = execute(group.make_session(), "INSERT INTO t VALUES (1)")
@@ -101,7 +101,7 @@
     assert rows[0] == rows[1] == rows[2]
 
 
-def test_a_client_lost_while_its_database_is_frozen_leaves_no_lock():
+def test_a_client_that_disconnects_from_a_frozen_database_leaves_no_lock():
     group = make_group()
     first, second = group.make_session(), group.make_session()
     execute(first, "BEGIN")
@@ -118,7 +118,7 @@
     assert group.count_rows(0) == 1
 
 
-def test_the_log_holds_transactions_in_the_order_of_their_commits():
+def test_the_log_contains_transactions_in_commit_order():
     group = make_group()
     execute(group.make_session(), "INSERT INTO t VALUES (1)")
     first, second = group.make_session(), group.make_session()
--- a/tests/standins/test_writer.py
+++ b/tests/standins/test_writer.py
@@ -1,4 +1,4 @@
-"""Back-pressure of a stand-in database under a clock."""
+"""Back-pressure of a stand-in database on a client that does not read."""
 
 from pygwire import BackendConnection, ConnectionPhase, messages
 from twisted.internet.defer import Deferred
