--- a/tests/command/test_tool.py
+++ b/tests/command/test_tool.py
@@ -195,7 +195,7 @@
     tool.write("status/instances/gone", gone)
     entry = {"host": "127.0.0.1", "port": 1, "zone": "a", "state": "live"}
     for name in ("p2", "p3"):
-        run(tool.platform._show_instance, name, entry | {"name": name})
+        run(tool.platform._apply_instance_change, name, entry | {"name": name})
     code, fleet = tool.call_json("status")
     calls = tool.platform.calls["total"]
     text = tool.call("status").text
