--- a/beryltrack_bench/experiments/ablate.py
+++ b/beryltrack_bench/experiments/ablate.py
@@ -143,7 +143,7 @@
 ) -> Worth:
     """Return what one run came to."""
     rate = load.times * compute_capacity(deployment)
-    offer = Offer("a", rate, load.storming, patience=PATIENCE)
+    offer = Offer("a", rate, load.storming, timeouts=PATIENCE)
     options = SiteOptions(pool=policies.pools, retries=policies.retries)
     result = run_scenario(deployment, seed, [offer], seconds, options, load.outage)
     return compute_worth(result)
@@ -154,10 +154,10 @@
     tally = result.tally
     offered = max(tally.offered, 1)
     return Worth(
-        sum(tally.done.values()) / offered,
+        sum(tally.in_time_counts.values()) / offered,
         get_seconds(tally.latency, 99.0),
         tally.late,
-        tally.ended[Outcome.REFUSED] / offered,
+        tally.outcome_counts[Outcome.REFUSED] / offered,
         count_violations(result),
     )
 
--- a/beryltrack_bench/experiments/fleet.py
+++ b/beryltrack_bench/experiments/fleet.py
@@ -8,8 +8,8 @@
 """
 
 from beryltrack_bench.deployment import Deployment
-from beryltrack_bench.fleet.course import Course, CourseResult
 from beryltrack_bench.fleet.run import run_in_reactor
+from beryltrack_bench.fleet.scenario import FleetScenario, ScenarioResult
 from beryltrack_bench.options import Options
 
 MAX_NODES = 64
@@ -32,7 +32,7 @@
     Returns
     -------
     dict
-        The figures of `CourseResult`, and violations by kind.
+        The figures of `ScenarioResult`, and violations by kind.
 
     Raises
     ------
@@ -42,11 +42,11 @@
     nodes = options.nodes or deployment.proxies
     if not 2 <= nodes <= MAX_NODES:
         raise ValueError(f"--nodes must be from 2 to {MAX_NODES}")
-    result = run_in_reactor(lambda reactor: Course(reactor, seed).run(nodes))
+    result = run_in_reactor(lambda reactor: FleetScenario(reactor, seed).run(nodes))
     return format_result(nodes, result)
 
 
-def format_result(nodes: int, result: CourseResult) -> dict:
+def format_result(nodes: int, result: ScenarioResult) -> dict:
     """Return the figures as the JSON object that is printed."""
     figures = {
         name: value._asdict() if hasattr(value, "_asdict") else value
@@ -55,7 +55,7 @@
     return {"nodes": nodes, **figures, "violations": find_violations(nodes, result)}
 
 
-def find_violations(nodes: int, result: CourseResult) -> dict[str, int]:
+def find_violations(nodes: int, result: ScenarioResult) -> dict[str, int]:
     """Return what must not happen and did: reverts, misses, late settings."""
     limit = next((limit for size, limit in TARGETS if nodes <= size), 0.0)
     counts = {
--- a/beryltrack_bench/experiments/overload.py
+++ b/beryltrack_bench/experiments/overload.py
@@ -77,7 +77,7 @@
         for load in LOADS
     }
     storm = run_scenario(
-        deployment, seed, [Offer("a", 2 * capacity, storming=True)], seconds
+        deployment, seed, [Offer("a", 2 * capacity, retries_at_once=True)], seconds
     )
     thundering = run_return(deployment, seed, capacity)
     best = max(result.tally.get_goodput() for result in runs.values())
@@ -150,7 +150,7 @@
     deployment: Deployment, seed: int, capacity: float, seconds: float = RETURN_TIME
 ) -> RunResult:
     """Have all callers of an outage return at once, and try again when refused."""
-    offers = [Offer("a", capacity, storming=True)]
+    offers = [Offer("a", capacity, retries_at_once=True)]
     return run_scenario(deployment, seed, offers, seconds, outage=True)
 
 
@@ -159,19 +159,19 @@
     tally, site = result.tally, result.site
     retries = sum(proxy.retry_count for proxy in site.proxies)
     requests = sum(proxy.request_count for proxy in site.proxies)
-    samples = result.callers.use_samples
+    samples = result.callers.utilization_samples
     return {
         "offered_per_s": round(tally.offered / (tally.end - tally.start), 1),
         "goodput_per_s": round(tally.get_goodput(), 1),
         "goodput_of_best": round(tally.get_goodput() / best, 4),
         "admitted_p99_s": get_seconds(tally.latency, 99.0),
         "late": tally.late,
-        "refused": tally.ended[Outcome.REFUSED],
-        "lost": tally.ended[Outcome.LOST],
+        "refused": tally.outcome_counts[Outcome.REFUSED],
+        "lost": tally.outcome_counts[Outcome.LOST],
         "untrue_refusals": count_untrue(result),
         "refusal_p99_s": get_seconds(tally.refusal_delay, 99.0),
         "retries_per_request": round(retries / requests, 4),
-        "connections_most": max(each.most_open for each in site.all_databases),
+        "connections_most": max(each.max_open for each in site.all_databases),
         "connections_limit": site.all_databases[0].max_connections,
         "refused_by_database": sum(each.refused_count for each in site.all_databases),
         "in_use_while_waiting": compute_mean(samples),
@@ -182,9 +182,9 @@
     deployment: Deployment, seed: int, capacity: float, seconds: float
 ) -> dict:
     """Measure a team at low load alone, and beside another team's flood."""
-    options = SiteOptions(teams=("a", "b"), most_requests=FAIR_BOUND)
+    options = SiteOptions(teams=("a", "b"), max_requests=FAIR_BOUND)
     calm = Offer("b", SMALL_LOAD * capacity)
-    flood = Offer("a", 5 * capacity, storming=False)
+    flood = Offer("a", 5 * capacity, retries_at_once=False)
     alone = run_scenario(deployment, seed, [calm], seconds, options)
     beside = run_scenario(deployment, seed, [calm, flood], seconds, options)
     before, after = (each.tally.get_goodput("b") for each in (alone, beside))
@@ -229,8 +229,8 @@
     site = result.site
     return {
         "goodput_per_s": round(result.tally.get_goodput(), 1),
-        "in_use_while_waiting": compute_mean(result.callers.use_samples),
-        "connections_most": max(each.most_open for each in site.all_databases),
+        "in_use_while_waiting": compute_mean(result.callers.utilization_samples),
+        "connections_most": max(each.max_open for each in site.all_databases),
         "messages_per_s": round(site.message_count / site.clock.seconds(), 1),
     }
 
@@ -262,7 +262,7 @@
 def count_over_limit(result: RunResult) -> int:
     """Return how many databases had more connections than their limit."""
     databases = result.site.all_databases
-    return sum(each.most_open > each.max_connections for each in databases)
+    return sum(each.max_open > each.max_connections for each in databases)
 
 
 def count_violations(result: RunResult) -> int:
--- a/beryltrack_bench/experiments/quota.py
+++ b/beryltrack_bench/experiments/quota.py
@@ -8,7 +8,7 @@
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.options import Options
 from beryltrack_bench.quota.site import Figures
-from beryltrack_bench.quota.ways import WAYS, run_way
+from beryltrack_bench.quota.strategies import STRATEGIES, run_strategy
 
 SIZES = (8, 67, 195, 520)
 """Instances of the users' fleets, and of the size to design for."""
@@ -18,7 +18,9 @@
     """Play each way at each size; the standing one must hold all limits."""
     sizes = (options.nodes,) if options.nodes else SIZES
     figures = {
-        str(count): {name: _show(run_way(name, count, seed)) for name in WAYS}
+        str(count): {
+            name: _show(run_strategy(name, count, seed)) for name in STRATEGIES
+        }
         for count in sizes
     }
     broken = [
--- a/beryltrack_bench/fleet/course.py
+++ b/beryltrack_bench/fleet/scenario.py
@@ -33,7 +33,7 @@
 LOOK_PERIOD = 0.01
 
 
-class CourseResult(NamedTuple):
+class ScenarioResult(NamedTuple):
     """What the course measured; times in seconds.
 
     Parameters
@@ -68,7 +68,7 @@
     reverted: int
 
 
-class Course:
+class FleetScenario:
     """Runs one fleet through all that is measured.
 
     Parameters
@@ -86,7 +86,7 @@
         self._missed = 0
         self._began = 0.0
 
-    async def run(self, nodes: int) -> CourseResult:
+    async def run(self, nodes: int) -> ScenarioResult:
         """Run the course with a number of nodes and stop everything."""
         began = self._reactor.seconds()
         self._began = began
@@ -99,7 +99,7 @@
         finally:
             await self._fleet.stop()
 
-    async def _measure(self, start: float) -> CourseResult:
+    async def _measure(self, start: float) -> ScenarioResult:
         """Measure everything, one after the other."""
         up = [await self._change(outage=False) for _ in range(CHANGES)]
         elapsed = self._reactor.seconds() - self._began
@@ -109,7 +109,7 @@
         replacing = [await self._replace() for _ in range(REPLACEMENTS)]
         deaths = [await self._watch_event(DEAD) for _ in range(EVENTS)]
         leavings = [await self._watch_event(LEAVING) for _ in range(EVENTS)]
-        return CourseResult(
+        return ScenarioResult(
             start,
             steady,
             *map(_spread, (up, down, replacing, deaths, leavings)),
--- a/beryltrack_bench/overload/load.py
+++ b/beryltrack_bench/overload/load.py
@@ -26,19 +26,19 @@
         Whose requests.
     rate : float
         Requests a second, over all proxies.
-    storming : bool
+    retries_at_once : bool
         True if callers try again at once after each refusal.
     weights : tuple of float
         Relative share of each proxy; empty for equal shares.
-    patience : tuple of float
+    timeouts : tuple of float
         Seconds that callers wait at the most, drawn for each request.
     """
 
     team: str
     rate: float
-    storming: bool = False
+    retries_at_once: bool = False
     weights: tuple[float, ...] = ()
-    patience: tuple[float, ...] = (PATIENCE,)
+    timeouts: tuple[float, ...] = (PATIENCE,)
 
 
 def make_histogram() -> HdrHistogram:
@@ -64,8 +64,8 @@
         self.start = start
         self.end = end
         self.offered = 0
-        self.done: dict[str, int] = {}
-        self.ended = dict.fromkeys(Outcome, 0)
+        self.in_time_counts: dict[str, int] = {}
+        self.outcome_counts = dict.fromkeys(Outcome, 0)
         self.late = 0
         self.refused_numbers: list[int] = []
         self.latency = make_histogram()
@@ -81,17 +81,23 @@
             self.refusal_delay.record_value(took)
         if not self.start <= request.arrived_at < self.end:
             return
-        self.ended[ended.outcome] += 1
+        self.outcome_counts[ended.outcome] += 1
         if ended.outcome is Outcome.DONE:
             self.latency.record_value(took)
             is_late = ended.ended_at > request.deadline
             self.late += is_late
-            self.done[request.team] = self.done.get(request.team, 0) + (not is_late)
+            self.in_time_counts[request.team] = self.in_time_counts.get(
+                request.team, 0
+            ) + (not is_late)
             self.done_at.append(ended.ended_at)
 
     def get_goodput(self, team: str | None = None) -> float:
         """Return the requests a second that were done in time."""
-        done = sum(self.done.values()) if team is None else self.done.get(team, 0)
+        done = (
+            sum(self.in_time_counts.values())
+            if team is None
+            else self.in_time_counts.get(team, 0)
+        )
         return done / (self.end - self.start)
 
 
@@ -117,7 +123,7 @@
         tally: Tally,
         rng: random.Random,
     ):
-        self.use_samples: list[float] = []
+        self.utilization_samples: list[float] = []
         self._site = site
         self._offers = {offer.team: offer for offer in offers}
         self._tally = tally
@@ -135,7 +141,7 @@
         """Take in an end; a storming caller tries again at once."""
         self._tally.observe(ended)
         request = ended.request
-        again = self._offers[request.team].storming
+        again = self._offers[request.team].retries_at_once
         if (
             again
             and ended.outcome is Outcome.REFUSED
@@ -160,9 +166,9 @@
         now = self._site.clock.seconds()
         self._numbers += 1
         statements = draw_statements(self._rng)
-        patience = self._offers[team].patience
+        timeouts = self._offers[team].timeouts
         # One length draws no number, so that runs without a choice stay the same.
-        wait = self._rng.choice(patience) if len(patience) > 1 else patience[0]
+        wait = self._rng.choice(timeouts) if len(timeouts) > 1 else timeouts[0]
         request = Request(self._numbers, team, statements, now, now + wait, attempt)
         if self._tally.start <= now < self._tally.end:
             self._tally.offered += 1
@@ -184,6 +190,6 @@
             control = CONTROL_CONNECTIONS * len(self._site.proxies) * len(databases)
             total = sum(database.max_connections for database in databases)
             in_use = sum(load.in_use for load in loads)
-            self.use_samples.append(in_use / (total - control))
+            self.utilization_samples.append(in_use / (total - control))
         if now < self._stop_at:
             self._site.clock.callLater(SAMPLE_PERIOD, self._sample_use)
--- a/beryltrack_bench/overload/proxy.py
+++ b/beryltrack_bench/overload/proxy.py
@@ -53,7 +53,7 @@
         Seconds between the statements of a transaction.
     rng : random.Random
         For service times, choices and jitter.
-    most_requests : int
+    max_requests : int
         Most requests that it holds at once.
     tell : callable
         Called with the `Ended` of each request.
@@ -67,7 +67,7 @@
         pools: dict[str, list[PoolTask]],
         gap: float,
         rng: random.Random,
-        most_requests: int,
+        max_requests: int,
         tell: Callable[[Ended], None],
         retries: RetryPolicy,
     ):
@@ -78,7 +78,7 @@
         self._gap = gap
         self._rng = rng
         self._tell = tell
-        policy = AdmissionPolicy(max_requests=most_requests)
+        policy = AdmissionPolicy(max_requests=max_requests)
         self._admission = AdmissionDecider(policy, UNWEIGHTED)
         self._retries = RetryBudget(retries, rng)
         self._acquiring: dict[int, Deferred] = {}
--- a/beryltrack_bench/overload/site.py
+++ b/beryltrack_bench/overload/site.py
@@ -38,7 +38,7 @@
     ----------
     teams : tuple of str
         Teams, each with a group of its own.
-    most_requests : int
+    max_requests : int
         Most requests that a proxy holds.
     pool : PoolPolicy
         Of all pools.
@@ -49,7 +49,7 @@
     """
 
     teams: tuple[str, ...] = ("a",)
-    most_requests: int = 1024
+    max_requests: int = 1024
     pool: PoolPolicy = PoolPolicy()
     budget: BudgetPolicy = BudgetPolicy()
     retries: RetryPolicy = RetryPolicy()
@@ -184,7 +184,7 @@
         }
         gap = 2 * deployment.client_delay
         return OverloadProxy(
-            self.clock, pools, gap, rng, options.most_requests, tell, options.retries
+            self.clock, pools, gap, rng, options.max_requests, tell, options.retries
         )
 
     def _make_pool(
--- a/beryltrack_bench/overload/target.py
+++ b/beryltrack_bench/overload/target.py
@@ -48,7 +48,7 @@
         self.clock = clock
         self.delay = delay
         self.control_count = 0
-        self.most_open = 0
+        self.max_open = 0
         self.refused_count = 0
         self.ran: set[int] = set()
         self.is_up = True
@@ -121,7 +121,7 @@
         else:
             connection = SlotConnection(self)
             self._connections.add(connection)
-            self.most_open = max(self.most_open, self.open_count)
+            self.max_open = max(self.max_open, self.open_count)
             self.clock.callLater(self._setup + self.delay, result.callback, connection)
 
     def _answer_later(self, result: Deferred, error: Exception) -> None:
--- a/beryltrack_bench/quota/lender.py
+++ b/beryltrack_bench/quota/lender.py
@@ -25,8 +25,8 @@
     now: float
     instances: "Mapping[str, Lender]"
 
-    def put(
-        self, source: str, target: "Lender", carry_out: Callable[[], object]
+    def send(
+        self, source: str, target: "Lender", deliver: Callable[[], object]
     ) -> None:
         """Put a message on its way; it is carried out when it arrives."""
 
@@ -41,7 +41,7 @@
         self.sent_at: float | None = None
 
     @property
-    def is_over(self) -> bool:
+    def is_closed(self) -> bool:
         """True if its lender uses another link, or none."""
         return self.lender.links.get(self.owner.name) is not self
 
@@ -115,9 +115,9 @@
                 self.quota.shares.set_loan(name, loan, self.now)
                 self.lending.observe_accepted(name, offer)
             else:
-                self._tell(name, offer)
+                self._send_offer(name, offer)
 
-    def _tell(self, name: str, offer: Offer) -> None:
+    def _send_offer(self, name: str, offer: Offer) -> None:
         """Send an offer unless the last one is not answered."""
         owner = self._carrier.instances[name]
         link = self.links.get(name)
@@ -130,19 +130,21 @@
             offer = Offer(0, 0.0)
         else:
             self.lending.observe_sent(name, offer, self.now)
-        self._carrier.put(self.name, owner, lambda: owner.take(link, offer))
+        self._carrier.send(self.name, owner, lambda: owner.receive_offer(link, offer))
 
-    def take(self, link: Link, offer: Offer) -> None:
+    def receive_offer(self, link: Link, offer: Offer) -> None:
         """Take an offer as an owner, and answer it."""
         if link.answered_at is not None:
             loan = Loan(offer.slots, offer.share, self.get_loan_end(link))
             self.quota.shares.set_loan(link.lender.name, loan, self.now)
         link.answered_at = self.now
-        self._carrier.put(self.name, link.lender, lambda: link.lender.end(link, offer))
+        self._carrier.send(
+            self.name, link.lender, lambda: link.lender.receive_answer(link, offer)
+        )
 
-    def end(self, link: Link, offer: Offer) -> None:
+    def receive_answer(self, link: Link, offer: Offer) -> None:
         """Take the answer to an offer."""
-        if link.is_over:
+        if link.is_closed:
             return
         link.sent_at = None
         if not link.is_new:
--- a/beryltrack_bench/quota/site.py
+++ b/beryltrack_bench/quota/site.py
@@ -31,7 +31,7 @@
 LATENCY = 0.003
 """Seconds that a message takes."""
 
-NOTICE_TIME = 0.3
+DETECTION_TIME = 0.3
 """Seconds until an instance that is out of reach is passed over."""
 
 WINDOW, TOLERANCE = 5.0, Tolerance(0.1, 20.0, 5.0)
@@ -48,7 +48,7 @@
 HOT_RATE = 40.0
 """Operations a second that the first account may run."""
 
-LEAST_CONNECTIONS = 128
+MIN_CONNECTIONS = 128
 """Connections of the smallest database: as many owners as there are zones allow."""
 
 CALM_UNTIL, SPLIT_UNTIL, LOST_FROM, END = 10.0, 16.0, 20.0, 26.0
@@ -134,7 +134,7 @@
         ]
         self.names = tuple(peer.name for peer in peers)
         self.sides = {name: number % 2 for number, name in enumerate(self.names)}
-        self.owners = choose_account_owners(peers, LEAST_CONNECTIONS)
+        self.owners = choose_account_owners(peers, MIN_CONNECTIONS)
         self.accounts = dict(map(self._make_account, range(ACCOUNTS)))
         self.zones = {peer.name: peer.zone for peer in peers}
         self._orders = {
@@ -159,13 +159,13 @@
         name = f"account-{number}"
         return name, AccountSettings(name, frozenset(), rate, rate * 0.5)
 
-    def put(self, source: str, target: Lender, carry_out: Callable[[], object]) -> None:
+    def send(self, source: str, target: Lender, deliver: Callable[[], object]) -> None:
         """Put a message on its way."""
         self.messages[source] += 1
         self.messages[target.name] += 1
         if self.reaches(source, target.name):
             number = next(self._numbers)
-            heapq.heappush(self._mail, (self.now + LATENCY, number, target, carry_out))
+            heapq.heappush(self._mail, (self.now + LATENCY, number, target, deliver))
 
     def reaches(self, source: str, target: str, notice: float = 0.0) -> bool:
         """Return whether an instance reaches another; `notice` seconds ago."""
@@ -179,17 +179,19 @@
         """Return the first owner of a slot that an instance takes to be in reach."""
         return self._choose_of(name, self._orders[self.zones[name]][slot][0])
 
-    def list_counting(self, name: str, slot: int) -> tuple[str, ...]:
+    def list_counting_owners(self, name: str, slot: int) -> tuple[str, ...]:
         """Return who counts a slot's accounts, the one that an instance asks first."""
         first, *lines = self._orders[self.zones[name]][slot]
         others = (self._choose_of(name, line) for line in lines)
-        reached = (each for each in others if self.reaches(name, each, NOTICE_TIME))
+        reached = (each for each in others if self.reaches(name, each, DETECTION_TIME))
         return tuple(dict.fromkeys((self._choose_of(name, first), *reached)))
 
     def _choose_of(self, name: str, ordered: PreferenceList) -> str:
         """Return the first of some owners that an instance takes to be in reach."""
         fit = (
-            peer.name for peer in ordered if self.reaches(name, peer.name, NOTICE_TIME)
+            peer.name
+            for peer in ordered
+            if self.reaches(name, peer.name, DETECTION_TIME)
         )
         return next(fit, ordered[0].name)
 
@@ -199,9 +201,9 @@
         if self.now >= LOST_FROM and not self.lost:
             self.lost = frozenset({self.owners[0].name})
         while self._mail and self._mail[0][0] <= self.now:
-            _, _, target, carry_out = heapq.heappop(self._mail)
+            _, _, target, deliver = heapq.heappop(self._mail)
             if target.name not in self.lost:
-                carry_out()
+                deliver()
 
     def draw_operations(self) -> list[tuple[str, str]]:
         """Return who asks now: accounts, and the instances that they ask."""
--- a/beryltrack_bench/quota/ways.py
+++ b/beryltrack_bench/quota/strategies.py
@@ -21,7 +21,7 @@
 """Seconds after which messages are counted: all links are open then."""
 
 
-class Way(Protocol):
+class QuotaStrategy(Protocol):
     """Who counts an operation, and by which part of the limit."""
 
     def advance(self, site: QuotaSite) -> None:
@@ -67,7 +67,7 @@
         return not site.instances[owner].quota.spend(account, site.now)
 
 
-class OneOwner:
+class SingleOwner:
     """Whoever is taken for the owner counts alone, but for a small fixed part."""
 
     def __init__(self):
@@ -92,7 +92,7 @@
         return not site.instances[place].quota.spend(account, site.now)
 
 
-class PassedOn(LentShares):
+class ForwardedRequests(LentShares):
     """What an owner of the zone refuses goes to the owners of other zones."""
 
     def __init__(self):
@@ -102,7 +102,7 @@
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
         """Count it at an owner that has a right left, by what the instance knows."""
         notes = self._notes.setdefault(instance, QuotaRefusals(lambda: site.now))
-        names = site.list_counting(instance, get_slot(account))
+        names = site.list_counting_owners(instance, get_slot(account))
         for tries in range(1, len(names) + 1):
             owner = notes.choose(account, names)
             if not site.reaches(instance, owner):
@@ -116,32 +116,32 @@
         return False
 
 
-WAYS = {
+STRATEGIES = {
     "even": EvenShares,
     "lent": LentShares,
-    "one_owner": OneOwner,
+    "one_owner": SingleOwner,
     "zone_lent": LentShares,
-    "zone_passed_on": PassedOn,
+    "zone_passed_on": ForwardedRequests,
 }
 
-CHOICES = {"zone_lent": ZoneOwners(), "zone_passed_on": ZoneOwners()}
+SLOT_OWNER_POLICIES = {"zone_lent": ZoneOwners(), "zone_passed_on": ZoneOwners()}
 """Who owns a slot, where that is not one instance of the whole fleet."""
 
 
-def run_way(name: str, count: int, seed: int) -> Figures:
+def run_strategy(name: str, count: int, seed: int) -> Figures:
     """Play one way and return what it showed.
 
     Parameters
     ----------
     name : str
-        One of `WAYS`.
+        One of `STRATEGIES`.
     count : int
         Instances.
     seed : int
         Decides the accounts and what they ask for, the same for all ways.
     """
-    site = QuotaSite(count, seed, CHOICES.get(name, FleetOwners()))
-    way = WAYS[name]()
+    site = QuotaSite(count, seed, SLOT_OWNER_POLICIES.get(name, FleetOwners()))
+    way = STRATEGIES[name]()
     recorder = Recorder(site.accounts)
     messages: list[Counter[str]] = []
     for until in (JUDGED_FROM, CALM_UNTIL, END):
--- a/beryltrack_bench/replay/site.py
+++ b/beryltrack_bench/replay/site.py
@@ -27,7 +27,7 @@
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.overload.clock import SortedClock
 from beryltrack_bench.overload.target import SlotConnection, SlotDatabase
-from beryltrack_bench.quota.site import NOTICE_TIME
+from beryltrack_bench.quota.site import DETECTION_TIME
 from beryltrack_bench.replay.patterns import (
     SLOW_FACTOR,
     Operation,
@@ -217,7 +217,7 @@
             first = next(iter(self.owners.values()))
             self._call_at(pattern.owner_lost, first.lose)
             # The others hear of it some time later.
-            notice = pattern.owner_lost + NOTICE_TIME / self._seconds
+            notice = pattern.owner_lost + DETECTION_TIME / self._seconds
             self._call_at(notice, self._share)
 
     def _call_at(self, part: float, function: Callable[[], object]) -> None:
--- a/beryltrack_bench/soak/command.py
+++ b/beryltrack_bench/soak/command.py
@@ -40,9 +40,9 @@
             is_fenced=not self.option("unfenced"),
             is_forgetful=self.option("forgetful"),
             has_accounts=self.option("accounts"),
-            loses_writes=self.option("restores"),
+            has_store_restores=self.option("restores"),
             is_paused_often=self.option("pauses"),
-            has_cuts_alone=self.option("cuts"),
+            has_only_primary_cuts=self.option("cuts"),
             nodes=int(self.option("nodes")),
         )
         failures = []
--- a/beryltrack_bench/soak/faults.py
+++ b/beryltrack_bench/soak/faults.py
@@ -25,13 +25,13 @@
 def draw_fault(site: SoakSite, rng: random.Random) -> Fault:
     """Return a fault that is drawn at random."""
     makers = _MAKERS if site.options.is_fenced else _UNFENCED_MAKERS
-    if site.options.has_cuts_alone:
+    if site.options.has_only_primary_cuts:
         makers = (_cut_primary,)
     if site.options.is_forgetful:
         makers += _FORGETFUL_MAKERS
     if site.accounts:
         makers += _ACCOUNT_MAKERS
-    if site.options.loses_writes:
+    if site.options.has_store_restores:
         makers += _RESTORE_MAKERS
     if site.options.is_paused_often:
         makers += _PAUSE_MAKERS
--- a/beryltrack_bench/soak/site.py
+++ b/beryltrack_bench/soak/site.py
@@ -129,11 +129,11 @@
         True if databases start again empty, and other programs write to the store.
     has_accounts : bool
         True if callers need keys, which come and go, and accounts have limits.
-    loses_writes : bool
+    has_store_restores : bool
         True if the store is restored from backups.
     is_paused_often : bool
         True if nodes are paused often, also one time after the other, and all at once.
-    has_cuts_alone : bool
+    has_only_primary_cuts : bool
         True if nothing happens but that some nodes cannot reach the primary.
     nodes : int
         How many nodes; 0 lets the seed decide. Above 0 nodes may follow others in place
@@ -144,9 +144,9 @@
     is_fenced: bool = True
     is_forgetful: bool = False
     has_accounts: bool = False
-    loses_writes: bool = False
+    has_store_restores: bool = False
     is_paused_often: bool = False
-    has_cuts_alone: bool = False
+    has_only_primary_cuts: bool = False
     nodes: int = 0
 
 
--- a/tests/accounts/test_quota_safety.py
+++ b/tests/accounts/test_quota_safety.py
@@ -68,7 +68,7 @@
         """Return the name of the owner that an instance chooses at its start."""
         return self.rng.choice(self.owners) if self.now else self.owners[0]
 
-    def put(self, source, target, action):
+    def send(self, source, target, action):
         """Send a message to this process, but to no later process of its name."""
         if (source, target.name) not in self.cut_paths:
             delay = self.rng.choice(self.delays)
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -4,12 +4,12 @@
 
 from beryltrack_bench.deployment import load_deployment
 from beryltrack_bench.experiments import fleet
-from beryltrack_bench.fleet.course import CourseResult
 from beryltrack_bench.fleet.figures import Traffic, compute_rates, compute_spread
+from beryltrack_bench.fleet.scenario import ScenarioResult
 from beryltrack_bench.options import Options
 
 QUICK = compute_spread([0.1, 0.2])
-RESULT = CourseResult(
+RESULT = ScenarioResult(
     1.0,
     compute_rates(Traffic(0, 0, 0, 0, 0, 0), Traffic(2, 1, 800, 400, 40, 3), 4),
     *[QUICK] * 5,
--- a/tests/bench/test_overload.py
+++ b/tests/bench/test_overload.py
@@ -47,7 +47,7 @@
 def test_connections_follow_the_callers_to_two_of_the_proxies():
     offers = [Offer("a", 1.3 * CAPACITY, weights=get_weights(LECTORA, 0.0))]
     result = run_scenario(LECTORA, 1, offers, 0.3)
-    assert compute_mean(result.callers.use_samples) >= 0.9
+    assert compute_mean(result.callers.utilization_samples) >= 0.9
     assert count_violations(result) == 0
 
 
--- a/tests/bench/test_quota.py
+++ b/tests/bench/test_quota.py
@@ -14,7 +14,7 @@
     Recorder,
     get_phase,
 )
-from beryltrack_bench.quota.ways import run_way
+from beryltrack_bench.quota.strategies import run_strategy
 
 ACCOUNT = AccountSettings("a", frozenset(), 2.0, 5.0)
 
@@ -56,7 +56,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_lent_shares_hold_the_limit_and_one_owner_does_not(seed):
-    lent, owner, even = (run_way(way, 8, seed) for way in ("lent", "one_owner", "even"))
+    lent, owner, even = (
+        run_strategy(way, 8, seed) for way in ("lent", "one_owner", "even")
+    )
     assert lent.excess <= 1.0 < owner.excess
     assert lent.phases[0].refused == 0
     # Callers of an account come in at few instances.
@@ -66,7 +68,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_owners_of_zones_refuse_little_only_if_they_pass_operations_on(seed):
-    lent, passed = (run_way(way, 8, seed) for way in ("zone_lent", "zone_passed_on"))
+    lent, passed = (
+        run_strategy(way, 8, seed) for way in ("zone_lent", "zone_passed_on")
+    )
     assert lent.excess <= 1.0 and passed.excess <= 1.0
     # Callers of an account come in at few zones, which have only their own rights.
     assert lent.phases[0].refused > 0.1 * lent.phases[0].asked
--- a/tests/daemon/test_turned_away.py
+++ b/tests/daemon/test_turned_away.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def site(tmp_path):
-    options = SoakOptions(nodes=5, loses_writes=True)
+    options = SoakOptions(nodes=5, has_store_restores=True)
     made = run(SoakSite, reactor, 1871, 5, 22, random.Random(1), tmp_path, options)
     run(made.start)
     yield made
