--- a/beryltrack_bench/checker.py
+++ b/beryltrack_bench/checker.py
@@ -99,7 +99,7 @@
         led = [each for each in promotions if each.group == write.group]
         term = max((each.term for each in led if each.at <= write.at), default=0)
         for promoted in led:
-            if _misses(promoted, write, term):
+            if _lacks_write(promoted, write, term):
                 yield f"{write.keys} is not in the log of term {promoted.term}"
 
 
@@ -157,7 +157,7 @@
     for request in _select(history, WriteRequested):
         for key in request.keys:
             sent = allowed[request.group, key] + 1
-            allowed[request.group, key] = 1 if request.marked else sent
+            allowed[request.group, key] = 1 if request.at_most_once else sent
     for log in _select(history, FinalLog):
         found = Counter(key for entry in log.entries for key in entry)
         for key, times in found.items():
@@ -242,7 +242,7 @@
         yield from log.entries
 
 
-def _misses(promoted: Promoted, write: WriteAcknowledged, term: int) -> bool:
+def _lacks_write(promoted: Promoted, write: WriteAcknowledged, term: int) -> bool:
     """Return whether a later primary lacks a write that was acknowledged before it.
 
     Parameters
--- a/beryltrack_bench/cost/control.py
+++ b/beryltrack_bench/cost/control.py
@@ -16,12 +16,12 @@
 from beryltrack_standins.site import LocalSite, SiteOptions
 
 JOIN_TIMEOUT = 20.0
-SETTLING_TIME = 1.0
-FIRST_SETTLING_TIME = 2.2
+SETTLE_TIME = 1.0
+FIRST_SETTLE_TIME = 2.2
 # Links that a grown fleet does not want are closed after three seconds.
 PRUNING_TIME = 3.2
 # In a fleet of this size all nodes want links to all others.
-FULLY_LINKED = 4
+MAX_FULL_MESH_NODES = 4
 GROUP_KIND = "group"
 
 
@@ -97,14 +97,16 @@
             await fleet.add_node()
         await fleet.wait(fleet.is_joined, JOIN_TIMEOUT)
         await deferLater(
-            reactor, PRUNING_TIME if size > FULLY_LINKED else FIRST_SETTLING_TIME, int
+            reactor,
+            PRUNING_TIME if size > MAX_FULL_MESH_NODES else FIRST_SETTLE_TIME,
+            int,
         )
         traffic = read_traffic(fleet)
         await deferLater(reactor, seconds, int)
         rates = compute_rates(traffic, read_traffic(fleet), size)
         gc.collect()
-        grown = (read_resident_bytes() - before) / size
-        costs.append(ControlCost(size, groups, rates, grown))
+        growth = (read_resident_bytes() - before) / size
+        costs.append(ControlCost(size, groups, rates, growth))
     await fleet.stop()
     return costs
 
@@ -116,7 +118,7 @@
     """
     local = LocalProxies(reactor, LocalSite(reactor, SiteOptions()), proxies)
     await local.start()
-    await deferLater(reactor, SETTLING_TIME, int)
+    await deferLater(reactor, SETTLE_TIME, int)
     began, cpu_began = time.monotonic(), time.process_time()
     await deferLater(reactor, seconds, int)
     elapsed, cpu = time.monotonic() - began, time.process_time() - cpu_began
--- a/beryltrack_bench/cost/data_path.py
+++ b/beryltrack_bench/cost/data_path.py
@@ -57,7 +57,7 @@
     cpu_per_statement: float
 
 
-class _Sink:
+class _DiscardingSink:
     """Reads answers and forgets them."""
 
     def write(self, data: bytes) -> None:
@@ -89,7 +89,7 @@
 
 async def run_statement(client: TargetConnection, text: str) -> None:
     """Run one statement; raises `StatementFailed` on an error."""
-    end = await client.run(Query(text).to_wire(), _Sink())
+    end = await client.run(Query(text).to_wire(), _DiscardingSink())
     if end.error is not None:
         raise StatementFailed(f"{text}: {end.error}")
 
@@ -159,7 +159,7 @@
 
 async def _run_loop(client: TargetConnection, wire: bytes, stop_at: float) -> int:
     """Run one client's loop and return its number of statements."""
-    sink, done = _Sink(), 0
+    sink, done = _DiscardingSink(), 0
     while time.perf_counter() < stop_at:
         end = await client.run(wire, sink)
         if end.error is not None:
@@ -183,5 +183,5 @@
         "fresh": ("SET beryltrack.session = 'new'",),
         "unknown": (),
     }
-    ways = tuple(Path(name, proxy, first) for name, first in allowances.items())
-    return Path("direct", primary.endpoint), ways
+    proxy_paths = tuple(Path(name, proxy, first) for name, first in allowances.items())
+    return Path("direct", primary.endpoint), proxy_paths
--- a/beryltrack_bench/cost/gates.py
+++ b/beryltrack_bench/cost/gates.py
@@ -20,13 +20,13 @@
 STATEMENT_TIME = 0.0001
 """Seconds of a statement: short enough that the queue is done in time."""
 
-BOUNDS = SharedCapacity(slots=3, owners=1, connections=9)
-AIM, TIME_LEFT = 0.5, 2.0
+CAPACITY = SharedCapacity(slots=3, owners=1, connections=9)
+TARGET_LATENCY, DEADLINE = 0.5, 2.0
 OPERATIONS = 20_000
 WARM_UP = 500
 """Operations by which a gate learns how long statements take."""
 
-TURNS = 3
+ROUNDS = 3
 
 
 def measure_gates(sizes: Sequence[int] = SIZES) -> dict[str, float]:
@@ -39,13 +39,13 @@
 
     One operation of each account waits all the time; the least of some turns counts.
     """
-    return min(_measure_turn(instances, operations) for _ in range(TURNS))
+    return min(_measure_round(instances, operations) for _ in range(ROUNDS))
 
 
-def _measure_turn(instances: int, operations: int) -> float:
+def _measure_round(instances: int, operations: int) -> float:
     """Return the mean time of an arrival and an end in one turn."""
     gate = GateDecider(LoadPolicy(), random.Random(1), 1)
-    gate.set_capacity(BOUNDS, 0.0)
+    gate.set_capacity(CAPACITY, 0.0)
     waiting = instances * ACCOUNTS_PER_INSTANCE
     demands = [_make_demand(number) for number in range(waiting)]
     numbers, running = count(), deque()
@@ -53,15 +53,15 @@
         gate.submit(number, demands[0], 0.0)
         gate.finish(number, STATEMENT_TIME, Outcome.ANSWERED, 0.0)
     for number in (next(numbers) for _ in range(gate.limit + waiting)):
-        _note(running, gate.submit(number, demands[number % waiting], 0.0))
+        _append_running(running, gate.submit(number, demands[number % waiting], 0.0))
     began, now = time.process_time(), 0.0
     for _ in range(operations):
         now += STATEMENT_TIME / gate.limit
         number = next(numbers)
-        _note(running, gate.submit(number, demands[number % waiting], now))
+        _append_running(running, gate.submit(number, demands[number % waiting], now))
         ended = running.popleft()
         actions = gate.finish(ended, STATEMENT_TIME, Outcome.ANSWERED, now)
-        _note(running, actions)
+        _append_running(running, actions)
     taken = time.process_time() - began
     if gate.waiting != waiting:
         raise RuntimeError(f"{gate.waiting} of {waiting} operations wait")
@@ -71,9 +71,9 @@
 def _make_demand(number: int) -> Demand:
     """Return what the operations of one account ask for."""
     priority = number % (LOWEST_PRIORITY + 1)
-    return Demand(priority, AIM, TIME_LEFT, f"account-{number}")
+    return Demand(priority, TARGET_LATENCY, DEADLINE, f"account-{number}")
 
 
-def _note(running: deque, actions: list) -> None:
+def _append_running(running: deque, actions: list) -> None:
     """Note what was let run."""
     running.extend(each.operation for each in actions if isinstance(each, Run))
--- a/beryltrack_bench/cost/memory.py
+++ b/beryltrack_bench/cost/memory.py
@@ -11,7 +11,7 @@
 
 from beryltrack.settings.messages import Endpoint
 
-SETTLING_TIME = 0.5
+SETTLE_TIME = 0.5
 BATCH = 25
 BATCH_TIME = 0.05
 _PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -60,7 +60,7 @@
         await _open_batch(reactor, endpoint, wire) for _ in range(count // BATCH)
     ]
     sockets = list(chain.from_iterable(batches))
-    await deferLater(reactor, SETTLING_TIME, int)
+    await deferLater(reactor, SETTLE_TIME, int)
     gc.collect()
     after = read_memory()
     for each in sockets:
--- a/beryltrack_bench/experiments/ablate.py
+++ b/beryltrack_bench/experiments/ablate.py
@@ -28,7 +28,7 @@
 MEASURED = 2.0
 """Seconds of callers in each run, twice their longest patience: what a queue holds at
 the end weighs less."""
-PATIENCE = (0.3, 1.0)
+CALLER_TIMEOUTS = (0.3, 1.0)
 """Seconds that callers wait at the most, half of them each."""
 
 MECHANISMS = (
@@ -68,7 +68,7 @@
 }
 
 
-class Worth(NamedTuple):
+class RunFigures(NamedTuple):
     """What one run came to.
 
     Parameters
@@ -124,13 +124,15 @@
         }
         for load, pattern in LOADS.items()
     }
-    every = (worth for row in rows.values() for runs in row.values() for worth in runs)
+    every = (
+        figures for row in rows.values() for runs in row.values() for figures in runs
+    )
     return {
         "loads": {
             load: {name: summarize(runs) for name, runs in row.items()}
             for load, row in rows.items()
         },
-        "violations": sum(worth.violations for worth in every),
+        "violations": sum(figures.violations for figures in every),
     }
 
 
@@ -140,20 +142,20 @@
     load: Load,
     policies: NodePolicies,
     seconds: float,
-) -> Worth:
+) -> RunFigures:
     """Return what one run came to."""
     rate = load.times * compute_capacity(deployment)
-    offer = Offer("a", rate, load.storming, patience=PATIENCE)
+    offer = Offer("a", rate, load.storming, patience=CALLER_TIMEOUTS)
     options = SiteOptions(pool=policies.pools, retries=policies.retries)
     result = run_scenario(deployment, seed, [offer], seconds, options, load.outage)
-    return compute_worth(result)
+    return compute_figures(result)
 
 
-def compute_worth(result: RunResult) -> Worth:
+def compute_figures(result: RunResult) -> RunFigures:
     """Return the figures of a run."""
     tally = result.tally
     offered = max(tally.offered, 1)
-    return Worth(
+    return RunFigures(
         sum(tally.done.values()) / offered,
         get_seconds(tally.latency, 99.0),
         tally.late,
@@ -162,7 +164,7 @@
     )
 
 
-def summarize(runs: list[Worth]) -> dict:
+def summarize(runs: list[RunFigures]) -> dict:
     """Return the printed figures of the runs of one case."""
     goodputs = [each.goodput for each in runs]
     return {
--- a/beryltrack_bench/experiments/cost.py
+++ b/beryltrack_bench/experiments/cost.py
@@ -37,7 +37,7 @@
 from beryltrack_standins.site import LocalSite, SiteOptions
 
 LOOP_SECONDS = 0.5
-LOOP_TURNS = 1
+LOOP_ROUNDS = 1
 CLIENTS = 32
 LATENCY_ROUNDS = 40
 IDLE_CALLERS = 250
@@ -92,8 +92,8 @@
     """
     data_path = await measure_proxy(reactor, options.seconds or LOOP_SECONDS)
     watch = await measure_watching(reactor)
-    most = options.nodes or FLEET_SIZES[-1]
-    sizes = [nodes for nodes in FLEET_SIZES if nodes <= most]
+    max_nodes = options.nodes or FLEET_SIZES[-1]
+    sizes = [nodes for nodes in FLEET_SIZES if nodes <= max_nodes]
     costs = [
         cost
         for groups in FLEET_GROUPS
@@ -115,7 +115,7 @@
     endpoint = local.proxies[0].endpoint
     idle = await measure_idle_memory(reactor, endpoint, parameters, IDLE_CALLERS)
     await prepare_table(reactor, local)
-    figures = await measure_data_path(reactor, local, seconds, LOOP_TURNS)
+    figures = await measure_data_path(reactor, local, seconds, LOOP_ROUNDS)
     await local.stop()
     return {"idle_caller_bytes": round(idle), **figures}
 
@@ -133,25 +133,31 @@
 
 
 async def measure_data_path(
-    reactor, local: LocalProxies, seconds: float, turns: int
+    reactor, local: LocalProxies, seconds: float, rounds: int
 ) -> dict:
     """Measure statements and latency at one proxy."""
-    direct, ways = make_paths(local)
-    straight = {
-        name: await measure_turns(reactor, direct, text, seconds, turns)
+    direct, proxy_paths = make_paths(local)
+    direct_costs = {
+        name: await measure_rounds(reactor, direct, text, seconds, rounds)
         for name, text in (("read", READ), ("write", WRITE))
     }
     proxied = {
-        f"read_{way.name}": await measure_turns(reactor, way, READ, seconds, turns)
-        for way in ways
+        f"read_{path.name}": await measure_rounds(reactor, path, READ, seconds, rounds)
+        for path in proxy_paths
+    }
+    proxied["write"] = await measure_rounds(
+        reactor, proxy_paths[0], WRITE, seconds, rounds
+    )
+    latency = await measure_latency(
+        reactor, (direct, *proxy_paths), READ, LATENCY_ROUNDS
+    )
+    added = {
+        path.name: latency[path.name] - latency[direct.name] for path in proxy_paths
     }
-    proxied["write"] = await measure_turns(reactor, ways[0], WRITE, seconds, turns)
-    latency = await measure_latency(reactor, (direct, *ways), READ, LATENCY_ROUNDS)
-    added = {way.name: latency[way.name] - latency[direct.name] for way in ways}
     return {
-        "direct": {name: describe_loop(cost) for name, cost in straight.items()},
+        "direct": {name: describe_loop(cost) for name, cost in direct_costs.items()},
         "through_proxy": {
-            name: describe_loop(cost, straight[name.split("_")[0]])
+            name: describe_loop(cost, direct_costs[name.split("_")[0]])
             for name, cost in proxied.items()
         },
         "added_latency_p50_us": {
@@ -161,29 +167,29 @@
     }
 
 
-async def measure_turns(
-    reactor, path: Path, text: str, seconds: float, turns: int
+async def measure_rounds(
+    reactor, path: Path, text: str, seconds: float, rounds: int
 ) -> LoopCost:
     """Return the medians over several turns of a loop."""
     costs = [
-        await measure_loop(reactor, path, text, CLIENTS, seconds) for _ in range(turns)
+        await measure_loop(reactor, path, text, CLIENTS, seconds) for _ in range(rounds)
     ]
     return LoopCost(*map(median, zip(*costs, strict=True)))
 
 
-def describe_loop(cost: LoopCost, straight: LoopCost | None = None) -> dict:
+def describe_loop(cost: LoopCost, direct: LoopCost | None = None) -> dict:
     """Return the printed figures of a loop, and of the proxy's part in it."""
     figures = {
         "statements_per_s": round(cost.statements_per_s, 1),
         "cpu_us": round(cost.cpu_per_statement * MICROSECONDS, 1),
     }
-    if straight is None:
+    if direct is None:
         return figures
-    proxy = cost.cpu_per_statement - straight.cpu_per_statement
+    proxy = cost.cpu_per_statement - direct.cpu_per_statement
     return {
         **figures,
         "proxy_cpu_us": round(proxy * MICROSECONDS, 1),
-        "rate_of_direct": round(cost.statements_per_s / straight.statements_per_s, 4),
+        "rate_of_direct": round(cost.statements_per_s / direct.statements_per_s, 4),
     }
 
 
--- a/beryltrack_bench/experiments/detection.py
+++ b/beryltrack_bench/experiments/detection.py
@@ -2,7 +2,7 @@
 
 Each row is one detector at one setting. Its gaps come from crashes, its needless
 failovers from a group whose primary pauses now and then, without being lost,
-for up to `LONGEST_PAUSE` seconds.
+for up to `MAX_PAUSE` seconds.
 """
 
 from functools import partial
@@ -12,7 +12,7 @@
 
 from beryltrack.failover.detector import FailureDetector, FixedTimeoutDetector
 from beryltrack_bench.deployment import Deployment
-from beryltrack_bench.experiments.failover import run_calm, run_loss
+from beryltrack_bench.experiments.failover import run_loss, run_without_loss
 from beryltrack_bench.losses.accrual import AccrualDetector
 from beryltrack_bench.losses.faults import Crash, Disturbance
 from beryltrack_bench.losses.site import LossOptions
@@ -20,7 +20,7 @@
 
 FIXED_LIMITS = (0.1, 0.15, 0.2, 0.25, 0.3, 0.5)
 DEVIATIONS = (4.0, 8.0, 12.0, 16.0, 24.0)
-LONGEST_PAUSE = 0.25
+MAX_PAUSE = 0.25
 PROXIES = 3
 DEFAULT_RUNS = 2
 DEFAULT_SECONDS = 15.0
@@ -84,7 +84,7 @@
     )
     rows = [measure(row) for row in ROWS]
     return {
-        "longest_pause": LONGEST_PAUSE,
+        "longest_pause": MAX_PAUSE,
         "rows": rows,
         "violations": sum(row["violations"] for row in rows),
     }
@@ -101,8 +101,8 @@
         run_loss(options, Crash(), Random(rng.getrandbits(64)), WARM_UP)
         for _ in range(runs)
     ]
-    calm = run_calm(
-        options, Disturbance(LONGEST_PAUSE), seconds, Random(rng.getrandbits(64))
+    calm = run_without_loss(
+        options, Disturbance(MAX_PAUSE), seconds, Random(rng.getrandbits(64))
     )
     gaps = sorted(chain.from_iterable(loss.gaps for loss in losses))
     results = [*losses, calm]
--- a/beryltrack_bench/experiments/explore.py
+++ b/beryltrack_bench/experiments/explore.py
@@ -1,6 +1,6 @@
 """Random schedules of several faults over the whole stack.
 
-Where the matrix strikes once or twice, this strikes up to `MOST_STRIKES` times
+Where the matrix strikes once or twice, this strikes up to `MAX_STRIKES` times
 at random steps. A schedule that violates an invariant is made as short as it
 can be while it still does, and is printed as a cell of the matrix, so that it
 can be repeated and turned into a test.
@@ -20,13 +20,13 @@
 )
 from beryltrack_bench.options import Options
 
-SCHEDULES = 300
+DEFAULT_SCHEDULES = 300
 """Schedules in a run, unless told otherwise."""
 
-MOST_STRIKES = 5
+MAX_STRIKES = 5
 """Most faults in one schedule."""
 
-STEPS_BEYOND = 2.0
+STEP_RANGE_FACTOR = 2.0
 """How far beyond a procedure's own steps a fault may strike, as a factor: a run
 with faults has more steps than one without."""
 
@@ -42,7 +42,7 @@
         shortest form found with its first violation.
     """
     clean = {name: run_cell(deployment, seed, Cell(name)) for name in PROCEDURES}
-    cells = list(_draw_cells(seed, options.runs or SCHEDULES, clean))
+    cells = list(_draw_cells(seed, options.runs or DEFAULT_SCHEDULES, clean))
     failed = [cell for cell in cells if run_cell(deployment, seed, cell).violations]
     shortest = [
         shrink(cell, lambda each: bool(run_cell(deployment, seed, each).violations))
@@ -79,10 +79,10 @@
     rng = Random(seed)
     for _ in range(number):
         procedure = rng.choice(tuple(PROCEDURES))
-        steps = round(STEPS_BEYOND * len(clean[procedure].steps))
+        steps = round(STEP_RANGE_FACTOR * len(clean[procedure].steps))
         strikes = sorted(
             (rng.randrange(steps), rng.choice(tuple(FAULTS)))
-            for _ in range(rng.randint(2, MOST_STRIKES))
+            for _ in range(rng.randint(2, MAX_STRIKES))
         )
         yield Cell(procedure, tuple(Strike(fault, step) for step, fault in strikes))
 
--- a/beryltrack_bench/experiments/failover.py
+++ b/beryltrack_bench/experiments/failover.py
@@ -30,11 +30,11 @@
 RESTORE_AFTER = 1.2
 SETTLE_TIME = 0.6
 # A primary that pauses longer than this may be replaced; see docs/notes/failover.md.
-LONGEST_PAUSE = 0.15
+MAX_PAUSE = 0.15
 # Round trips and one-way delays between the loss and the first acknowledgement.
-FLOOR_DELAYS = 9
+ONE_WAY_DELAYS = 9
 _MICROSECONDS = 1e6
-_LONGEST = 60_000_000
+_MAX_RECORDED_US = 60_000_000
 _DIGITS = 3
 
 
@@ -105,9 +105,9 @@
         for loss in LOSSES
         for _, store in zip(range(runs), cycle(Store))
     ]
-    calm = run_calm(
+    calm = run_without_loss(
         LossOptions(deployment, lost_after),
-        Disturbance(LONGEST_PAUSE),
+        Disturbance(MAX_PAUSE),
         options.seconds or DEFAULT_CALM_SECONDS,
         Random(rng.getrandbits(64)),
     )
@@ -121,13 +121,13 @@
     site = LossSite(options, rng)
     site.run(warm_up + rng.uniform(0.0, 0.1))
     old, before = site.group.primary, site.promotions
-    loss.begin(site.around)
+    loss.begin(site.context)
     site.run(loss.warning_time)
     lost_at, old_term = site.site.clock.seconds(), old.log.term
     early = site.promotions
     site.run(RESTORE_AFTER)
     reaching = [proxy for proxy in site.proxies if _can_serve(site, proxy, old.name)]
-    loss.end(site.around, old.name)
+    loss.end(site.context, old.name)
     site.run(SETTLE_TIME)
     gaps = [
         _get_gap(site, proxy.name, lost_at, old_term)
@@ -143,18 +143,18 @@
         len(gaps) - len(served),
         before + max(0, site.promotions - before - 1),
         *_count_keys(site),
-        _count_breaches(site),
+        _count_violations(site),
     )
 
 
-def run_calm(
+def run_without_loss(
     options: LossOptions, disturbance: Disturbance, seconds: float, rng: Random
 ) -> LossResult:
     """Trouble a group that loses no primary."""
     site = LossSite(options, rng)
     site.run(WARM_UP)
     for _ in range(int(seconds / disturbance.interval)):
-        disturb(site.around, disturbance)
+        disturb(site.context, disturbance)
         site.run(disturbance.interval)
     site.run(SETTLE_TIME)
     site.finish()
@@ -165,7 +165,7 @@
         0,
         site.promotions,
         *_count_keys(site),
-        _count_breaches(site),
+        _count_violations(site),
     )
 
 
@@ -183,7 +183,7 @@
     return (
         lost_after
         - deployment.replication.heartbeat
-        + FLOOR_DELAYS * deployment.zone_delay
+        + ONE_WAY_DELAYS * deployment.zone_delay
         + deployment.connection_setup
     )
 
@@ -195,9 +195,9 @@
     calm: LossResult,
 ) -> dict:
     """Return the object that is printed."""
-    everything = [*results, calm]
+    all_results = [*results, calm]
     breaches = Counter()
-    for result in everything:
+    for result in all_results:
         breaches.update(result.violations)
     return {
         "lost_after": lost_after,
@@ -206,9 +206,9 @@
         "gap_by_store": _summarize(results, "store"),
         "floor": round(compute_floor(deployment, lost_after), 4),
         "unserved": sum(result.unserved for result in results),
-        "needless_failovers": sum(result.needless for result in everything),
-        "lost": sum(result.lost for result in everything),
-        "doubled": sum(result.doubled for result in everything),
+        "needless_failovers": sum(result.needless for result in all_results),
+        "lost": sum(result.lost for result in all_results),
+        "doubled": sum(result.doubled for result in all_results),
         "violations": sum(breaches.values()),
         "violations_by_invariant": dict(breaches),
     }
@@ -219,7 +219,7 @@
     found: dict[str, HdrHistogram] = {}
     for result in results:
         histogram = found.setdefault(
-            getattr(result, field), HdrHistogram(1, _LONGEST, _DIGITS)
+            getattr(result, field), HdrHistogram(1, _MAX_RECORDED_US, _DIGITS)
         )
         for gap in result.gaps:
             histogram.record_value(max(1, round(gap * _MICROSECONDS)))
@@ -269,13 +269,16 @@
     return lost, sum(times > 1 for times in found.values())
 
 
-def _count_breaches(site: LossSite) -> dict[str, int]:
+def _count_violations(site: LossSite) -> dict[str, int]:
     """Return the breaches of each invariant, and databases that do not follow."""
     history: History = tuple(site.history)
-    return {**count_violations(check_history(history)), "not_followed": _lag(site)}
+    return {
+        **count_violations(check_history(history)),
+        "not_followed": _count_not_following(site),
+    }
 
 
-def _lag(site: LossSite) -> int:
+def _count_not_following(site: LossSite) -> int:
     """Return how many databases do not follow the last primary in the end."""
     primary = site.group.primary.log
     return sum(item.log.term != primary.term for item in site.group.databases.values())
--- a/beryltrack_bench/experiments/faults.py
+++ b/beryltrack_bench/experiments/faults.py
@@ -27,10 +27,10 @@
 )
 from beryltrack_bench.options import Options
 
-STEPS_EACH = 4
+DEFAULT_STEPS = 4
 """Steps that are struck for each procedure and fault, unless told otherwise."""
 
-LONG_STEPS_EACH = 1
+DEFAULT_STEPS_LONG = 1
 """The same for the procedures whose runs are long."""
 
 LONG_PROCEDURES = frozenset({"draining"})
@@ -67,7 +67,7 @@
 def run_matrix(
     deployment: Deployment,
     seed: int,
-    steps_each: int = 0,
+    steps_per_fault: int = 0,
     procedures: tuple[str, ...] = tuple(PROCEDURES),
     faults: tuple[str, ...] = tuple(FAULTS),
 ) -> dict:
@@ -79,7 +79,7 @@
         Where they run.
     seed : int
         Seed of the sample and of each run.
-    steps_each : int
+    steps_per_fault : int
         Steps that are struck for each procedure and fault; zero for a few.
     procedures : tuple of str
         Names of the procedures.
@@ -96,7 +96,7 @@
     struck = [
         _run(deployment, seed, cell)
         for outcome in clean
-        for cell in _choose_cells(outcome, faults, steps_each, rng)
+        for cell in _choose_cells(outcome, faults, steps_per_fault, rng)
     ]
     pairs = [
         _run(deployment, seed, cell)
@@ -113,13 +113,13 @@
 
 
 def _choose_cells(
-    clean: Outcome, faults: tuple[str, ...], steps_each: int, rng: Random
+    clean: Outcome, faults: tuple[str, ...], steps_per_fault: int, rng: Random
 ) -> Iterator[Cell]:
     """Return cells with one fault at steps of a run without faults."""
     procedure = clean.cell.procedure
     steps = range(len(clean.result.steps))
-    default = LONG_STEPS_EACH if procedure in LONG_PROCEDURES else STEPS_EACH
-    number = min(steps_each or default, len(steps))
+    default = DEFAULT_STEPS_LONG if procedure in LONG_PROCEDURES else DEFAULT_STEPS
+    number = min(steps_per_fault or default, len(steps))
     for fault in faults:
         for step in sorted(rng.sample(steps, number)):
             yield Cell(procedure, (Strike(fault, step),))
--- a/beryltrack_bench/experiments/limits.py
+++ b/beryltrack_bench/experiments/limits.py
@@ -6,7 +6,7 @@
 
 from beryltrack.load.policy import LoadPolicy
 from beryltrack_bench.deployment import Deployment
-from beryltrack_bench.limits.site import Load, Served, Site
+from beryltrack_bench.limits.site import Load, OperationCounts, Site
 from beryltrack_bench.options import Options
 
 SECONDS = 20.0
@@ -20,11 +20,13 @@
     "300/s": Load(300.0),
     "500/s": Load(500.0),
     "300/s, two thirds at one": Load(300.0, (6.0, 1.0, 1.0, 1.0)),
-    "100/s, 8 times slower": Load(100.0, slow_from=8.0, slow_until=14.0, slowness=8.0),
+    "100/s, 8 times slower": Load(
+        100.0, slow_from=8.0, slow_until=14.0, slowdown_factor=8.0
+    ),
 }
 """231 operations a second fill the database's slots."""
 
-WAYS = {
+LIMIT_POLICIES = {
     "no limit": (LoadPolicy(is_limited=False), CONNECTIONS),
     "fixed": (LoadPolicy(is_limited=False), EVEN_PART),
     "adaptive": (LoadPolicy(), CONNECTIONS),
@@ -33,23 +35,29 @@
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
     """Play each way under each load."""
-    figures = {load: {way: play(way, load, seed) for way in WAYS} for load in LOADS}
+    figures = {
+        load: {way: measure(way, load, seed) for way in LIMIT_POLICIES}
+        for load in LOADS
+    }
     return {"loads": figures, "violations": []}
 
 
-def play(way: str, load: str, seed: int, seconds: float = SECONDS) -> dict:
+def measure(way: str, load: str, seed: int, seconds: float = SECONDS) -> dict:
     """Return the figures of one way under one load."""
-    policy, connections = WAYS[way]
+    policy, connections = LIMIT_POLICIES[way]
     site = Site(policy, connections, LOADS[load], seed)
-    site.play(seconds)
-    return {"priorities": [_show(each) for each in site.served], "most": site.most}
+    site.run(seconds)
+    return {
+        "priorities": [_show(each) for each in site.served],
+        "most": site.max_in_database,
+    }
 
 
-def _show(served: Served) -> dict:
+def _show(served: OperationCounts) -> dict:
     """Return the printed form of what became of a priority's operations."""
-    asked = max(1, served.asked)
+    offered = max(1, served.offered)
     return {
-        "in_time": round(served.in_time / asked, 3),
-        "refused": round(served.refused / asked, 3),
-        "late": round(served.late / asked, 3),
+        "in_time": round(served.in_time / offered, 3),
+        "refused": round(served.refused / offered, 3),
+        "late": round(served.late / offered, 3),
     }
--- a/beryltrack_bench/experiments/overload.py
+++ b/beryltrack_bench/experiments/overload.py
@@ -22,16 +22,16 @@
 
 LOADS = (0.5, 1.0, 2.0, 5.0)
 WARM_UP = 0.5
-MEASURED = 0.8
-DRAINING = 1.2
-GAP = 0.4
+MEASURED_TIME = 0.8
+DRAIN_TIME = 1.2
+OUTAGE_TIME = 0.4
 # The control connections see a target's return within a heartbeat.
-NOTICE = 0.05
+DETECTION_DELAY = 0.05
 RETURN_TIME = 1.5
-FAIR_BOUND = 48
+MAX_TEAM_REQUESTS = 48
 SMALL_LOAD = 0.3
-TRICKLE = 0.02
-UNEVEN = 1.3
+TRICKLE_WEIGHT = 0.02
+UNEVEN_LOAD = 1.3
 FIXED_SHARES = BudgetPolicy(loans=LoanPolicy(max_asked_lenders=0))
 
 
@@ -70,7 +70,7 @@
     dict
         See docs/notes/limits.md.
     """
-    seconds = options.seconds or MEASURED
+    seconds = options.seconds or MEASURED_TIME
     capacity = compute_capacity(deployment)
     runs = {
         load: run_scenario(deployment, seed, [Offer("a", load * capacity)], seconds)
@@ -79,7 +79,7 @@
     storm = run_scenario(
         deployment, seed, [Offer("a", 2 * capacity, storming=True)], seconds
     )
-    thundering = run_return(deployment, seed, capacity)
+    thundering = run_thundering_herd(deployment, seed, capacity)
     best = max(result.tally.get_goodput() for result in runs.values())
     every = [*runs.values(), storm, thundering]
     return {
@@ -129,24 +129,26 @@
     RunResult
         The site and the counts.
     """
-    ends: list[Callers] = []
-    site = OverloadSite(deployment, options, seed, lambda end: ends[0].observe(end))
+    observers: list[Callers] = []
+    site = OverloadSite(
+        deployment, options, seed, lambda end: observers[0].observe(end)
+    )
     start = site.clock.seconds() + WARM_UP
     tally = Tally(start, start + seconds)
     callers = Callers(site, offers, tally, random.Random(f"{seed}/callers"))
-    ends.append(callers)
+    observers.append(callers)
     callers.start()
     if outage:
         for database in site.all_databases:
-            site.clock.callLater(WARM_UP - GAP, database.stop)
+            site.clock.callLater(WARM_UP - OUTAGE_TIME, database.stop)
             site.clock.callLater(WARM_UP, database.start)
         for pool in site.pools:
-            site.clock.callLater(WARM_UP + NOTICE, pool.observe_reachable)
-    site.clock.run_until(tally.end + DRAINING)
+            site.clock.callLater(WARM_UP + DETECTION_DELAY, pool.observe_reachable)
+    site.clock.run_until(tally.end + DRAIN_TIME)
     return RunResult(site, tally, callers)
 
 
-def run_return(
+def run_thundering_herd(
     deployment: Deployment, seed: int, capacity: float, seconds: float = RETURN_TIME
 ) -> RunResult:
     """Have all callers of an outage return at once, and try again when refused."""
@@ -182,18 +184,18 @@
     deployment: Deployment, seed: int, capacity: float, seconds: float
 ) -> dict:
     """Measure a team at low load alone, and beside another team's flood."""
-    options = SiteOptions(teams=("a", "b"), most_requests=FAIR_BOUND)
-    calm = Offer("b", SMALL_LOAD * capacity)
+    options = SiteOptions(teams=("a", "b"), most_requests=MAX_TEAM_REQUESTS)
+    steady_offer = Offer("b", SMALL_LOAD * capacity)
     flood = Offer("a", 5 * capacity, storming=False)
-    alone = run_scenario(deployment, seed, [calm], seconds, options)
-    beside = run_scenario(deployment, seed, [calm, flood], seconds, options)
-    before, after = (each.tally.get_goodput("b") for each in (alone, beside))
+    alone = run_scenario(deployment, seed, [steady_offer], seconds, options)
+    with_flood = run_scenario(deployment, seed, [steady_offer, flood], seconds, options)
+    before, after = (each.tally.get_goodput("b") for each in (alone, with_flood))
     return {
         "calm_alone_per_s": round(before, 1),
         "calm_beside_flood_per_s": round(after, 1),
         "calm_kept": round(after / before, 4),
-        "flood_goodput_per_s": round(beside.tally.get_goodput("a"), 1),
-        "untrue_refusals": count_untrue(beside),
+        "flood_goodput_per_s": round(with_flood.tally.get_goodput("a"), 1),
+        "untrue_refusals": count_untrue(with_flood),
     }
 
 
@@ -209,12 +211,18 @@
             run_scenario(
                 deployment,
                 seed,
-                [Offer("a", UNEVEN * capacity, weights=get_weights(deployment, rest))],
+                [
+                    Offer(
+                        "a",
+                        UNEVEN_LOAD * capacity,
+                        weights=get_weights(deployment, rest),
+                    )
+                ],
                 seconds,
                 SiteOptions(budget=policy),
             )
         )
-        for name, rest in (("idle", 0.0), ("trickle", TRICKLE))
+        for name, rest in (("idle", 0.0), ("trickle", TRICKLE_WEIGHT))
         for shares, policy in (("borrowed", BudgetPolicy()), ("fixed", FIXED_SHARES))
     }
 
--- a/beryltrack_bench/experiments/steady.py
+++ b/beryltrack_bench/experiments/steady.py
@@ -30,7 +30,7 @@
 
 STICKY_PERCENTILE = 0.999
 _MICROSECONDS = 1e6
-_LONGEST = 60_000_000
+_MAX_RECORDED_US = 60_000_000
 _DIGITS = 3
 
 
@@ -133,7 +133,7 @@
 
 def _compute_latency(outcome: Outcome) -> dict[str, float]:
     """Return percentiles of the time that callers waited for reads."""
-    histogram = HdrHistogram(1, _LONGEST, _DIGITS)
+    histogram = HdrHistogram(1, _MAX_RECORDED_US, _DIGITS)
     for record in outcome.records:
         for read in record.reads:
             histogram.record_value(
--- a/beryltrack_bench/fakes/database.py
+++ b/beryltrack_bench/fakes/database.py
@@ -101,11 +101,11 @@
         self._group = group
         self._record = record
         self._waiters: list[_Waiter] = []
-        self._applying = False
+        self._is_applying = False
 
     def start(self) -> None:
         """Begin the primary's heartbeats; also after a restart."""
-        self._applying = False
+        self._is_applying = False
         self._waiters = []
         self._tick()
 
@@ -165,14 +165,14 @@
         self._record(event(self.name, self.node.seconds()))
         self._notify()
 
-    def write(self, *keys: str, marked: bool = False) -> Deferred:
+    def write(self, *keys: str, at_most_once: bool = False) -> Deferred:
         """Commit one write transaction that carries some keys.
 
         Parameters
         ----------
         *keys : str
             The statements, each by its key.
-        marked : bool
+        at_most_once : bool
             True if a repeat shall have no effect, as with the ledger's row.
 
         Returns
@@ -180,7 +180,7 @@
         Deferred
             The `LogPosition` of the commit; fails with `WriteRefused`.
         """
-        return self._run(lambda: self._commit(keys, marked))
+        return self._run(lambda: self._commit(keys, at_most_once))
 
     def read(self) -> Deferred:
         """Give a `ReadResult`."""
@@ -198,11 +198,11 @@
         self.node.schedule(self.service_time, lambda: answer.callback(None), None)
         return answer.addCallback(lambda ignored: run())
 
-    def _commit(self, keys: tuple[str, ...], marked: bool) -> LogPosition:
+    def _commit(self, keys: tuple[str, ...], at_most_once: bool) -> LogPosition:
         """Append a write and send it to the replicas."""
         if not self.log.can_write():
             raise WriteRefused(f"{self.name} takes no writes")
-        if marked and (known := self._find_marked(keys)):
+        if at_most_once and (known := self._find_existing(keys)):
             return known
         position = self.log.append(keys)
         self._record(Executed(self._group, keys, self.node.seconds()))
@@ -211,7 +211,7 @@
         self._notify()
         return position
 
-    def _find_marked(self, keys: tuple[str, ...]) -> LogPosition | None:
+    def _find_existing(self, keys: tuple[str, ...]) -> LogPosition | None:
         """Return where a marked write is in the log already."""
         offsets = enumerate(self.log.entries, start=1)
         found = (offset for offset, entry in offsets if entry.statements == keys)
@@ -246,9 +246,9 @@
 
     def _apply_later(self) -> None:
         """Apply what was received after the replica's lag."""
-        if self._applying or self.log.applied_offset >= len(self.log.entries):
+        if self._is_applying or self.log.applied_offset >= len(self.log.entries):
             return
-        self._applying = True
+        self._is_applying = True
         lag = self._rng.lognormvariate(0.0, self._model.apply_sigma)
         due = max(self.lag_until - self.node.seconds(), lag * self._model.apply_median)
         target = len(self.log.entries)
@@ -256,7 +256,7 @@
 
     def _apply(self, offset: int) -> None:
         """Apply up to an offset."""
-        self._applying = False
+        self._is_applying = False
         reached = min(offset, len(self.log.entries))
         self.log.applied_offset = max(self.log.applied_offset, reached)
         self._notify()
--- a/beryltrack_bench/fakes/group.py
+++ b/beryltrack_bench/fakes/group.py
@@ -93,11 +93,14 @@
         return self.network.call(source, target.node, label, lambda: serve(target))
 
     def write(
-        self, source: Node, database: str, *keys: str, marked: bool = False
+        self, source: Node, database: str, *keys: str, at_most_once: bool = False
     ) -> Deferred:
         """Commit one write from a node; no timeout of its own."""
         return self.call(
-            source, database, "write", lambda each: each.write(*keys, marked=marked)
+            source,
+            database,
+            "write",
+            lambda each: each.write(*keys, at_most_once=at_most_once),
         )
 
     def read(self, source: Node, database: str) -> Deferred:
--- a/beryltrack_bench/fakes/network.py
+++ b/beryltrack_bench/fakes/network.py
@@ -27,7 +27,7 @@
     node: Node
     peer: "Pipe"
 
-    def lose(self, reason: Exception) -> None:
+    def handle_loss(self, reason: Exception) -> None:
         """Take the end of the connection."""
 
 
@@ -52,7 +52,7 @@
         self._jitter = jitter
         self.pipes: dict[Pipe, None] = {}
         self._cuts: set[Link] = set()
-        self._held: dict[Link, list[Callable[[], None]]] = {}
+        self._delayed: dict[Link, list[Callable[[], None]]] = {}
         self._last_arrival: dict[Link, float] = {}
 
     def cut(self, source: str, target: str) -> None:
@@ -67,14 +67,14 @@
         """Break all connections between two nodes; both ends hear it at once."""
         for pipe in tuple(self.pipes):
             if {pipe.node.name, pipe.peer.node.name} == {one, other}:
-                pipe.lose(ConnectionLost())
+                pipe.handle_loss(ConnectionLost())
 
     def heal(self, one: str, other: str) -> None:
         """Mend the link between two nodes; what was held arrives now."""
         links = ((one, other), (other, one))
         self._cuts.difference_update(links)
         for link in links:
-            for deliver in self._held.pop(link, ()):
+            for deliver in self._delayed.pop(link, ()):
                 deliver()
 
     def is_cut(self, source: str, target: str) -> bool:
@@ -118,9 +118,9 @@
         call = _Call(self, source, target, label)
         if not target.alive:
             if not target.silent:
-                call.break_off()
+                call.fail_connection()
             return call.answer
-        target.crash_listeners[call.break_off] = None
+        target.crash_listeners[call.fail_connection] = None
         self.send(source, target, label, lambda: call.serve(serve))
         return call.answer
 
@@ -138,7 +138,7 @@
             if target.incarnation != incarnation:
                 return
             if link in self._cuts:
-                self._held.setdefault(link, []).append(plan)
+                self._delayed.setdefault(link, []).append(plan)
             else:
                 run()
 
@@ -174,7 +174,7 @@
         """Run the request at the target and send the result back."""
         maybeDeferred(serve).addBoth(self._reply)
 
-    def break_off(self) -> None:
+    def fail_connection(self) -> None:
         """Tell the caller that the connection is lost."""
         failure = Failure(ConnectionLost(f"{self._target.name} is down"))
         self._network.deliver(
@@ -195,6 +195,6 @@
 
     def _finish(self, result: object) -> None:
         """Give the result to the caller, once, if it is still the same process."""
-        self._target.crash_listeners.pop(self.break_off, None)
+        self._target.crash_listeners.pop(self.fail_connection, None)
         if self._source.incarnation == self._incarnation and not self.answer.called:
             self.answer.callback(result)
--- a/beryltrack_bench/fakes/nodes.py
+++ b/beryltrack_bench/fakes/nodes.py
@@ -149,7 +149,7 @@
         self.silent = silent
         self.incarnation += 1
         if not silent:
-            self._tell_crash()
+            self._notify_crash_listeners()
 
     def restart(self) -> None:
         """Live again, as a new incarnation without timers.
@@ -160,13 +160,13 @@
             return
         self.alive = True
         self.frozen_until = 0.0
-        self._tell_crash()
+        self._notify_crash_listeners()
 
     def freeze(self, duration: float) -> None:
         """Pause for a time (seconds), then run on as if nothing had been."""
         self.frozen_until = self.seconds() + duration
 
-    def _tell_crash(self) -> None:
+    def _notify_crash_listeners(self) -> None:
         """Break the connections of the incarnation that has ended."""
         listeners, self.crash_listeners = list(self.crash_listeners), {}
         for listener in listeners:
--- a/beryltrack_bench/fakes/pipe.py
+++ b/beryltrack_bench/fakes/pipe.py
@@ -71,7 +71,7 @@
         if self.connected:
             self.protocol.dataReceived(data)
 
-    def lose(self, reason: Exception) -> None:
+    def handle_loss(self, reason: Exception) -> None:
         """Take the end of the connection."""
         if self.connected:
             self.connected = False
@@ -87,7 +87,7 @@
             self.node,
             self.peer.node,
             "reset",
-            lambda: self.peer.lose(ConnectionLost()),
+            lambda: self.peer.handle_loss(ConnectionLost()),
         )
 
     def registerProducer(self, producer, streaming) -> None:  # noqa: N802
@@ -122,8 +122,8 @@
     def _close(self, reason: Exception) -> None:
         """Close this end, and the other when it hears of it."""
         if self.connected:
-            self._send("close", lambda: self.peer.lose(ConnectionDone()))
-            self.node.schedule(0.0, lambda: self.lose(reason), None)
+            self._send("close", lambda: self.peer.handle_loss(ConnectionDone()))
+            self.node.schedule(0.0, lambda: self.handle_loss(reason), None)
 
     def _send(self, label: str, run: Callable[[], object]) -> None:
         """Send something to the other end."""
--- a/beryltrack_bench/fakes/platform.py
+++ b/beryltrack_bench/fakes/platform.py
@@ -71,10 +71,10 @@
 
     def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
         """Return an object, None if there is none."""
-        kept = self._objects.get(path)
-        if kept is None or kept.text is None:
+        stored = self._objects.get(path)
+        if stored is None or stored.text is None:
             return Success(None)
-        return Success(_load(path, kept))
+        return Success(_load(path, stored))
 
     def list(self, prefix: str) -> Result[ObjectList, PlatformError]:
         """Return the objects under a prefix."""
@@ -108,8 +108,8 @@
         self, path: str, text: str | None, if_version: int
     ) -> Result[int, PlatformError]:
         """Change an object under its condition."""
-        kept = self._objects.get(path)
-        present = kept.version if kept and kept.text is not None else 0
+        stored = self._objects.get(path)
+        present = stored.version if stored and stored.text is not None else 0
         if present != if_version:
             error = PlatformError(ErrorKind.CONFLICT, "another version", present)
             return Failure(error)
@@ -124,9 +124,9 @@
     def _find(self, prefix: str, after: int) -> tuple[PlatformObject, ...]:
         """Return the objects under a prefix with a version after a revision."""
         return tuple(
-            _load(path, kept)
-            for path, kept in self._objects.items()
-            if path.startswith(prefix) and kept.version > after
+            _load(path, stored)
+            for path, stored in self._objects.items()
+            if path.startswith(prefix) and stored.version > after
         )
 
     def _notify(self) -> None:
@@ -230,10 +230,10 @@
     return answer.addCallback(lambda ignored: serve())
 
 
-def _load(path: str, kept: _StoredObject) -> PlatformObject:
+def _load(path: str, stored: _StoredObject) -> PlatformObject:
     """Return a kept object as the platform answers it."""
-    value = None if kept.text is None else json.loads(kept.text)
-    return PlatformObject(path, kept.version, value, kept.text is None)
+    value = None if stored.text is None else json.loads(stored.text)
+    return PlatformObject(path, stored.version, value, stored.text is None)
 
 
 def _get_change_id(text: str | None) -> str:
--- a/beryltrack_bench/fakes/sql_database.py
+++ b/beryltrack_bench/fakes/sql_database.py
@@ -49,7 +49,7 @@
         self.engine.set_apply_lag(0.0)
         super().start()
 
-    def start_work(self) -> None:
+    def record_work(self) -> None:
         """Note that the database was given something to do."""
         self._record(WorkStarted(self.name, self.node.seconds()))
 
@@ -107,12 +107,12 @@
         super().__init__(
             database.node, database.engine, DatabaseOptions(), Random(database.name)
         )
-        self._fake = database
+        self._sql_database = database
 
     def make_session(self) -> Session:
         """Return the session of a new connection."""
         session = _RecordingSession(self.clock, self.database, self._limits)
-        session.on_work = self._fake.start_work
+        session.on_work = self._sql_database.record_work
         return session
 
 
--- a/beryltrack_bench/history.py
+++ b/beryltrack_bench/history.py
@@ -28,7 +28,7 @@
         The database group.
     keys : tuple of str
         One key for each of its statements, in order; unique to the request.
-    marked : bool
+    at_most_once : bool
         True if the request is marked as non-idempotent.
     at : float
         When, seconds.
@@ -37,7 +37,7 @@
     session: str
     group: str
     keys: tuple[str, ...]
-    marked: bool
+    at_most_once: bool
     at: float
 
 
--- a/beryltrack_bench/limits/site.py
+++ b/beryltrack_bench/limits/site.py
@@ -20,18 +20,18 @@
 QUEUE = 32
 """Statements that the database lets wait for a slot."""
 
-KINDS = (0.004, 0.008, 0.04)
+STATEMENT_TIMES = (0.004, 0.008, 0.04)
 """Seconds that statements of each kind take; 231 a second fill the slots."""
 
 REFUSAL_TIME = 0.002
 """Seconds until a full database says so."""
 
 ACCOUNTS = 20
-SHARES = (2, 3, 3, 2)
+PRIORITY_WEIGHTS = (2, 3, 3, 2)
 """How many operations have each priority, in proportion."""
 
-AIMS = (0.15, 0.25, 0.4, 0.6)
-TIMES = (0.6, 1.0, 2.0, 4.0)
+TARGET_LATENCIES = (0.15, 0.25, 0.4, 0.6)
+DEADLINES = (0.6, 1.0, 2.0, 4.0)
 """Target latency and deadline by priority, seconds."""
 
 TICK = 0.05
@@ -44,26 +44,26 @@
     ----------
     rate : float
         Operations a second.
-    parts : tuple of float
+    owner_weights : tuple of float
         Proportions in which they come to the owners.
     slow_from, slow_until : float
         When the database is slower, seconds.
-    slowness : float
+    slowdown_factor : float
         Factor on the times of its statements then.
     """
 
     rate: float
-    parts: tuple[float, ...] = (1.0, 1.0, 1.0, 1.0)
+    owner_weights: tuple[float, ...] = (1.0, 1.0, 1.0, 1.0)
     slow_from: float = 0.0
     slow_until: float = 0.0
-    slowness: float = 1.0
+    slowdown_factor: float = 1.0
 
 
-class Served:
+class OperationCounts:
     """What became of the operations of one priority."""
 
     def __init__(self):
-        self.asked = self.in_time = self.late = self.refused = 0
+        self.offered = self.in_time = self.late = self.refused = 0
 
 
 class _Operation(NamedTuple):
@@ -71,7 +71,7 @@
 
     owner: int
     priority: int
-    aim: float
+    latency_deadline: float
 
 
 class Site:
@@ -91,16 +91,18 @@
 
     def __init__(self, policy: LoadPolicy, connections: int, load: Load, seed: int):
         self.now = 0.0
-        self.most = 0
-        self.served = [Served() for _ in AIMS]
+        self.max_in_database = 0
+        self.served = [OperationCounts() for _ in TARGET_LATENCIES]
         self._load = load
         self._rng = random.Random(seed)
         self._gates = [
             GateDecider(policy, random.Random(f"{seed} {owner}"), 0)
-            for owner in range(len(load.parts))
+            for owner in range(len(load.owner_weights))
         ]
         for gate in self._gates:
-            gate.set_capacity(SharedCapacity(SLOTS, len(load.parts), connections), 0.0)
+            gate.set_capacity(
+                SharedCapacity(SLOTS, len(load.owner_weights), connections), 0.0
+            )
         self._numbers = count(1)
         self._operations: dict[int, _Operation] = {}
         self._sent: dict[int, float] = {}
@@ -109,10 +111,10 @@
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """Let callers come for some seconds, and serve all."""
-        self._call(0.0, lambda: self._come(seconds))
-        self._call(0.0, lambda: self._tick(seconds + max(TIMES)))
+        self._call(0.0, lambda: self._arrive(seconds))
+        self._call(0.0, lambda: self._tick(seconds + max(DEADLINES)))
         while self._due:
             self.now, _, callback = heapq.heappop(self._due)
             callback()
@@ -120,28 +122,30 @@
     def _call(self, delay: float, callback: Callable[[], None]) -> None:
         heapq.heappush(self._due, (self.now + delay, next(self._order), callback))
 
-    def _come(self, until: float) -> None:
+    def _arrive(self, until: float) -> None:
         """Let one operation come, and the next one later."""
         gap = self._rng.expovariate(self._load.rate)
         if self.now + gap < until:
-            self._call(gap, lambda: self._come(until))
-        (owner,) = self._rng.choices(range(len(self._gates)), self._load.parts)
-        (priority,) = self._rng.choices(range(len(AIMS)), SHARES)
-        number, aim = next(self._numbers), AIMS[priority]
+            self._call(gap, lambda: self._arrive(until))
+        (owner,) = self._rng.choices(range(len(self._gates)), self._load.owner_weights)
+        (priority,) = self._rng.choices(range(len(TARGET_LATENCIES)), PRIORITY_WEIGHTS)
+        number, target_latency = next(self._numbers), TARGET_LATENCIES[priority]
         account = str(self._rng.randrange(ACCOUNTS))
-        self._operations[number] = _Operation(owner, priority, self.now + aim)
-        self.served[priority].asked += 1
-        demand = Demand(priority, aim, TIMES[priority], account)
-        self._take(self._gates[owner].submit(number, demand, self.now))
+        self._operations[number] = _Operation(
+            owner, priority, self.now + target_latency
+        )
+        self.served[priority].offered += 1
+        demand = Demand(priority, target_latency, DEADLINES[priority], account)
+        self._apply_actions(self._gates[owner].submit(number, demand, self.now))
 
     def _tick(self, until: float) -> None:
         """Call the gates' timers."""
         for gate in self._gates:
-            self._take(gate.tick(self.now))
+            self._apply_actions(gate.tick(self.now))
         if self.now < until:
             self._call(TICK, lambda: self._tick(until))
 
-    def _take(self, actions: list[GateAction]) -> None:
+    def _apply_actions(self, actions: list[GateAction]) -> None:
         """Carry out what a gate decided."""
         for action in actions:
             if isinstance(action, Run):
@@ -159,14 +163,18 @@
             self._queue.append(number)
         else:
             self._call(REFUSAL_TIME, lambda: self._end(number, Outcome.FULL))
-        self.most = max(self.most, self._running + len(self._queue))
+        self.max_in_database = max(
+            self.max_in_database, self._running + len(self._queue)
+        )
 
     def _start(self, number: int) -> None:
         """Run a statement in a slot."""
         self._running += 1
         load = self._load
         is_slow = load.slow_from <= self.now < load.slow_until
-        seconds = self._rng.choice(KINDS) * (load.slowness if is_slow else 1.0)
+        seconds = self._rng.choice(STATEMENT_TIMES) * (
+            load.slowdown_factor if is_slow else 1.0
+        )
         self._call(seconds, lambda: self._finish(number))
 
     def _finish(self, number: int) -> None:
@@ -183,10 +191,10 @@
         seconds = self.now - self._sent.pop(number)
         if outcome is Outcome.FULL:
             served.refused += 1
-        elif self.now <= operation.aim:
+        elif self.now <= operation.latency_deadline:
             served.in_time += 1
         else:
             served.late += 1
         gate = self._gates[operation.owner]
         took = seconds if outcome is Outcome.ANSWERED else None
-        self._take(gate.finish(number, took, outcome, self.now))
+        self._apply_actions(gate.finish(number, took, outcome, self.now))
--- a/beryltrack_bench/losses/accrual.py
+++ b/beryltrack_bench/losses/accrual.py
@@ -13,12 +13,12 @@
 from beryltrack.groups.view import DatabaseView
 
 WINDOW = 100
-FEWEST = 20
+MIN_SAMPLES = 20
 # Limits outside these bounds, in seconds, are not believed.
-SHORTEST_LIMIT = 0.06
-LONGEST_LIMIT = 1.0
+MIN_TIMEOUT = 0.06
+MAX_TIMEOUT = 1.0
 # A silence has ended if the next answer tells of one that is so much shorter.
-LEAST_DROP = 0.002
+MIN_DROP = 0.002
 
 
 class AccrualDetector:
@@ -37,7 +37,7 @@
         self._first_limit = first_limit
         self._silences: dict[str, deque[float]] = {}
         self._last: dict[str, DatabaseView] = {}
-        self._limits: dict[str, float] = {}
+        self._timeouts: dict[str, float] = {}
 
     def observe(self, database: DatabaseView) -> None:
         """Take in a new status; a silence counts when it has ended."""
@@ -46,17 +46,17 @@
             return
         self._last[database.name] = database
         if last is not None and last.heard_age < math.inf:
-            going_on = last.heard_age + database.seen_at - last.seen_at
-            if database.heard_age < going_on - LEAST_DROP:
-                self._learn(database.name, last.heard_age)
+            expected_age = last.heard_age + database.seen_at - last.seen_at
+            if database.heard_age < expected_age - MIN_DROP:
+                self._add_silence(database.name, last.heard_age)
 
-    def _learn(self, name: str, silence: float) -> None:
+    def _add_silence(self, name: str, silence: float) -> None:
         silences = self._silences.setdefault(name, deque(maxlen=WINDOW))
         silences.append(silence)
-        if len(silences) >= FEWEST:
+        if len(silences) >= MIN_SAMPLES:
             limit = fmean(silences) + self._deviations * pstdev(silences)
-            self._limits[name] = min(max(limit, SHORTEST_LIMIT), LONGEST_LIMIT)
+            self._timeouts[name] = min(max(limit, MIN_TIMEOUT), MAX_TIMEOUT)
 
     def get_timeout(self, database: str) -> float:
         """Return the seconds without a word after which the primary is lost."""
-        return self._limits.get(database, self._first_limit)
+        return self._timeouts.get(database, self._first_limit)
--- a/beryltrack_bench/losses/caller.py
+++ b/beryltrack_bench/losses/caller.py
@@ -23,7 +23,7 @@
 from beryltrack_bench.history import Event, WriteAcknowledged, WriteRequested
 
 THINK_TIME = 0.1
-RETRY_PAUSE = 0.005
+RETRY_INTERVAL = 0.005
 SEND_TIMEOUT = 1.0
 CONFIRM_TIMEOUT = 1.0
 
@@ -78,7 +78,7 @@
         self._sending: Deferred | None = None
         self._sent_to = ""
         self._stopped = False
-        task.subscribe(self._take_view)
+        task.subscribe(self._handle_view)
 
     def start(self) -> None:
         """Begin to write."""
@@ -97,16 +97,16 @@
 
     async def _write(self, key: str) -> None:
         """Send one write until it is acknowledged."""
-        while not await self._try_once(key):
+        while not await self._send_once(key):
             if self._stopped:
                 return
-            await self._sleep(RETRY_PAUSE)
+            await self._sleep(RETRY_INTERVAL)
         now = self._node.seconds()
         self.acknowledged.append(Acknowledgement(now, self._task.view.term))
         name = self._node.name
         self._record(WriteAcknowledged(name, self._group.name, (key,), now))
 
-    async def _try_once(self, key: str) -> bool:
+    async def _send_once(self, key: str) -> bool:
         """Return whether a sending was acknowledged."""
         primary = get_primary(self._task.view)
         if primary is None or not primary.reachable:
@@ -125,7 +125,7 @@
         now = self._node.seconds()
         name = self._node.name
         self._record(WriteRequested(name, self._group.name, (key,), True, now))
-        answer = self._group.write(self._node, database, key, marked=True)
+        answer = self._group.write(self._node, database, key, at_most_once=True)
         self._sending, self._sent_to = answer, database
         try:
             return await answer.addTimeout(SEND_TIMEOUT, self._node)
@@ -137,7 +137,7 @@
         finally:
             self._sending = None
 
-    def _take_view(self, view: GroupView) -> None:
+    def _handle_view(self, view: GroupView) -> None:
         """Give a sending up whose database leads no longer."""
         if self._sending is not None and view.primary != self._sent_to:
             self._sending.cancel()
--- a/beryltrack_bench/losses/site.py
+++ b/beryltrack_bench/losses/site.py
@@ -20,7 +20,7 @@
 )
 from beryltrack_bench.history import Event, FinalLog, Promoted
 from beryltrack_bench.losses.caller import WritingCaller
-from beryltrack_bench.losses.faults import Surroundings
+from beryltrack_bench.losses.faults import FaultContext
 
 SLOW_STORE_DELAY = 0.8
 NO_ENDPOINT = Endpoint("127.0.0.1", 0)
@@ -104,9 +104,9 @@
             self.callers[name].start()
 
     @property
-    def around(self) -> Surroundings:
+    def context(self) -> FaultContext:
         """What faults act on."""
-        return Surroundings(self.group, self.proxies, self._rng)
+        return FaultContext(self.group, self.proxies, self._rng)
 
     @property
     def promotions(self) -> int:
--- a/beryltrack_bench/matrix/caller.py
+++ b/beryltrack_bench/matrix/caller.py
@@ -21,10 +21,10 @@
 from beryltrack_bench.matrix.proxy import BenchCaller, BenchProxy, CallerRefused
 from beryltrack_bench.matrix.world import GROUP, World
 
-CALL_LIMIT = 3.0
+CALL_TIMEOUT = 3.0
 """Seconds after which a caller gives up on an answer."""
 
-PAUSE = 0.05
+RETRY_INTERVAL = 0.05
 """Seconds between two attempts of a caller."""
 
 NEW_SESSION = "new"
@@ -66,7 +66,7 @@
     token: str
 
 
-class _Visit:
+class _ProxyConnection:
     """A caller's connection to one proxy, for one request or transaction."""
 
     def __init__(self, proxy: BenchProxy, settings: dict[str, str]):
@@ -97,7 +97,7 @@
         self._proxies = cycle(names[first_proxy:] + names[:first_proxy])
         self._sent = 0
 
-    async def write(self, *keys: str, marked: bool = False) -> Refusal | None:
+    async def write(self, *keys: str, at_most_once: bool = False) -> Refusal | None:
         """Send one write once, several keys as a transaction.
 
         Returns
@@ -106,12 +106,12 @@
             None if it was acknowledged.
         """
         history, now = self._world.history, self._world.now
-        history.append(WriteRequested(self.name, GROUP, keys, marked, now))
-        settings = {REQUEST_ID: keys[0], IDEMPOTENT: "off"} if marked else {}
+        history.append(WriteRequested(self.name, GROUP, keys, at_most_once, now))
+        settings = {REQUEST_ID: keys[0], IDEMPOTENT: "off"} if at_most_once else {}
         inserts = [f"INSERT INTO items VALUES ('{key}')" for key in keys]
         texts = inserts if len(keys) == 1 else ["BEGIN", *inserts, "COMMIT"]
         answers = await self._ask("write", texts, settings)
-        refusal = _judge(answers, len(texts))
+        refusal = _classify_answers(answers, len(texts))
         if refusal is None:
             self.token = answers[-1].token or self.token
             acknowledged = WriteAcknowledged(self.name, GROUP, keys, self._world.now)
@@ -120,7 +120,7 @@
             history.append(WriteRefused(GROUP, keys, refusal, self._world.now))
         return refusal
 
-    async def write_marked(self, *keys: str, limit: float) -> bool:
+    async def write_until_acknowledged(self, *keys: str, limit: float) -> bool:
         """Send a marked write again, through other proxies, until it is acknowledged.
 
         Parameters
@@ -131,9 +131,9 @@
             The time at which the caller gives up, seconds.
         """
         while self._world.now < limit:
-            if await self.write(*keys, marked=True) is None:
+            if await self.write(*keys, at_most_once=True) is None:
                 return True
-            await deferLater(self._world.caller, PAUSE)
+            await deferLater(self._world.caller, RETRY_INTERVAL)
         return False
 
     async def read(self, max_age: str = "") -> bool:
@@ -158,7 +158,7 @@
         while self._world.now < limit:
             if await self.read():
                 return True
-            await deferLater(self._world.caller, PAUSE)
+            await deferLater(self._world.caller, RETRY_INTERVAL)
         return False
 
     async def _ask(
@@ -167,52 +167,54 @@
         """Send queries one by one to the next proxy, up to the first error."""
         self._sent += 1
         proxy = self._world.proxies[next(self._proxies)]
-        visit = _Visit(proxy, {SESSION: self.token, **settings})
+        connection = _ProxyConnection(proxy, {SESSION: self.token, **settings})
         answers = []
         for text in texts:
-            answers.append(await self._call(visit, label, text))
+            answers.append(await self._call(connection, label, text))
             if answers[-1].sqlstate:
                 break
         self._world.network.send(
-            self._world.caller, proxy.node, "leave", lambda: self._close(visit)
+            self._world.caller, proxy.node, "leave", lambda: self._close(connection)
         )
         return answers
 
-    async def _call(self, visit: _Visit, label: str, text: str) -> Answer:
+    async def _call(
+        self, connection: _ProxyConnection, label: str, text: str
+    ) -> Answer:
         """Send one query; an answer that does not come is `LOST`."""
         caller = self._world.caller
         answer = self._world.network.call(
-            caller, visit.proxy.node, label, lambda: self._serve(visit, text)
+            caller, connection.proxy.node, label, lambda: self._serve(connection, text)
         )
         try:
-            return _read_answer(await answer.addTimeout(CALL_LIMIT, caller))
+            return _read_answer(await answer.addTimeout(CALL_TIMEOUT, caller))
         except CallerRefused:
             return Answer((), CANNOT_CONNECT_NOW, "")
         except (ConnectionLost, TimeoutError):
             return Answer((), LOST, "")
 
-    async def _serve(self, visit: _Visit, text: str) -> bytes:
+    async def _serve(self, connection: _ProxyConnection, text: str) -> bytes:
         """Run a query at its proxy, and record its start and its answer there."""
-        world, proxy = self._world, visit.proxy
-        if proxy.node.incarnation != proxy.incarnation or visit.closed:
+        world, proxy = self._world, connection.proxy
+        if proxy.node.incarnation != proxy.incarnation or connection.closed:
             raise ConnectionLost
-        if visit.caller is None:
-            visit.caller = proxy.open_caller(visit.settings)
+        if connection.caller is None:
+            connection.caller = proxy.open_caller(connection.settings)
         request = f"{self.name}/{self._sent}/{text}"
         world.history.append(RequestStarted(request, proxy.name, world.now))
-        frames = await proxy.run(visit.caller, text)
+        frames = await proxy.run(connection.caller, text)
         world.history.append(RequestAnswered(request, (), (), world.now))
         return frames
 
-    def _close(self, visit: _Visit) -> None:
+    def _close(self, connection: _ProxyConnection) -> None:
         """Log off from a proxy."""
-        alive = visit.proxy.node.incarnation == visit.proxy.incarnation
-        if alive and visit.caller is not None and not visit.closed:
-            visit.closed = True
-            visit.proxy.close_caller(visit.caller)
+        alive = connection.proxy.node.incarnation == connection.proxy.incarnation
+        if alive and connection.caller is not None and not connection.closed:
+            connection.closed = True
+            connection.proxy.close_caller(connection.caller)
 
 
-def _judge(answers: list[Answer], expected: int) -> Refusal | None:
+def _classify_answers(answers: list[Answer], expected: int) -> Refusal | None:
     """Return what the answers to a write say of it."""
     last = answers[-1]
     if not last.sqlstate:
--- a/beryltrack_bench/matrix/faults.py
+++ b/beryltrack_bench/matrix/faults.py
@@ -34,7 +34,7 @@
 SLOW_SECONDS = 0.3
 """What a slow node or platform adds to each answer."""
 
-OTHER_AGE = 9.0
+OTHER_MAX_AGE = 9.0
 """The `max_age` that the other operator sets, seconds."""
 
 Undo = Callable[[], object]
@@ -202,7 +202,7 @@
 def race_operators(world: World) -> Undo:
     """Let another operator change the same settings at this moment."""
     kept = world.platform.get(SETTINGS_PATH).unwrap()
-    settings = make_settings(world.group, max_age=OTHER_AGE)["settings"]
+    settings = make_settings(world.group, max_age=OTHER_MAX_AGE)["settings"]
     change_id = f"race-{kept.version}"
     request = ChangeRequest(SETTINGS_PATH, settings, "other", "race", "", change_id)
     value = build_value(request, kept.version, kept.value)
--- a/beryltrack_bench/matrix/procedures.py
+++ b/beryltrack_bench/matrix/procedures.py
@@ -14,7 +14,7 @@
 from beryltrack.settings.change import ChangeFailure, FailureKind, SettingsChange
 from beryltrack.settings.stored import ChangeRequest
 from beryltrack_bench.history import ChangeAnswered, Refusal
-from beryltrack_bench.matrix.caller import PAUSE, Session
+from beryltrack_bench.matrix.caller import RETRY_INTERVAL, Session
 from beryltrack_bench.matrix.world import (
     PROXIES,
     SETTINGS_PATH,
@@ -23,13 +23,13 @@
     make_settings,
 )
 
-PATIENCE = 6.0
+PROCEDURE_TIMEOUT = 6.0
 """Seconds after which a procedure that makes no headway is given up."""
 
-LEAVING_WATCH = 4.0
+DRAINING_TIME = 4.0
 """Seconds of work after a target has said that it is leaving."""
 
-LATER = 0.001
+ARRIVAL_MARGIN = 0.001
 """Seconds after which a message that was sent has arrived."""
 
 NEW_PROXY = "proxy-3"
@@ -47,14 +47,14 @@
 async def marked_write(world: World) -> None:
     """Write a marked request, again through other proxies until it is acknowledged."""
     session = Session(world, "marker")
-    await session.write_marked("m", limit=world.now + PATIENCE)
+    await session.write_until_acknowledged("m", limit=world.now + PROCEDURE_TIMEOUT)
 
 
 async def read(world: World) -> None:
     """Read what the session wrote, through another proxy, until answered."""
     session = Session(world, "reader")
-    await session.write_marked("r", limit=world.now + PATIENCE)
-    await session.read_until(world.now + PATIENCE)
+    await session.write_until_acknowledged("r", limit=world.now + PROCEDURE_TIMEOUT)
+    await session.read_until(world.now + PROCEDURE_TIMEOUT)
 
 
 async def transaction(world: World) -> None:
@@ -71,7 +71,7 @@
     name = world.group.primary.name
     world.group.crash(name, silent=True)
     session = Session(world, "survivor")
-    await session.write_marked("f", limit=world.now + PATIENCE)
+    await session.write_until_acknowledged("f", limit=world.now + PROCEDURE_TIMEOUT)
     world.group.restart(name)
 
 
@@ -79,23 +79,23 @@
     """Let the primary leave and write until another one leads."""
     before = world.group.primary
     before.set_leaving(True)
-    limit = world.now + PATIENCE
+    limit = world.now + PROCEDURE_TIMEOUT
     session = Session(world, "mover")
     number = 0
     while world.group.primary is before and world.now < limit:
         number += 1
         await session.write(f"h/{number}")
-        await deferLater(world.caller, PAUSE)
+        await deferLater(world.caller, RETRY_INTERVAL)
     before.set_leaving(False)
 
 
 async def settings_change(world: World) -> None:
     """Change the group's settings and wait until they are in force everywhere."""
     await change_settings(world, "change", max_age=3.0)
-    limit = world.now + PATIENCE
+    limit = world.now + PROCEDURE_TIMEOUT
     kept = world.platform.get(SETTINGS_PATH).unwrap()
-    while world.now < limit and _is_anywhere_older(world, kept.version):
-        await deferLater(world.operator, PAUSE)
+    while world.now < limit and _is_any_older(world, kept.version):
+        await deferLater(world.operator, RETRY_INTERVAL)
 
 
 async def draining(world: World) -> None:
@@ -104,12 +104,12 @@
     databases = world.group.databases.values()
     replica = next(each for each in databases if each is not primary)
     replica.set_leaving(True)
-    limit = world.now + LEAVING_WATCH
+    limit = world.now + DRAINING_TIME
     session = Session(world, "drainer")
-    await session.write_marked("d", limit=limit)
+    await session.write_until_acknowledged("d", limit=limit)
     while world.now < limit:
         await session.read()
-        await deferLater(world.caller, PAUSE * 4)
+        await deferLater(world.caller, RETRY_INTERVAL * 4)
     replica.set_leaving(False)
 
 
@@ -117,8 +117,8 @@
     """Start another proxy and use it as soon as it answers."""
     world.start_proxy(NEW_PROXY, len(PROXIES))
     session = Session(world, "newcomer", first_proxy=len(PROXIES))
-    await session.write_marked("s", limit=world.now + PATIENCE)
-    await session.read_until(world.now + PATIENCE)
+    await session.write_until_acknowledged("s", limit=world.now + PROCEDURE_TIMEOUT)
+    await session.read_until(world.now + PROCEDURE_TIMEOUT)
 
 
 async def shutdown(world: World) -> None:
@@ -127,14 +127,14 @@
     work = _gather(writer.write("x"), reader.read())
     # The requests are on their way when the shutdown begins.
     delay = world.network.compute_delay(world.caller, world.site.nodes[PROXIES[0]])
-    await deferLater(world.operator, delay + LATER)
+    await deferLater(world.operator, delay + ARRIVAL_MARGIN)
     node = world.site.nodes[PROXIES[0]]
     left, incarnation = world.leave_proxy(PROXIES[0]), node.incarnation
-    limit = world.now + PATIENCE
+    limit = world.now + PROCEDURE_TIMEOUT
     while node.alive and not left.called and node.incarnation == incarnation:
         if world.now > limit:
             raise RuntimeError("the shutdown does not end")
-        await deferLater(world.operator, PAUSE)
+        await deferLater(world.operator, RETRY_INTERVAL)
     await work
     world.start_proxy(PROXIES[0])
 
@@ -174,7 +174,7 @@
     world.history.append(ChangeAnswered(change_id, refusal))
 
 
-def _is_anywhere_older(world: World, version: int) -> bool:
+def _is_any_older(world: World, version: int) -> bool:
     """Return whether a live proxy has not a version yet."""
     return any(
         get_version(proxy) < version
--- a/beryltrack_bench/matrix/proxy.py
+++ b/beryltrack_bench/matrix/proxy.py
@@ -113,7 +113,7 @@
 
     def start(self) -> None:
         """Learn the settings; the group is watched as soon as they are known."""
-        self.settings.subscribe(self._take_settings)
+        self.settings.subscribe(self._apply_settings)
         self.settings.start()
 
     async def leave(self) -> None:
@@ -166,7 +166,7 @@
         if not self._callers and self._idle is not None:
             self._idle.callback(None)
 
-    def _take_settings(self, site: SiteSettings) -> None:
+    def _apply_settings(self, site: SiteSettings) -> None:
         """Watch the group by the settings in force."""
         name = self._group.name
         found = next((each for each in site.groups if each.name == name), None)
--- a/beryltrack_bench/matrix/run.py
+++ b/beryltrack_bench/matrix/run.py
@@ -14,7 +14,7 @@
 from beryltrack_bench.history import RequestAnswered, RequestStarted
 from beryltrack_bench.matrix.caller import Session
 from beryltrack_bench.matrix.faults import FAULT_SECONDS, FAULTS
-from beryltrack_bench.matrix.procedures import PATIENCE, PROCEDURES
+from beryltrack_bench.matrix.procedures import PROCEDURE_TIMEOUT, PROCEDURES
 from beryltrack_bench.matrix.proxy import POLICY
 from beryltrack_bench.matrix.world import World
 
@@ -24,10 +24,10 @@
 REQUEST_LIMIT = POLICY.request_timeout + FAULT_SECONDS
 """Seconds within which a proxy must answer a request, also if it is paused."""
 
-RUN_LIMIT = 4 * PATIENCE
+RUN_LIMIT = 4 * PROCEDURE_TIMEOUT
 """Seconds after which a procedure counts as stuck."""
 
-SETTLE = 0.1
+SETTLE_TIME = 0.1
 """Seconds for replicas to catch up before the last log is read."""
 
 
@@ -122,7 +122,10 @@
     gc.enable()
     violations = (
         *check_history(world.history),
-        *(Violation("progress", text) for text in (*stuck, *find_late(world))),
+        *(
+            Violation("progress", text)
+            for text in (*stuck, *find_overdue_requests(world))
+        ),
         *(Violation("internal_error", text) for text in errors),
     )
     return CellResult(tuple(injector.steps), violations)
@@ -138,11 +141,11 @@
         stuck.append("the procedure did not end")
     done.addErrback(lambda failure: stuck.append(failure.getErrorMessage()))
     injector.end()
-    world.site.run_until(max(world.now, injector.over_at))
+    world.site.run_until(max(world.now, injector.faults_end_at))
     world.record_settings()
     if not _recover(world):
         stuck.append("no write succeeded after the faults")
-    world.site.run_until(world.now + SETTLE)
+    world.site.run_until(world.now + SETTLE_TIME)
     world.record_settings()
     world.record_final_log()
     for proxy in world.proxies.values():
@@ -150,7 +153,7 @@
     return stuck
 
 
-def find_late(world: World) -> Iterator[str]:
+def find_overdue_requests(world: World) -> Iterator[str]:
     """Return the requests that a proxy kept for longer than it may.
 
     Nothing that the procedures ask for takes long, so a request that is kept
@@ -176,13 +179,16 @@
     """Write and read once more through each proxy; return whether that worked."""
     limit = world.now + RECOVERY_LIMIT
     session = Session(world, "last")
-    answered = Deferred.fromCoroutine(_use_all(world, session, limit))
-    return world.site.run_until_fired(answered, limit + PATIENCE) and answered.result
+    answered = Deferred.fromCoroutine(_use_all_proxies(world, session, limit))
+    return (
+        world.site.run_until_fired(answered, limit + PROCEDURE_TIMEOUT)
+        and answered.result
+    )
 
 
-async def _use_all(world: World, session: Session, limit: float) -> bool:
+async def _use_all_proxies(world: World, session: Session, limit: float) -> bool:
     """Write and read through all proxies in turn."""
-    written = await session.write_marked("last", limit=limit)
+    written = await session.write_until_acknowledged("last", limit=limit)
     return written and all([await session.read_until(limit) for _ in world.proxies])
 
 
@@ -191,7 +197,7 @@
 
     def __init__(self, strikes: tuple[Strike, ...]):
         self.steps: list[Step] = []
-        self.over_at = 0.0
+        self.faults_end_at = 0.0
         self._strikes = strikes
         self._world: World | None = None
 
@@ -218,7 +224,7 @@
         """Begin a fault and plan its end."""
         fault = FAULTS[strike.fault]
         undo = fault.strike(world)
-        self.over_at = max(self.over_at, world.now + fault.seconds)
+        self.faults_end_at = max(self.faults_end_at, world.now + fault.seconds)
         world.site.clock.callLater(fault.seconds, undo)
 
 
--- a/beryltrack_bench/roam.py
+++ b/beryltrack_bench/roam.py
@@ -42,9 +42,9 @@
     "roam_left (key TEXT)",
     "roam_right (key TEXT)",
 )
-_SHOWN_VIOLATIONS = 20
-_SHOWN_DURATIONS = 10
-_END_TIMEOUT = 60.0
+_MAX_SHOWN_VIOLATIONS = 20
+_MAX_SHOWN_DURATIONS = 10
+_JOIN_TIMEOUT = 60.0
 _THINK_TIME = 0.01
 
 
@@ -130,7 +130,7 @@
     rng = random.Random(options.seed)
     faults = run_faults(site, records, options.rounds, rng)
     stopped.set()
-    _join(threads, records)
+    _join_threads(threads, records)
     seconds = time.monotonic() - started_at
     found = count_effects(site, login, run, records)
     found += (
@@ -139,7 +139,7 @@
         if fault.gap is None or not fault.replaced
     )
     violations = records.violations + found
-    slowest = heapq.nlargest(_SHOWN_DURATIONS, records.durations)
+    slowest = heapq.nlargest(_MAX_SHOWN_DURATIONS, records.durations)
     return RoamReport(dict(records.counts), faults, violations, slowest, seconds)
 
 
@@ -189,9 +189,9 @@
         session.end()
 
 
-def _join(threads: list[threading.Thread], records: Records) -> None:
+def _join_threads(threads: list[threading.Thread], records: Records) -> None:
     """Wait for all sessions; one that hangs is a violation."""
-    deadline = time.monotonic() + _END_TIMEOUT
+    deadline = time.monotonic() + _JOIN_TIMEOUT
     for thread in threads:
         thread.join(max(0.0, deadline - time.monotonic()))
         if thread.is_alive():
@@ -234,7 +234,7 @@
 def format_report(report: RoamReport) -> str:
     """Return a report as one line of JSON."""
     promises = Counter(violation.promise for violation in report.violations)
-    shown = [tuple(item) for item in report.violations[:_SHOWN_VIOLATIONS]]
+    shown = [tuple(item) for item in report.violations[:_MAX_SHOWN_VIOLATIONS]]
     return json.dumps(
         {
             "seconds": round(report.seconds, 2),
--- a/beryltrack_bench/roaming/audit.py
+++ b/beryltrack_bench/roaming/audit.py
@@ -58,10 +58,10 @@
         application_name=_APPLICATION,
         autocommit=True,
     ) as connection:
-        marked = _count_rows(connection, "roam_effects", "request_id", run)
+        at_most_once = _count_rows(connection, "roam_effects", "request_id", run)
         left = _count_rows(connection, "roam_left", "key", run)
         right = _count_rows(connection, "roam_right", "key", run)
-    yield from check_counts(records.marked, marked)
+    yield from check_counts(records.at_most_once, at_most_once)
     yield from check_counts(records.pairs, left)
     yield from (
         Violation("torn transaction", f"{key}: {left[key]} and {right[key]} rows")
--- a/beryltrack_bench/roaming/faults.py
+++ b/beryltrack_bench/roaming/faults.py
@@ -18,7 +18,7 @@
 _PLATFORM_FAULTS = (None, ("down", None), ("slow", 0.3), ("lose_answers", 5))
 _LAG = 0.5
 _TIMEOUT = 20.0
-_QUIET = 0.4
+_PAUSE = 0.4
 
 
 class FaultRecord(NamedTuple):
@@ -77,7 +77,7 @@
     faults = (*PRIMARY_FAULTS, (HAND_OVER, HAND_OVER))
     result = []
     for number in range(rounds):
-        time.sleep(_QUIET + rng.random() * _QUIET)
+        time.sleep(_PAUSE + rng.random() * _PAUSE)
         fault, end = faults[number % len(faults)]
         result.append(_run_round(site, records, fault, end, rng))
     return result
@@ -101,7 +101,7 @@
     replaced = wait_for_primary(site, primary.term, _TIMEOUT) is not None
     # A planned hand-over lets writes go on at the old primary first, so the
     # gap of a hand-over is the wait of the first write only.
-    time.sleep(_QUIET)
+    time.sleep(_PAUSE)
     set_fault(site, primary.name, end, False if end == HAND_OVER else None)
     set_fault(site, lagging, "lag", 0.0)
     set_fault(site, PLATFORM, "up")
--- a/beryltrack_bench/roaming/local_site.py
+++ b/beryltrack_bench/roaming/local_site.py
@@ -133,21 +133,21 @@
         found = find_primary(site)
         return found is not None and found.term > after_term
 
-    return found if _wait(is_found, timeout) else None
+    return found if _poll(is_found, timeout) else None
 
 
 def wait_for_agreement(site: ReadyLine, timeout: float) -> bool:
     """Wait until all databases have applied the same position."""
-    return _wait(lambda: _agree(get_states(site)), timeout)
+    return _poll(lambda: _is_agreed(get_states(site)), timeout)
 
 
-def _agree(states: tuple[DatabaseState, ...]) -> bool:
+def _is_agreed(states: tuple[DatabaseState, ...]) -> bool:
     """Return whether all databases stand at one position."""
     positions = {state.received for state in states}
     return len(positions | {state.applied for state in states}) == 1
 
 
-def _wait(condition, timeout: float) -> bool:
+def _poll(condition, timeout: float) -> bool:
     """Poll a condition until it holds; return False if it does not in time."""
     deadline = time.monotonic() + timeout
     while not condition():
--- a/beryltrack_bench/roaming/records.py
+++ b/beryltrack_bench/roaming/records.py
@@ -86,7 +86,7 @@
 
     def __init__(self):
         self.counts: Counter[str] = Counter()
-        self.marked: list[Effect] = []
+        self.at_most_once: list[Effect] = []
         self.pairs: list[Effect] = []
         self.violations: list[Violation] = []
         self.durations: list[Duration] = []
@@ -103,7 +103,7 @@
         with self._changed:
             self.violations.append(Violation(promise, text))
 
-    def note_acknowledged(self, effect: Effect) -> None:
+    def record_acknowledged(self, effect: Effect) -> None:
         """Note the time of an acknowledged write, for the failover gap."""
         with self._changed:
             self._acknowledged.append(effect)
--- a/beryltrack_bench/roaming/session.py
+++ b/beryltrack_bench/roaming/session.py
@@ -28,8 +28,8 @@
 _COMMIT_SHARE = 0.75
 _NEW_CONNECTION_SHARE = 0.3
 _GIVE_UP_SHARE = 0.5
-_MAX_TRIES = 200
-_RETRY_PAUSE = 0.02
+_MAX_ATTEMPTS = 200
+_RETRY_INTERVAL = 0.02
 
 Work = Callable[[psycopg.Connection], object]
 
@@ -49,7 +49,7 @@
     database: str
 
 
-class MarkSetting(NamedTuple):
+class RequestOption(NamedTuple):
     """A setting of the session that marks a request.
 
     Parameters
@@ -146,7 +146,9 @@
     def begin(self) -> bool:
         """Write the session's row; return False if that never succeeded."""
         query = "INSERT INTO roam_register (session, value) VALUES (%s, 0)"
-        effect = self._write_marked(query, (self.name,), f"{self.name}-begin", False)
+        effect = self._write_at_most_once(
+            query, (self.name,), f"{self.name}-begin", False
+        )
         return effect.outcome is Outcome.ACKNOWLEDGED
 
     def step(self) -> None:
@@ -179,7 +181,7 @@
         result = self._ask(lambda connection: connection.execute(query, parameters))
         if result.outcome is Outcome.ACKNOWLEDGED:
             self._acknowledged = value
-            self._note_write(str(value), started_at)
+            self._record_write(str(value), started_at)
         elif result.outcome in (Outcome.UNKNOWN, Outcome.UNEXPECTED):
             self._unknown.add(value)
 
@@ -217,30 +219,30 @@
         self._requests += 1
         key = f"{self.name}-{self._requests}"
         query = "INSERT INTO roam_effects (request_id, session) VALUES (%s, %s)"
-        gives_up = self._rng.random() < _GIVE_UP_SHARE
-        effect = self._write_marked(query, (key, self.name), key, gives_up)
-        self._records.marked.append(effect)
+        may_give_up = self._rng.random() < _GIVE_UP_SHARE
+        effect = self._write_at_most_once(query, (key, self.name), key, may_give_up)
+        self._records.at_most_once.append(effect)
 
-    def _write_marked(
-        self, query: str, parameters: tuple[str, ...], key: str, gives_up: bool
+    def _write_at_most_once(
+        self, query: str, parameters: tuple[str, ...], key: str, may_give_up: bool
     ) -> Effect:
         """Send a marked write until its outcome is known."""
         # Half of the requests carry their marks in settings, half in a tag.
-        settings = _make_mark_settings(key) if self._rng.random() < 0.5 else ()
-        text = query if settings else f"{query} {_make_mark_tag(key)}"
+        settings = _make_option_settings(key) if self._rng.random() < 0.5 else ()
+        text = query if settings else f"{query} {_make_option_tag(key)}"
         outcome = Outcome.NOT_RUN
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             started_at = time.monotonic()
             result = self._ask(
                 lambda connection: connection.execute(text, parameters), settings
             )
             outcome = _combine(outcome, result.outcome)
             if outcome is Outcome.ACKNOWLEDGED:
-                self._note_write(key, started_at)
+                self._record_write(key, started_at)
                 break
-            if gives_up and outcome in (Outcome.NOT_RUN, Outcome.ROLLED_BACK):
+            if may_give_up and outcome in (Outcome.NOT_RUN, Outcome.ROLLED_BACK):
                 break
-            time.sleep(_RETRY_PAUSE)
+            time.sleep(_RETRY_INTERVAL)
         return Effect(key, outcome, started_at, time.monotonic())
 
     def _write_pair(self) -> None:
@@ -260,7 +262,7 @@
         else:
             outcome = result.outcome
         if outcome is Outcome.ACKNOWLEDGED:
-            self._note_write(pair.key, started_at)
+            self._record_write(pair.key, started_at)
         effect = Effect(pair.key, outcome, started_at, time.monotonic())
         self._records.pairs.append(effect)
 
@@ -288,22 +290,22 @@
             text = f"a large result came with {len(result.answer)} rows"
             self._records.report("mixed", text)
 
-    def _note_write(self, key: str, started_at: float) -> None:
+    def _record_write(self, key: str, started_at: float) -> None:
         """Note an acknowledged write."""
         effect = Effect(key, Outcome.ACKNOWLEDGED, started_at, time.monotonic())
-        self._records.note_acknowledged(effect)
+        self._records.record_acknowledged(effect)
 
-    def _ask(self, work: Work, settings: Sequence[MarkSetting] = ()) -> Result:
+    def _ask(self, work: Work, settings: Sequence[RequestOption] = ()) -> Result:
         """Do some work through a proxy drawn at random, and note how long it took."""
         started_at = time.monotonic()
-        result = self._try(work, settings)
+        result = self._send_once(work, settings)
         seconds = time.monotonic() - started_at
         self._records.durations.append(
             Duration(seconds, self._action, result.outcome.value, started_at)
         )
         return result
 
-    def _try(self, work: Work, settings: Sequence[MarkSetting]) -> Result:
+    def _send_once(self, work: Work, settings: Sequence[RequestOption]) -> Result:
         """Do some work through a proxy drawn at random; keep the token it gives."""
         proxy = self._rng.choice(self._proxies)
         is_sent = False
@@ -314,7 +316,7 @@
             is_sent = True
             answer = work(connection)
         except psycopg.Error as error:
-            return self._fail(proxy, error, is_sent)
+            return self._handle_error(proxy, error, is_sent)
         self._token = connection.info.parameter_status(TOKEN) or self._token
         self._records.count("acknowledged")
         self._reset(proxy, connection, settings)
@@ -324,7 +326,7 @@
         self,
         proxy: str,
         connection: psycopg.Connection,
-        settings: Sequence[MarkSetting],
+        settings: Sequence[RequestOption],
     ) -> None:
         """Take back marks, and now and then go on with a new connection."""
         try:
@@ -335,7 +337,7 @@
         if self._rng.random() < _NEW_CONNECTION_SHARE:
             self._drop(proxy)
 
-    def _fail(self, proxy: str, error: psycopg.Error, is_sent: bool) -> Result:
+    def _handle_error(self, proxy: str, error: psycopg.Error, is_sent: bool) -> Result:
         """Note a failed request."""
         self._drop(proxy)
         outcome = classify_error(error, is_sent)
@@ -373,15 +375,15 @@
                 connection.close()
 
 
-def _make_mark_settings(key: str) -> tuple[MarkSetting, ...]:
+def _make_option_settings(key: str) -> tuple[RequestOption, ...]:
     """Return the settings that mark a request to run at most once."""
     return (
-        MarkSetting("beryltrack.request_id", key),
-        MarkSetting("beryltrack.idempotent", "off"),
+        RequestOption("beryltrack.request_id", key),
+        RequestOption("beryltrack.idempotent", "off"),
     )
 
 
-def _make_mark_tag(key: str) -> str:
+def _make_option_tag(key: str) -> str:
     """Return the comment that marks a request to run at most once."""
     return f"/*beryltrack_request_id='{key}',beryltrack_idempotent='off'*/"
 
--- a/tests/bench/test_ablate.py
+++ b/tests/bench/test_ablate.py
@@ -8,7 +8,7 @@
 from beryltrack_bench.experiments.ablate import (
     LOADS,
     MECHANISMS,
-    Worth,
+    RunFigures,
     measure,
     summarize,
 )
@@ -46,7 +46,7 @@
 
 
 def test_a_case_is_summed_up_with_its_spread():
-    runs = [Worth(0.5, 0.2, 1, 0.5, 0), Worth(0.7, 0.4, 2, 0.3, 0)]
+    runs = [RunFigures(0.5, 0.2, 1, 0.5, 0), RunFigures(0.7, 0.4, 2, 0.3, 0)]
     assert summarize(runs) == {
         "goodput": 0.6,
         "goodput_spread": 0.2,
--- a/tests/bench/test_cost.py
+++ b/tests/bench/test_cost.py
@@ -11,7 +11,7 @@
 )
 from beryltrack_bench.cost.gates import measure_gate
 from beryltrack_bench.cost.memory import measure_idle_memory
-from beryltrack_bench.experiments.cost import describe_loop, measure_turns
+from beryltrack_bench.experiments.cost import describe_loop, measure_rounds
 from beryltrack_standins.database.server import DatabaseOptions
 from beryltrack_standins.site import SiteOptions
 from tests.local_proxies import run_proxies
@@ -32,7 +32,8 @@
     assert isinstance(direct, Path)
     text = "SELECT note FROM cost"
     costs = [
-        run(measure_turns, reactor, path, text, 0.1, 1) for path in (direct, proxied[0])
+        run(measure_rounds, reactor, path, text, 0.1, 1)
+        for path in (direct, proxied[0])
     ]
     assert all(cost.statements_per_s > 0 for cost in costs)
     assert all(cost.cpu_per_statement > 0 for cost in costs)
--- a/tests/bench/test_failover.py
+++ b/tests/bench/test_failover.py
@@ -43,7 +43,7 @@
 def test_a_needless_failover_would_be_seen():
     deployment = load_deployment("lectora")._replace(proxies=2)
     options = LossOptions(deployment, lost_after=0.06)
-    calm = failover.run_calm(options, Disturbance(0.4), 8.0, Random(3))
+    calm = failover.run_without_loss(options, Disturbance(0.4), 8.0, Random(3))
     assert calm.needless > 0
     assert calm.lost == calm.doubled == 0
 
--- a/tests/bench/test_limits.py
+++ b/tests/bench/test_limits.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from beryltrack_bench.experiments.limits import LOADS, WAYS, play
+from beryltrack_bench.experiments.limits import LIMIT_POLICIES, LOADS, measure
 
 SECONDS = 6.0
 
 
 @pytest.fixture(scope="module")
 def overload():
-    return {way: play(way, "500/s", 1, SECONDS) for way in WAYS}
+    return {way: measure(way, "500/s", 1, SECONDS) for way in LIMIT_POLICIES}
 
 
 def get_in_time(figures, priority):
@@ -31,14 +31,14 @@
     assert overload["adaptive"]["most"] <= 16 < overload["no limit"]["most"]
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", LIMIT_POLICIES)
 def test_all_are_in_time_while_the_slots_carry_them(way):
-    figures = play(way, "180/s", 1, SECONDS)
+    figures = measure(way, "180/s", 1, SECONDS)
     assert min(get_in_time(figures, each) for each in range(4)) > 0.98
 
 
 @pytest.mark.parametrize("load", LOADS)
 def test_each_operation_ends_in_one_way(load):
-    for each in play("adaptive", load, 1, SECONDS)["priorities"]:
+    for each in measure("adaptive", load, 1, SECONDS)["priorities"]:
         total = each["in_time"] + each["refused"] + each["late"]
         assert total == pytest.approx(1.0, abs=0.002)
--- a/tests/bench/test_overload.py
+++ b/tests/bench/test_overload.py
@@ -8,8 +8,8 @@
     count_violations,
     describe,
     get_weights,
-    run_return,
     run_scenario,
+    run_thundering_herd,
 )
 from beryltrack_bench.overload.load import Offer
 from beryltrack_bench.overload.workload import compute_capacity
@@ -52,7 +52,7 @@
 
 
 def test_callers_that_return_after_an_outage_are_served():
-    result = run_return(LECTORA, 1, CAPACITY, 0.5)
+    result = run_thundering_herd(LECTORA, 1, CAPACITY, 0.5)
     figures = describe(result, CAPACITY)
     assert figures["goodput_of_best"] >= 0.7
     assert figures["retries_per_request"] <= 0.1
--- a/tests/e2e/test_roaming.py
+++ b/tests/e2e/test_roaming.py
@@ -81,10 +81,10 @@
 
 def test_the_gap_ends_with_a_write_that_began_after_the_fault():
     records = Records()
-    records.note_acknowledged(Effect("a", Outcome.ACKNOWLEDGED, 1.0, 3.0))
+    records.record_acknowledged(Effect("a", Outcome.ACKNOWLEDGED, 1.0, 3.0))
     assert records.wait_for_write(2.0, 0.0) is None
-    records.note_acknowledged(Effect("b", Outcome.ACKNOWLEDGED, 2.5, 4.0))
-    records.note_acknowledged(Effect("c", Outcome.ACKNOWLEDGED, 2.6, 5.0))
+    records.record_acknowledged(Effect("b", Outcome.ACKNOWLEDGED, 2.5, 4.0))
+    records.record_acknowledged(Effect("c", Outcome.ACKNOWLEDGED, 2.6, 5.0))
     assert records.wait_for_write(2.0, 0.0) == 4.0
 
 
