--- a/beryltrack_bench/overload/__init__.py
+++ b/beryltrack_bench/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Overload: real pools, budgets, admission and retries over small fakes."""
+"""Overload simulation: the product's pools, budgets, admission and retries on fakes."""
--- a/beryltrack_bench/overload/clock.py
+++ b/beryltrack_bench/overload/clock.py
@@ -1,7 +1,7 @@
-"""A `task.Clock` for tens of thousands of timers.
+"""A `task.Clock` that scales to tens of thousands of timers.
 
-The clock of Twisted sorts all its timers at each call; this one keeps them
-sorted as they come.
+Twisted's clock sorts all timers on each call; this one inserts each timer at its
+sorted position.
 """
 
 from bisect import insort
@@ -11,10 +11,10 @@
 
 
 class SortedClock(Clock):
-    """A clock whose timers are kept in order."""
+    """A clock that keeps its timers sorted by time."""
 
     def callLater(self, delay, function, *args, **kwargs) -> DelayedCall:  # noqa: N802
-        """Run a function after a delay in seconds."""
+        """Schedule a function to run after a delay in seconds."""
         call = DelayedCall(
             self.seconds() + delay,
             function,
@@ -28,7 +28,7 @@
         return call
 
     def run_until(self, end: float) -> None:
-        """Let the time pass until `end`, seconds, firing each timer at its time."""
+        """Advance the time to `end`, seconds, and fire each timer at its time."""
         while self.calls and self.calls[0].getTime() <= end:
             call = self.calls.pop(0)
             self.rightNow = max(self.rightNow, call.getTime())
--- a/beryltrack_bench/overload/load.py
+++ b/beryltrack_bench/overload/load.py
@@ -1,4 +1,4 @@
-"""Callers that offer requests at a rate, and what came of them."""
+"""An open-loop load generator with Poisson arrivals, and counts of the outcomes."""
 
 import random
 from collections.abc import Sequence
@@ -7,38 +7,45 @@
 
 from hdrh.histogram import HdrHistogram
 
-from beryltrack_bench.overload.proxy import Ended, Outcome
+from beryltrack_bench.overload.proxy import Outcome, RequestResult
 from beryltrack_bench.overload.site import CONTROL_CONNECTIONS, OverloadSite
-from beryltrack_bench.overload.workload import PATIENCE, Request, draw_statements
+from beryltrack_bench.overload.workload import REQUEST_TIMEOUT, Request, draw_statements
 
 SAMPLE_PERIOD = 0.01
+"""Seconds between two samples of the connections in use."""
+
 STORM_ATTEMPTS = 4
+"""Attempts that a caller in a retry storm makes for one request."""
+
 STORM_DELAY = 0.01
+"""Longest delay before an attempt of a retry storm, seconds."""
+
 MICROSECONDS = 1_000_000
+"""Microseconds in a second."""
 
 
 class Offer(NamedTuple):
-    """A stream of requests.
+    """The load that one team's callers offer.
 
     Parameters
     ----------
     team : str
-        Whose requests.
+        The team that sends the requests.
     rate : float
         Requests a second, over all proxies.
     retries_at_once : bool
-        True if callers try again at once after each refusal.
+        True if callers retry at once after each refusal.
     weights : tuple of float
         Relative share of each proxy; empty for equal shares.
     timeouts : tuple of float
-        Seconds that callers wait at the most, drawn for each request.
+        Request time-outs in seconds, one of which is drawn for each request.
     """
 
     team: str
     rate: float
     retries_at_once: bool = False
     weights: tuple[float, ...] = ()
-    timeouts: tuple[float, ...] = (PATIENCE,)
+    timeouts: tuple[float, ...] = (REQUEST_TIMEOUT,)
 
 
 def make_histogram() -> HdrHistogram:
@@ -52,7 +59,7 @@
 
 
 class Tally:
-    """Counts what became of the requests that arrived in a window of time.
+    """Counts the outcomes of the requests that arrived in a time window.
 
     Parameters
     ----------
@@ -72,18 +79,18 @@
         self.refusal_delay = make_histogram()
         self.done_at: list[float] = []
 
-    def observe(self, ended: Ended) -> None:
-        """Take in the end of a request."""
+    def observe(self, ended: RequestResult) -> None:
+        """Record the result of a request."""
         request = ended.request
-        took = max(1, round((ended.ended_at - request.arrived_at) * MICROSECONDS))
+        elapsed = max(1, round((ended.ended_at - request.arrived_at) * MICROSECONDS))
         if ended.outcome is Outcome.REFUSED:
             self.refused_numbers.append(request.number)
-            self.refusal_delay.record_value(took)
+            self.refusal_delay.record_value(elapsed)
         if not self.start <= request.arrived_at < self.end:
             return
         self.outcome_counts[ended.outcome] += 1
         if ended.outcome is Outcome.DONE:
-            self.latency.record_value(took)
+            self.latency.record_value(elapsed)
             is_late = ended.ended_at > request.deadline
             self.late += is_late
             self.in_time_counts[request.team] = self.in_time_counts.get(
@@ -92,7 +99,7 @@
             self.done_at.append(ended.ended_at)
 
     def get_goodput(self, team: str | None = None) -> float:
-        """Return the requests a second that were done in time."""
+        """Return the requests a second that were done before their deadlines."""
         done = (
             sum(self.in_time_counts.values())
             if team is None
@@ -102,18 +109,18 @@
 
 
 class Callers:
-    """Offers requests to a site until a time.
+    """Sends requests to a site until the end of the tally's window.
 
     Parameters
     ----------
     site : OverloadSite
-        Where to.
+        The site that receives the requests.
     offers : sequence of Offer
-        The streams.
+        The offered load, at most one entry for each team.
     tally : Tally
-        Where the ends are counted.
+        Counts the results.
     rng : random.Random
-        For arrivals.
+        Source of arrivals, time-outs, proxies and retry delays.
     """
 
     def __init__(
@@ -128,22 +135,22 @@
         self._offers = {offer.team: offer for offer in offers}
         self._tally = tally
         self._rng = rng
-        self._numbers = 0
+        self._request_count = 0
         self._stop_at = tally.end
 
     def start(self) -> None:
-        """Begin to offer."""
+        """Start sending requests."""
         for offer in self._offers.values():
             self._schedule(offer)
         self._sample_use()
 
-    def observe(self, ended: Ended) -> None:
-        """Take in an end; a storming caller tries again at once."""
+    def observe(self, ended: RequestResult) -> None:
+        """Record a result; in a retry storm, retry a refused request at once."""
         self._tally.observe(ended)
         request = ended.request
-        again = self._offers[request.team].retries_at_once
+        retries_at_once = self._offers[request.team].retries_at_once
         if (
-            again
+            retries_at_once
             and ended.outcome is Outcome.REFUSED
             and request.attempt < STORM_ATTEMPTS
         ):
@@ -164,12 +171,15 @@
 
     def _send(self, team: str, attempt: int) -> None:
         now = self._site.clock.seconds()
-        self._numbers += 1
+        self._request_count += 1
         statements = draw_statements(self._rng)
         timeouts = self._offers[team].timeouts
-        # One length draws no number, so that runs without a choice stay the same.
-        wait = self._rng.choice(timeouts) if len(timeouts) > 1 else timeouts[0]
-        request = Request(self._numbers, team, statements, now, now + wait, attempt)
+        # A single time-out draws no random number, so that runs without a choice
+        # keep their sequence of draws.
+        timeout = self._rng.choice(timeouts) if len(timeouts) > 1 else timeouts[0]
+        request = Request(
+            self._request_count, team, statements, now, now + timeout, attempt
+        )
         if self._tally.start <= now < self._tally.end:
             self._tally.offered += 1
         self._choose_proxy(self._offers[team]).handle(request)
@@ -182,7 +192,7 @@
         return self._rng.choices(proxies, cum_weights=ends)[0]
 
     def _sample_use(self) -> None:
-        """Note the share of connections in use, if callers wait."""
+        """Record the share of connections in use, if callers wait for one."""
         now = self._site.clock.seconds()
         loads = [pool.load for pool in self._site.pools]
         if now >= self._tally.start and any(load.waiting for load in loads):
--- a/beryltrack_bench/overload/proxy.py
+++ b/beryltrack_bench/overload/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy under load: admission, pools, budget and retries, all real."""
+"""One proxy under load, made of the product's admission, pools and retry budget."""
 
 import random
 from collections.abc import Callable
@@ -31,8 +31,8 @@
     LOST = 3
 
 
-class Ended(NamedTuple):
-    """The end of a request, as its caller sees it."""
+class RequestResult(NamedTuple):
+    """The result of a request, as its caller sees it; times in seconds."""
 
     request: Request
     outcome: Outcome
@@ -41,7 +41,7 @@
 
 
 class OverloadProxy:
-    """Takes requests and runs them over its pools.
+    """Admits requests and runs them over its pools.
 
     Parameters
     ----------
@@ -52,13 +52,13 @@
     gap : float
         Seconds between the statements of a transaction.
     rng : random.Random
-        For service times, choices and jitter.
+        Source of service times, choices of a pool, and jitter.
     max_requests : int
-        Most requests that it holds at once.
-    tell : callable
-        Called with the `Ended` of each request.
+        Maximum of requests admitted at once.
+    report : callable
+        Called with the `RequestResult` of each request.
     retries : RetryPolicy
-        When a refused request is tried again.
+        Decides when a refused request is retried.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         gap: float,
         rng: random.Random,
         max_requests: int,
-        tell: Callable[[Ended], None],
+        report: Callable[[RequestResult], None],
         retries: RetryPolicy,
     ):
         self.request_count = 0
@@ -77,15 +77,15 @@
         self._pools = pools
         self._gap = gap
         self._rng = rng
-        self._tell = tell
+        self._report = report
         policy = AdmissionPolicy(max_requests=max_requests)
         self._admission = AdmissionDecider(policy, UNWEIGHTED)
         self._retries = RetryBudget(retries, rng)
         self._acquiring: dict[int, Deferred] = {}
-        self._put_out: dict[int, float] = {}
+        self._evicted: dict[int, float] = {}
 
     def handle(self, request: Request) -> None:
-        """Take a request, or refuse it at once."""
+        """Admit a request, or refuse it at once."""
         self.request_count += 1
         self._retries.observe_request()
         now = self._clock.seconds()
@@ -98,18 +98,18 @@
             elif action.request == request.number:
                 self._end(request, Outcome.REFUSED, action.retry_after)
             else:
-                self._put_out[action.request] = action.retry_after
+                self._evicted[action.request] = action.retry_after
                 self._acquiring[action.request].cancel()
 
     async def _run(self, request: Request) -> None:
-        """Run an admitted request to its end."""
+        """Run an admitted request and report its result."""
         try:
             pool, connection = await self._acquire(request)
         except PoolRefused as error:
             self._end(request, Outcome.REFUSED, error.refusal.retry_after)
             return
         except CancelledError:
-            retry_after = self._put_out.pop(request.number)
+            retry_after = self._evicted.pop(request.number)
             self._end(request, Outcome.REFUSED, retry_after)
             return
         self._admission.start(request.number)
@@ -123,10 +123,10 @@
         self._end(request, Outcome.DONE)
 
     async def _acquire(self, request: Request) -> tuple[PoolTask, PooledConnection]:
-        """Get a connection; a refusal is retried within the budget.
+        """Acquire a connection; a refusal is retried within the retry budget.
 
-        A refusal for overload is the answer at once: all pools of the group
-        were weighed when the shortest wait was chosen.
+        A refusal for overload is final: the pool was chosen for the shortest
+        expected wait of the group, so another pool would refuse too.
         """
         number = 1
         while True:
@@ -148,18 +148,18 @@
             await self._wait(request, deferLater(self._clock, delay, int))
 
     def _wait(self, request: Request, waiting: Deferred) -> Deferred:
-        """Return a Deferred that is cancelled if the request is put out."""
+        """Return the Deferred, which is cancelled if the request is evicted."""
         self._acquiring[request.number] = waiting
         return waiting
 
     def _choose_pool(self, team: str) -> PoolTask:
-        """Return the pool with the shortest wait; equals take turns by chance."""
+        """Return the pool with the shortest wait; ties are broken at random."""
         pools = self._pools[team]
         loads = [pool.load for pool in pools]
         waits = [(load.expected_wait, load.in_use + load.waiting) for load in loads]
-        least = min(waits)
+        shortest = min(waits)
         return self._rng.choice(
-            [pool for pool, wait in zip(pools, waits, strict=True) if wait == least]
+            [pool for pool, wait in zip(pools, waits, strict=True) if wait == shortest]
         )
 
     async def _run_statements(
@@ -177,4 +177,4 @@
         now = self._clock.seconds()
         self._acquiring.pop(request.number, None)
         self._admission.finish(request.number, now)
-        self._tell(Ended(request, outcome, now, retry_after))
+        self._report(RequestResult(request, outcome, now, retry_after))
--- a/beryltrack_bench/overload/site.py
+++ b/beryltrack_bench/overload/site.py
@@ -1,4 +1,4 @@
-"""A site of proxies that share the databases of one or more teams' groups."""
+"""A simulated site whose proxies share the databases of one or more teams' groups."""
 
 import random
 from collections.abc import Callable
@@ -22,30 +22,37 @@
 from beryltrack.settings.messages import DatabaseSettings, Endpoint
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.overload.clock import SortedClock
-from beryltrack_bench.overload.proxy import Ended, OverloadProxy
+from beryltrack_bench.overload.proxy import OverloadProxy, RequestResult
 from beryltrack_bench.overload.target import SlotDatabase
 
 SEATS = 8
+"""Seats of the budget plan."""
+
 STORE_DELAY = 0.005
+"""Seconds that a call to the store takes."""
+
 CONTROL_CONNECTIONS = 1
+"""Control connections of a proxy at each database."""
+
 SETTLING_TIME = 8.0
+"""Seconds in which the proxies take their seats before the load starts."""
 
 
 class SiteOptions(NamedTuple):
-    """What a scenario varies.
+    """The parameters that a scenario varies.
 
     Parameters
     ----------
     teams : tuple of str
         Teams, each with a group of its own.
     max_requests : int
-        Most requests that a proxy holds.
+        Maximum of requests admitted at once by a proxy.
     pool : PoolPolicy
-        Of all pools.
+        Policy of all pools.
     budget : BudgetPolicy
-        Of all budgets.
+        Policy of all budgets.
     retries : RetryPolicy
-        Of all proxies.
+        Retry policy of all proxies.
     """
 
     teams: tuple[str, ...] = ("a",)
@@ -56,7 +63,7 @@
 
 
 class _Store:
-    """Keeps the seats, with conditional writes."""
+    """Stores the seats, with conditional writes (compare and set)."""
 
     def __init__(self, clock: SortedClock):
         self._clock = clock
@@ -82,7 +89,7 @@
 
 
 class _Peers:
-    """One proxy's link to the others."""
+    """One proxy's connection to its peers."""
 
     def __init__(self, site: "OverloadSite", name: str):
         self._site = site
@@ -104,18 +111,18 @@
 
 
 class OverloadSite:
-    """All proxies and databases of a run, with their seats settled.
+    """All proxies and databases of a run; seats are assigned when it is made.
 
     Parameters
     ----------
     deployment : Deployment
-        The sizes.
+        Sizes and delays.
     options : SiteOptions
-        What the scenario varies.
+        The parameters that the scenario varies.
     seed : int
-        Of all random numbers.
-    tell : callable
-        Called with the `Ended` of each request.
+        Seed of all random numbers.
+    report : callable
+        Called with the `RequestResult` of each request.
     """
 
     def __init__(
@@ -123,7 +130,7 @@
         deployment: Deployment,
         options: SiteOptions,
         seed: int,
-        tell: Callable[[Ended], None],
+        report: Callable[[RequestResult], None],
     ):
         self.clock = SortedClock()
         self.delay = deployment.zone_delay
@@ -137,7 +144,7 @@
         }
         store = _Store(self.clock)
         self.proxies = [
-            self._make_proxy(f"p{index}", deployment, options, store, seed, tell)
+            self._make_proxy(f"p{index}", deployment, options, store, seed, report)
             for index in range(deployment.proxies)
         ]
         for budget in self.budgets.values():
@@ -167,7 +174,7 @@
         options: SiteOptions,
         store: _Store,
         seed: int,
-        tell: Callable[[Ended], None],
+        report: Callable[[RequestResult], None],
     ) -> OverloadProxy:
         rng = random.Random(f"{seed}/{name}")
         plan = BudgetPlan(SEATS, SEATS)
@@ -184,7 +191,7 @@
         }
         gap = 2 * deployment.client_delay
         return OverloadProxy(
-            self.clock, pools, gap, rng, options.max_requests, tell, options.retries
+            self.clock, pools, gap, rng, options.max_requests, report, options.retries
         )
 
     def _make_pool(
--- a/beryltrack_bench/overload/target.py
+++ b/beryltrack_bench/overload/target.py
@@ -1,4 +1,4 @@
-"""A database that runs a few statements at once and counts its connections."""
+"""A simulated database with a fixed number of execution slots and connections."""
 
 from collections import deque
 from typing import NamedTuple
@@ -21,18 +21,18 @@
 
 
 class SlotDatabase:
-    """A database with a hard limit of connections.
+    """A database with a hard limit on connections.
 
     Parameters
     ----------
     clock : IReactorTime
         The clock.
     slots : int
-        Statements that it runs at once; others wait inside the database.
+        Statements that it runs at once; others queue inside the database.
     max_connections : int
-        It refuses further ones with 53300.
+        Maximum of connections; further ones are refused with SQLSTATE 53300.
     setup : float
-        Seconds that opening a connection takes.
+        Time to open a connection, seconds.
     delay : float
         One-way delay to a proxy, seconds.
     """
@@ -64,7 +64,7 @@
 
     @property
     def open_count(self) -> int:
-        """Connections that it counts now, control connections included."""
+        """Number of open connections, control connections included."""
         return len(self._connections) + self.control_count
 
     def connect(self) -> Deferred:
@@ -80,32 +80,32 @@
         self._queue.append(job)
         self._start_next()
 
-    def forget(self, connection: "SlotConnection") -> None:
-        """Count a connection no more."""
+    def remove_connection(self, connection: "SlotConnection") -> None:
+        """Remove a closed connection from the count."""
         self._connections.discard(connection)
 
     def stop(self) -> None:
-        """Break all connections and take no more, until `start`."""
+        """Break all connections and accept no more until `start`."""
         self.is_up = False
         self._queue.clear()
         self._running.clear()
         for connection in list(self._connections):
-            connection.lose()
+            connection.abort()
 
     def start(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self.is_up = True
 
     def set_slowness(self, factor: float) -> None:
-        """Take so many times as long for each statement that starts from now on."""
+        """Multiply the service time of each statement that starts from now on."""
         self._slowness = factor
 
     def hang(self) -> None:
-        """Answer nothing, until `recover`; connections stay open."""
+        """Answer nothing until `recover`; connections stay open."""
         self._is_hanging = True
 
     def recover(self) -> None:
-        """Be as fast as usual, and answer what was held up."""
+        """Return to normal speed, and send the answers that were held back."""
         self._slowness, self._is_hanging = 1.0, False
         held, self._held = self._held, []
         for job in held:
@@ -149,12 +149,12 @@
 
 
 class SlotConnection:
-    """A connection to a `SlotDatabase`, as pools know it.
+    """A connection to a `SlotDatabase`, with the interface that pools expect.
 
     Parameters
     ----------
     database : SlotDatabase
-        Where it leads to.
+        The database that it connects to.
     """
 
     via = ""
@@ -176,24 +176,24 @@
         return answer
 
     def answer(self, answer: Deferred) -> None:
-        """Hand over the answer of a statement, unless the connection was lost."""
+        """Deliver the answer of a statement, unless the connection was lost."""
         if answer is self._pending:
             self._pending = None
             answer.callback(None)
 
     def close(self) -> None:
-        """Close it; the database counts it until it hears of that."""
+        """Close it; the database counts it until the close message arrives."""
         if not self.broken:
             self.broken = True
             self._database.clock.callLater(self._database.delay, self._end)
 
-    def lose(self) -> None:
-        """Take that the database broke it."""
+    def abort(self) -> None:
+        """Break the connection at once, from the database's side."""
         self.broken = True
         self._end()
 
     def _end(self) -> None:
-        self._database.forget(self)
+        self._database.remove_connection(self)
         pending, self._pending = self._pending, None
         if not self.closed.called:
             self.closed.callback(None)
--- a/beryltrack_bench/overload/workload.py
+++ b/beryltrack_bench/overload/workload.py
@@ -1,4 +1,4 @@
-"""The requests that callers offer, and what the connections can carry."""
+"""The requests that callers send, and the capacity of a group's connections."""
 
 import random
 from typing import NamedTuple
@@ -6,9 +6,16 @@
 from beryltrack_bench.deployment import Deployment
 
 TRANSACTION_SHARE = 0.5
+"""Share of the requests that are transactions; the others are single statements."""
+
 TRANSACTION_STATEMENTS = 5
+"""Statements of a transaction."""
+
 SERVICE_TIME = 0.001
-PATIENCE = 1.0
+"""Mean service time of a statement at the database, seconds."""
+
+REQUEST_TIMEOUT = 1.0
+"""Default time from the arrival of a request to its deadline, seconds."""
 
 
 class Request(NamedTuple):
@@ -19,13 +26,13 @@
     number : int
         Unique in a run.
     team : str
-        The team whose group it is for.
+        The team whose group runs it.
     statements : int
         Statements of its transaction.
     arrived_at, deadline : float
-        Seconds.
+        Times, seconds.
     attempt : int
-        1, or more if the caller tries again after a refusal.
+        Number of the attempt, 1 for the first; more after refusals.
     """
 
     number: int
@@ -45,8 +52,8 @@
 def compute_hold_time(deployment: Deployment) -> float:
     """Return the mean time for which a request holds a connection, seconds.
 
-    Between the statements of a transaction the caller thinks for one round
-    trip, during which the connection is held and the database idle.
+    Between two statements of a transaction one round trip to the caller passes,
+    during which the connection is held and the database is idle.
     """
     statement = SERVICE_TIME + 2 * deployment.zone_delay
     gap = 2 * deployment.client_delay
@@ -56,15 +63,15 @@
 
 
 def compute_capacity(deployment: Deployment) -> float:
-    """Return the requests a second that one group's connections carry.
+    """Return the capacity of one group's connections in requests a second.
 
-    Each proxy has one control connection at each database; the others carry
-    requests. The slots of a database would carry more: three statements of
+    Each proxy has one control connection to each database; the others run
+    requests. The slots of a database allow more: three statements of
     1 ms at once are 3,000 statements a second.
     """
-    carrying = deployment.max_connections - deployment.proxies
+    usable = deployment.max_connections - deployment.proxies
     databases = deployment.databases_per_group
-    by_connections = carrying / compute_hold_time(deployment)
+    by_connections = usable / compute_hold_time(deployment)
     statements = 1 + TRANSACTION_SHARE * (TRANSACTION_STATEMENTS - 1)
     by_slots = deployment.slots / (statements * SERVICE_TIME)
     return databases * min(by_connections, by_slots)
--- a/beryltrack_bench/quota/lender.py
+++ b/beryltrack_bench/quota/lender.py
@@ -1,7 +1,7 @@
-"""Instances that lend their rights over links, without sockets.
+"""Instances that lend their quota shares over simulated links, without sockets.
 
-The deciders are those of the product (`beryltrack.accounts`); a message takes as long
-as whoever carries it says, and reaches the process that it was sent to or nobody.
+The deciders are those of the product (`beryltrack.accounts`). The carrier decides how
+long a message takes; a message reaches the process that it was sent to or is dropped.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -20,7 +20,7 @@
 
 
 class Carrier(Protocol):
-    """Carries messages between processes, and has the time."""
+    """Carries messages between processes, and provides the time."""
 
     now: float
     instances: "Mapping[str, Lender]"
@@ -28,11 +28,11 @@
     def send(
         self, source: str, target: "Lender", deliver: Callable[[], object]
     ) -> None:
-        """Put a message on its way; it is carried out when it arrives."""
+        """Send a message; `deliver` is called when it arrives."""
 
 
 class Link:
-    """A link of one lender to one owner; it ends with either process."""
+    """A link from one lender to one owner; it closes when either process ends."""
 
     def __init__(self, lender: "Lender", owner: "Lender"):
         self.lender, self.owner = lender, owner
@@ -42,27 +42,27 @@
 
     @property
     def is_closed(self) -> bool:
-        """True if its lender uses another link, or none."""
+        """True if its lender uses another link to this owner, or none."""
         return self.lender.links.get(self.owner.name) is not self
 
 
 class Lender:
-    """One process: it lends, and counts what it has.
+    """One process, which lends its quota shares and counts operations as an owner.
 
     Parameters
     ----------
     carrier : Carrier
         Carries its messages.
     name : str
-        Its name.
+        Name of the instance.
     members : iterable of str
         Names of all instances.
     accounts : mapping of str to AccountSettings
         The accounts.
     tolerance : Tolerance
-        How far their limits may be exceeded.
+        How far the accounts' limits may be exceeded.
     offset : float
-        What its clock is ahead of the carrier's, seconds.
+        Seconds by which its clock is ahead of the carrier's.
     is_new : bool
         True if no process of this name has run before.
     """
@@ -92,15 +92,15 @@
         return self._carrier.now + self._offset
 
     def choose_owner(self, slot: int) -> str | None:
-        """Return to whom the operations of a slot's accounts are sent."""
+        """Return the owner to which operations of a slot's accounts are sent."""
         raise NotImplementedError
 
     def get_loan_end(self, link: Link) -> float:
-        """Return when a loan ends that an open link has brought now."""
+        """Return the end of a loan that has just arrived on an open link."""
         return link.answered_at + LOAN_TIME
 
     def tick(self) -> None:
-        """Tell each owner what it has, if that is due."""
+        """Renew the loan to each owner, if that is due."""
         now = self._carrier.now
         for name, link in tuple(self.links.items()):
             if link.sent_at is not None and now - link.sent_at > ANSWER_TIMEOUT:
@@ -118,7 +118,7 @@
                 self._send_offer(name, offer)
 
     def _send_offer(self, name: str, offer: Offer) -> None:
-        """Send an offer unless the last one is not answered."""
+        """Send an offer, unless an earlier one is still unanswered."""
         owner = self._carrier.instances[name]
         link = self.links.get(name)
         if link is None or link.owner is not owner:
@@ -133,7 +133,7 @@
         self._carrier.send(self.name, owner, lambda: owner.receive_offer(link, offer))
 
     def receive_offer(self, link: Link, offer: Offer) -> None:
-        """Take an offer as an owner, and answer it."""
+        """Handle an offer as an owner, and answer it."""
         if link.answered_at is not None:
             loan = Loan(offer.slots, offer.share, self.get_loan_end(link))
             self.quota.shares.set_loan(link.lender.name, loan, self.now)
@@ -143,7 +143,7 @@
         )
 
     def receive_answer(self, link: Link, offer: Offer) -> None:
-        """Take the answer to an offer."""
+        """Handle the answer to an offer."""
         if link.is_closed:
             return
         link.sent_at = None
--- a/beryltrack_bench/quota/site.py
+++ b/beryltrack_bench/quota/site.py
@@ -1,8 +1,8 @@
-"""A fleet whose callers ask for operations of accounts, with faults and their figures.
+"""A simulated fleet under per-account load, with faults, and the recorded figures.
 
-An account's callers have a few sessions, each at an instance. The way says which
-process counts an operation. A partition splits the fleet, and an owner is lost without
-a sign.
+An account's callers have a few sessions, each at one instance. The strategy decides
+which process counts an operation. A partition splits the fleet for a while, and later
+an owner crashes without closing its connections.
 """
 
 import heapq
@@ -26,16 +26,16 @@
 from beryltrack_bench.quota.lender import Lender
 
 STEP = 0.02
-"""Seconds between two looks at the time."""
+"""Simulated seconds of a step."""
 
 LATENCY = 0.003
-"""Seconds that a message takes."""
+"""One-way delay of a message, seconds."""
 
 DETECTION_TIME = 0.3
-"""Seconds until an instance that is out of reach is passed over."""
+"""Seconds until others detect that an instance is unreachable and skip it."""
 
 WINDOW, TOLERANCE = 5.0, Tolerance(0.1, 20.0, 5.0)
-"""The window in which limits hold, and how far they may be exceeded."""
+"""The window in which limits hold, seconds, and how far they may be exceeded."""
 
 ZONES = 4
 ACCOUNTS = 60
@@ -43,29 +43,32 @@
 """Sessions of an account, each at one instance."""
 
 USUAL_LOAD, HOT_LOAD = 0.6, 7.5
-"""What accounts ask for, by their limit; the first one asks for far more."""
+"""Offered load of an account as a factor of its limit; the first account is hot."""
 
 HOT_RATE = 40.0
-"""Operations a second that the first account may run."""
+"""Limit of the first account, operations a second."""
 
 MIN_CONNECTIONS = 128
-"""Connections of the smallest database: as many owners as there are zones allow."""
+"""Connections of the smallest database; enough for one owner in each zone."""
 
 CALM_UNTIL, SPLIT_UNTIL, LOST_FROM, END = 10.0, 16.0, 20.0, 26.0
-FIRST_JUDGED = 2.0
+"""Seconds at which the partition begins and ends, the owner is lost, the run ends."""
+
+EVALUATED_FROM = 2.0
+"""Seconds after which refusals are counted."""
 
 
 class Phase(NamedTuple):
-    """What callers asked for in a part of a run, while within their limits.
+    """Operations within the accounts' limits during one phase of a run.
 
     Parameters
     ----------
     name : str
         Calm, split or lost.
     asked : int
-        Operations of accounts that asked for no more than their limit.
+        Operations requested by accounts that were within their limit.
     refused : int
-        How many of these were refused.
+        Number of these that were refused.
     """
 
     name: str
@@ -74,19 +77,19 @@
 
 
 class Figures(NamedTuple):
-    """What a run showed.
+    """The figures of a run.
 
     Parameters
     ----------
     phases : tuple of Phase
-        By the part of the run.
+        One entry for each phase, in order.
     excess : float
-        Most operations of an account in a window, by what it may run in one, with
-        what is tolerated. Above one the limit is broken.
+        Maximum over accounts and windows of the operations run, divided by the
+        number allowed including the tolerance. Above one the limit is broken.
     messages_per_second : float
-        Messages between instances, of the whole fleet, while it is calm.
+        Messages between all instances in the calm phase.
     owner_messages_per_second : float
-        Those that the busiest instance sends and takes.
+        Messages that the busiest instance sends and receives.
     """
 
     phases: tuple[Phase, ...]
@@ -103,28 +106,28 @@
         super().__init__(site, name, site.names, site.accounts, TOLERANCE)
 
     def choose_owner(self, slot: int) -> str | None:
-        """Return the first owner of a slot that this instance reaches."""
+        """Return the first owner of a slot that this instance considers reachable."""
         return self._site.choose_owner(self.name, slot)
 
 
 class QuotaSite:
-    """Instances, accounts and what is on its way.
+    """The instances, the accounts and the messages in flight.
 
     Parameters
     ----------
     count : int
-        Instances.
+        Number of instances.
     seed : int
-        Decides the accounts and what they ask for.
-    choice : SlotOwnerPolicy
-        Which owner runs a slot's accounts.
+        Seed of the accounts and of their operations.
+    owner_policy : SlotOwnerPolicy
+        Chooses the owners of an account hash slot.
     """
 
     def __init__(
         self,
         count: int,
         seed: int,
-        choice: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 - it keeps nothing
+        owner_policy: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 (stateless)
     ):
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -137,57 +140,61 @@
         self.owners = choose_account_owners(peers, MIN_CONNECTIONS)
         self.accounts = dict(map(self._make_account, range(ACCOUNTS)))
         self.zones = {peer.name: peer.zone for peer in peers}
-        self._orders = {
-            zone: make_all_preference_lists(self.owners, choice, zone)
+        self._preference_lists = {
+            zone: make_all_preference_lists(self.owners, owner_policy, zone)
             for zone in set(self.zones.values())
         }
         self._sessions = {
             name: self.rng.choices(self.names, k=SESSIONS) for name in self.accounts
         }
-        # Callers of the first account come in on both sides of a split.
+        # The first account has sessions on both sides of the partition.
         self._sessions["account-0"] = self.names[:SESSIONS]
         self.messages: Counter[str] = Counter()
-        self._mail: list[tuple[float, int, Lender, Callable[[], object]]] = []
+        self._in_flight: list[tuple[float, int, Lender, Callable[[], object]]] = []
         self._numbers = itertools.count()
         self.lost: frozenset[str] = frozenset()
         self.instances = {name: Member(self, name) for name in self.names}
 
     def _make_account(self, number: int) -> tuple[str, AccountSettings]:
-        """Return an account; few are large, the first one is."""
+        """Return an account; few have a large limit, among them the first."""
         drawn = min(200.0, 2.0 * math.exp(self.rng.gauss(1.0, 1.0)))
         rate = drawn if number else HOT_RATE
         name = f"account-{number}"
         return name, AccountSettings(name, frozenset(), rate, rate * 0.5)
 
     def send(self, source: str, target: Lender, deliver: Callable[[], object]) -> None:
-        """Put a message on its way."""
+        """Send a message; it is dropped if the target is unreachable."""
         self.messages[source] += 1
         self.messages[target.name] += 1
         if self.reaches(source, target.name):
             number = next(self._numbers)
-            heapq.heappush(self._mail, (self.now + LATENCY, number, target, deliver))
+            heapq.heappush(
+                self._in_flight, (self.now + LATENCY, number, target, deliver)
+            )
 
-    def reaches(self, source: str, target: str, notice: float = 0.0) -> bool:
-        """Return whether an instance reaches another; `notice` seconds ago."""
-        at = self.now - notice
+    def reaches(self, source: str, target: str, age: float = 0.0) -> bool:
+        """Return whether an instance could reach another `age` seconds ago."""
+        at = self.now - age
         is_split = CALM_UNTIL <= at < SPLIT_UNTIL
         if is_split and self.sides[source] != self.sides[target]:
             return False
         return not (target in self.lost and at >= LOST_FROM)
 
     def choose_owner(self, name: str, slot: int) -> str:
-        """Return the first owner of a slot that an instance takes to be in reach."""
-        return self._choose_of(name, self._orders[self.zones[name]][slot][0])
+        """Return the first owner of a slot that an instance considers reachable."""
+        return self._choose_reachable(
+            name, self._preference_lists[self.zones[name]][slot][0]
+        )
 
     def list_counting_owners(self, name: str, slot: int) -> tuple[str, ...]:
-        """Return who counts a slot's accounts, the one that an instance asks first."""
-        first, *lines = self._orders[self.zones[name]][slot]
-        others = (self._choose_of(name, line) for line in lines)
+        """Return the owners that count a slot's accounts, the preferred one first."""
+        first, *lists = self._preference_lists[self.zones[name]][slot]
+        others = (self._choose_reachable(name, each) for each in lists)
         reached = (each for each in others if self.reaches(name, each, DETECTION_TIME))
-        return tuple(dict.fromkeys((self._choose_of(name, first), *reached)))
+        return tuple(dict.fromkeys((self._choose_reachable(name, first), *reached)))
 
-    def _choose_of(self, name: str, ordered: PreferenceList) -> str:
-        """Return the first of some owners that an instance takes to be in reach."""
+    def _choose_reachable(self, name: str, ordered: PreferenceList) -> str:
+        """Return the first owner of a list that an instance considers reachable."""
         fit = (
             peer.name
             for peer in ordered
@@ -196,29 +203,29 @@
         return next(fit, ordered[0].name)
 
     def advance(self) -> None:
-        """Let some time pass."""
+        """Advance the time by a step and deliver the messages that are due."""
         self.now += STEP
         if self.now >= LOST_FROM and not self.lost:
             self.lost = frozenset({self.owners[0].name})
-        while self._mail and self._mail[0][0] <= self.now:
-            _, _, target, deliver = heapq.heappop(self._mail)
+        while self._in_flight and self._in_flight[0][0] <= self.now:
+            _, _, target, deliver = heapq.heappop(self._in_flight)
             if target.name not in self.lost:
                 deliver()
 
     def draw_operations(self) -> list[tuple[str, str]]:
-        """Return who asks now: accounts, and the instances that they ask."""
-        asked = []
+        """Return the operations of this step, as pairs of account and instance."""
+        operations = []
         for number, account in enumerate(self.accounts.values()):
             load = USUAL_LOAD if number else HOT_LOAD
             for _ in range(draw_poisson(self.rng, account.rate * load * STEP)):
                 instance = self.rng.choice(self._sessions[account.name])
                 if instance not in self.lost:
-                    asked.append((account.name, instance))
-        return asked
+                    operations.append((account.name, instance))
+        return operations
 
 
 def draw_poisson(rng: random.Random, mean: float) -> int:
-    """Return a number with the Poisson distribution of a small mean."""
+    """Return a Poisson random number by Knuth's algorithm, for a small mean."""
     limit, product, number = math.exp(-mean), rng.random(), 0
     while product > limit:
         product *= rng.random()
@@ -227,7 +234,7 @@
 
 
 class Recorder:
-    """Counts what was asked, refused and run, by account and window."""
+    """Counts operations requested, refused and run, by account in sliding windows."""
 
     def __init__(self, accounts: dict[str, AccountSettings]):
         self._accounts = accounts
@@ -236,21 +243,21 @@
         self._phases: Counter[tuple[str, bool]] = Counter()
         self.excess = 0.0
 
-    def note(self, name: str, now: float, is_run: bool) -> None:
-        """Take in one operation."""
+    def record(self, name: str, now: float, is_run: bool) -> None:
+        """Record one operation, which was run or refused."""
         account, asked = self._accounts[name], self._asked[name]
         _add(asked, now)
         if is_run:
             _add(self._run[name], now)
             allowed = account.rate * WINDOW + account.burst
-            most = allowed * (1 + TOLERANCE.overage) + TOLERANCE.slack
-            self.excess = max(self.excess, len(self._run[name]) / most)
+            max_allowed = allowed * (1 + TOLERANCE.overage) + TOLERANCE.slack
+            self.excess = max(self.excess, len(self._run[name]) / max_allowed)
         is_within = len(asked) <= account.rate * WINDOW + account.burst
-        if now >= FIRST_JUDGED and is_within:
+        if now >= EVALUATED_FROM and is_within:
             self._phases[get_phase(now), is_run] += 1
 
     def get_phases(self) -> tuple[Phase, ...]:
-        """Return the figures of each part of the run."""
+        """Return the figures of each phase of the run."""
         return tuple(
             Phase(
                 name,
@@ -262,14 +269,14 @@
 
 
 def get_phase(now: float) -> str:
-    """Return the name of a part of a run; what follows the split counts to it."""
+    """Return the phase at a time; the recovery after the split counts as split."""
     if now < CALM_UNTIL:
         return "calm"
     return "split" if now < LOST_FROM else "lost"
 
 
 def _add(times: deque, now: float) -> None:
-    """Add a time, and drop what is older than a window."""
+    """Add a time, and drop those older than a window."""
     times.append(now)
     while times[0] <= now - WINDOW:
         times.popleft()
--- a/beryltrack_bench/quota/strategies.py
+++ b/beryltrack_bench/quota/strategies.py
@@ -1,7 +1,7 @@
-"""Ways to hold the limits of accounts over a fleet with nobody in charge.
+"""Strategies for distributed rate limiting of accounts without a coordinator.
 
-Each says whether an operation that reaches an instance may run. All use the product's
-bucket; they differ in who has which part of a limit.
+A strategy decides whether an operation that reaches an instance may run. All use the
+product's token bucket; they differ in how a limit is divided among instances.
 """
 
 import math
@@ -14,31 +14,31 @@
 from beryltrack_bench.quota.site import CALM_UNTIL, END, Figures, QuotaSite, Recorder
 
 RESERVE = 0.1
-"""Part of each limit that instances have for what does not reach its owner, where one
-owner counts the rest."""
+"""Share of each limit that the instances keep for operations that cannot reach the
+owner, where a single owner counts the rest."""
 
-JUDGED_FROM = 5.0
+MESSAGES_COUNTED_FROM = 5.0
 """Seconds after which messages are counted: all links are open then."""
 
 
 class QuotaStrategy(Protocol):
-    """Who counts an operation, and by which part of the limit."""
+    """Decides which instance counts an operation, against which share of the limit."""
 
     def advance(self, site: QuotaSite) -> None:
-        """Do what is due."""
+        """Run the periodic work that is due."""
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
         """Return whether an operation may run."""
 
 
 class EvenShares:
-    """Each instance has an even part of each limit for good; no messages."""
+    """Each instance has a fixed even share of each limit; no messages are needed."""
 
     def __init__(self):
         self._is_shared = False
 
     def advance(self, site: QuotaSite) -> None:
-        """Give each instance its part, once."""
+        """Give each instance its share, once."""
         if not self._is_shared:
             self._is_shared = True
             for name, member in site.instances.items():
@@ -46,21 +46,21 @@
                 member.quota.shares.set_loan(name, loan, site.now)
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
-        """Count it where it comes in."""
+        """Count the operation at the receiving instance."""
         return not site.instances[instance].quota.spend(account, site.now)
 
 
 class LentShares:
-    """Even parts that are lent to the owner of the account: the product's way."""
+    """Even shares that are lent to the account's owner, as the product does."""
 
     def advance(self, site: QuotaSite) -> None:
-        """Let each instance renew its loans."""
+        """Renew the loans of each instance."""
         for name, member in site.instances.items():
             if name not in site.lost:
                 member.tick()
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
-        """Count it at the owner; one that is not reached runs nothing."""
+        """Count the operation at the owner; without a reachable owner it is refused."""
         owner = site.choose_owner(instance, get_slot(account))
         if not site.reaches(instance, owner):
             return False
@@ -68,14 +68,17 @@
 
 
 class SingleOwner:
-    """Whoever is taken for the owner counts alone, but for a small fixed part."""
+    """A single owner counts all operations, except for a small fixed reserve.
+
+    Each instance acts on its own view of who the owner is.
+    """
 
     def __init__(self):
         self._owned: dict[str, int] = {}
 
     def advance(self, site: QuotaSite) -> None:
-        """Let each instance have what it believes to own."""
-        part = RESERVE / len(site.names)
+        """Give each instance the slots that it considers its own."""
+        reserve = RESERVE / len(site.names)
         for name, member in site.instances.items():
             slots = (s for s in range(SLOT_COUNT) if site.choose_owner(name, s) == name)
             owned = make_slot_set(slots)
@@ -83,35 +86,35 @@
                 self._owned[name] = owned
                 shares = member.quota.shares
                 shares.set_loan("own", Loan(owned, 1 - RESERVE, math.inf), site.now)
-                shares.set_loan(name, Loan(ALL_SLOTS, part, math.inf), site.now)
+                shares.set_loan(name, Loan(ALL_SLOTS, reserve, math.inf), site.now)
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
-        """Count it at the owner, or by the fixed part if that is not reached."""
+        """Count the operation at the owner, or by the reserve if it is unreachable."""
         owner = site.choose_owner(instance, get_slot(account))
         place = owner if site.reaches(instance, owner) else instance
         return not site.instances[place].quota.spend(account, site.now)
 
 
 class ForwardedRequests(LentShares):
-    """What an owner of the zone refuses goes to the owners of other zones."""
+    """Operations that the zone's owner refuses are forwarded to other zones' owners."""
 
     def __init__(self):
-        self._notes: dict[str, QuotaRefusals] = {}
+        self._refusals: dict[str, QuotaRefusals] = {}
         self.tries: Counter[int] = Counter()
 
     def spend(self, site: QuotaSite, account: str, instance: str) -> bool:
-        """Count it at an owner that has a right left, by what the instance knows."""
-        notes = self._notes.setdefault(instance, QuotaRefusals(lambda: site.now))
+        """Count the operation at an owner that has not refused the account recently."""
+        refusals = self._refusals.setdefault(instance, QuotaRefusals(lambda: site.now))
         names = site.list_counting_owners(instance, get_slot(account))
         for tries in range(1, len(names) + 1):
-            owner = notes.choose(account, names)
+            owner = refusals.choose(account, names)
             if not site.reaches(instance, owner):
                 return False
             if not site.instances[owner].quota.spend(account, site.now):
                 self.tries[tries] += 1
                 return True
-            notes.record(account, owner)
-            if not notes.has_available(account, names):
+            refusals.record(account, owner)
+            if not refusals.has_available(account, names):
                 return False
         return False
 
@@ -125,38 +128,39 @@
 }
 
 SLOT_OWNER_POLICIES = {"zone_lent": ZoneOwners(), "zone_passed_on": ZoneOwners()}
-"""Who owns a slot, where that is not one instance of the whole fleet."""
+"""Slot owner policies of the strategies with an owner in each zone."""
 
 
 def run_strategy(name: str, count: int, seed: int) -> Figures:
-    """Play one way and return what it showed.
+    """Simulate one strategy and return its figures.
 
     Parameters
     ----------
     name : str
         One of `STRATEGIES`.
     count : int
-        Instances.
+        Number of instances.
     seed : int
-        Decides the accounts and what they ask for, the same for all ways.
+        Seed of the accounts and of their operations, which are the same for all
+        strategies.
     """
     site = QuotaSite(count, seed, SLOT_OWNER_POLICIES.get(name, FleetOwners()))
-    way = STRATEGIES[name]()
+    strategy = STRATEGIES[name]()
     recorder = Recorder(site.accounts)
     messages: list[Counter[str]] = []
-    for until in (JUDGED_FROM, CALM_UNTIL, END):
+    for until in (MESSAGES_COUNTED_FROM, CALM_UNTIL, END):
         while site.now < until:
             site.advance()
-            way.advance(site)
+            strategy.advance(site)
             for account, instance in site.draw_operations():
-                is_run = way.spend(site, account, instance)
-                recorder.note(account, site.now, is_run)
+                is_run = strategy.spend(site, account, instance)
+                recorder.record(account, site.now, is_run)
         messages.append(Counter(site.messages))
-    calm, seconds = messages[1] - messages[0], CALM_UNTIL - JUDGED_FROM
+    calm, seconds = messages[1] - messages[0], CALM_UNTIL - MESSAGES_COUNTED_FROM
     return Figures(
         recorder.get_phases(),
         recorder.excess,
-        # Each message is counted at both of its ends.
+        # Each message is counted at its sender and at its receiver.
         calm.total() / 2 / seconds,
         max(calm.values(), default=0) / seconds,
     )
--- a/tests/bench/test_quota.py
+++ b/tests/bench/test_quota.py
@@ -22,7 +22,7 @@
 def test_an_account_beyond_its_limit_is_not_counted_as_refused_within_it():
     recorder = Recorder({"a": ACCOUNT})
     for _ in range(20):
-        recorder.note("a", 3.0, False)
+        recorder.record("a", 3.0, False)
     calm, *others = recorder.get_phases()
     # Its limit allows 15 operations in five seconds.
     assert (calm.asked, calm.refused) == (15, 15)
@@ -33,8 +33,8 @@
     recorder = Recorder({"a": ACCOUNT})
     most = (2.0 * WINDOW + 5.0) * (1 + TOLERANCE.overage) + TOLERANCE.slack
     for number in range(10):
-        recorder.note("a", number * 0.1, True)
-    recorder.note("a", 10.0, True)
+        recorder.record("a", number * 0.1, True)
+    recorder.record("a", 10.0, True)
     assert recorder.excess == 10 / most
 
 
