--- a/beryltrack_bench/replay/__init__.py
+++ b/beryltrack_bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Load patterns against the deciders of `beryltrack.load`, in simulated time."""
+"""Load patterns run against the deciders of `beryltrack.load` in simulated time."""
--- a/beryltrack_bench/replay/command.py
+++ b/beryltrack_bench/replay/command.py
@@ -1,4 +1,4 @@
-"""The command `beryltrack-bench replay`: load patterns, each decision on and off."""
+"""The command `beryltrack-bench replay`: load patterns under several load policies."""
 
 import json
 from pathlib import Path
@@ -18,7 +18,7 @@
     plot_patterns,
     replay,
 )
-from beryltrack_bench.replay.patterns import PATTERNS, Sizes, find_faults
+from beryltrack_bench.replay.patterns import PATTERNS, Sizes, validate_sizes
 
 EXIT_HELD, EXIT_USAGE, EXIT_VIOLATIONS = 0, 1, 2
 SECONDS = 6
@@ -47,14 +47,14 @@
     ]
 
     def handle(self) -> int:
-        """Replay what is asked for; the exit code tells if a way did what none may."""
-        ways, wrong = self._read_ways()
-        patterns, faulty = _select(PATTERNS, self.option("pattern"), "pattern")
+        """Replay the selected patterns; the exit code tells of violations."""
+        policies, problems = self._read_policies()
+        patterns, unknown = _select(PATTERNS, self.option("pattern"), "pattern")
         sizes = Sizes(*(int(self.option(name)) for name in Sizes._fields))
-        wrong += faulty + find_faults(sizes)
-        for text in wrong:
+        problems += unknown + validate_sizes(sizes)
+        for text in problems:
             self.line_error(f"beryltrack-bench: {text}")
-        if wrong:
+        if problems:
             return EXIT_USAGE
         first, runs = int(self.option("seed")), int(self.option("runs"))
         seconds = float(self.option("seconds"))
@@ -63,8 +63,8 @@
         figures: dict[str, dict[str, CaseFigures]] = {}
         for name, pattern in patterns.items():
             figures[name] = {
-                way: replay(deployment, sizes, pattern, policy, seeds, seconds)
-                for way, policy in ways.items()
+                case: replay(deployment, sizes, pattern, policy, seeds, seconds)
+                for case, policy in policies.items()
             }
             if not self.option("json"):
                 for line in format_pattern(name, figures[name]):
@@ -77,17 +77,17 @@
         self.line(json.dumps(result | {"violations": violations}))
         return EXIT_VIOLATIONS if violations else EXIT_HELD
 
-    def _read_ways(self) -> tuple[dict[str, LoadPolicy], list[str]]:
-        """Return the ways to compare, and what is wrong with the options."""
+    def _read_policies(self) -> tuple[dict[str, LoadPolicy], list[str]]:
+        """Return the policies to compare by name, and problems of the options."""
         text = self.option("load") or ""
         policy, findings = read_load_policy({LOAD_VARIABLE: text})
         own = {AS_SET: policy} if text else {}
-        ways, wrong = _select(CASES, self.option("way"), "way")
-        return ways | own, [*map(format_finding, findings), *wrong]
+        policies, problems = _select(CASES, self.option("way"), "way")
+        return policies | own, [*map(format_finding, findings), *problems]
 
 
 def find_violations(figures: dict[str, dict[str, CaseFigures]]) -> list[str]:
-    """Return what no way may do: an untrue refusal, a connection beyond the limit."""
+    """Return the violations: untrue refusals and connections beyond the limit."""
     return [
         f"{name}, {way}: {case.untrue} untrue refusals, {case.over_limit} over limit"
         for name, cases in figures.items()
@@ -97,6 +97,6 @@
 
 
 def _select(table: dict, names: list[str], kind: str) -> tuple[dict, list[str]]:
-    """Return the entries of a table that are named, all if none is."""
-    wrong = [f"no {kind} {name!r}" for name in names if name not in table]
-    return {each: table[each] for each in table if not names or each in names}, wrong
+    """Return the named entries of a table, all if no name is given, and problems."""
+    unknown = [f"no {kind} {name!r}" for name in names if name not in table]
+    return {each: table[each] for each in table if not names or each in names}, unknown
--- a/beryltrack_bench/replay/figures.py
+++ b/beryltrack_bench/replay/figures.py
@@ -1,4 +1,4 @@
-"""What a replay showed, by priority, account class and second; as text and picture."""
+"""Figures of a replay by priority, account class and second; as tables and plots."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -9,35 +9,36 @@
 from beryltrack.load.policy import LoadPolicy
 from beryltrack_bench.deployment import Deployment
 from beryltrack_bench.replay.patterns import HOT_ACCOUNT, Pattern, Sizes
-from beryltrack_bench.replay.site import End, Ended, ReplaySite
+from beryltrack_bench.replay.site import OperationOutcome, OperationResult, ReplaySite
 
-ALL_ON, STANDING = "all on", "standing way"
-NO_FLOORS = LoadPolicy()._replace(floors=(0.0,) * len(LoadPolicy().floors))
+ALL_ON, BASELINE = "all on", "standing way"
+NO_MIN_SHARES = LoadPolicy()._replace(floors=(0.0,) * len(LoadPolicy().floors))
 
 CASES = {
     ALL_ON: LoadPolicy(),
     "no limit": LoadPolicy(is_limited=False),
     "order of arrival": LoadPolicy(is_ordered=False),
-    "no floors": NO_FLOORS,
+    "no floors": NO_MIN_SHARES,
     "late refusals": LoadPolicy(refuses_early=False),
-    STANDING: LoadPolicy(is_limited=False, is_ordered=False),
+    BASELINE: LoadPolicy(is_limited=False, is_ordered=False),
 }
-"""The ways that are compared: each decision off, and no limit in order of arrival."""
+"""The policies that are compared: all decisions on, each one off, and the baseline
+without a limit, in order of arrival."""
 
 
 class Share(NamedTuple):
-    """What became of some operations.
+    """Outcomes of a set of operations; shares are from 0 to 1.
 
     Parameters
     ----------
     offered : int
-        How many there were.
+        Number of operations.
     worth : float
         Mean of `compute_worth`.
     in_aim : float
-        Part that was done within its target latency.
+        Share that was done within its target latency.
     refused, lost : float
-        Part that was refused for good, and whose answer did not come.
+        Share that was refused after all attempts, and share without an answer.
     """
 
     offered: int
@@ -48,18 +49,18 @@
 
 
 class CaseFigures(NamedTuple):
-    """One pattern, replayed in one way with some seeds.
+    """Figures of one pattern, replayed under one policy with some seeds.
 
     Parameters
     ----------
     worth : float
-        Mean of all operations.
+        Mean worth of all operations.
     spread : float
-        Largest mean of a seed without the smallest one.
+        Difference between the largest and the smallest mean of a seed.
     priorities, classes, seconds : dict
-        The shares by priority, by account class, and by the second of the arrival.
+        The shares by priority, by account class, and by second of arrival.
     untrue : int
-        Operations that were refused though they had run.
+        Operations that were refused although they had run.
     over_limit : int
         Connections that the database refused.
     """
@@ -73,16 +74,21 @@
     over_limit: int
 
 
-def compute_worth(ended: Ended) -> float:
-    """Return what an end is worth: one within the aim, falling to zero at the deadline.
+def compute_worth(ended: OperationResult) -> float:
+    """Return the utility of an operation's result, from 0 to 1.
 
-    A refusal and a lost answer are worth nothing.
+    It is one within the target latency and falls linearly to zero at the deadline. A
+    refusal and a lost answer are worth nothing.
     """
-    if ended.end is not End.DONE:
+    if ended.end is not OperationOutcome.DONE:
         return 0.0
-    operation, took = ended.operation, ended.at - ended.operation.at
-    aim, deadline = operation.demand.latency_left, operation.demand.time_left
-    return 1.0 if took <= aim else max(0.0, (deadline - took) / (deadline - aim))
+    operation, latency = ended.operation, ended.at - ended.operation.at
+    target_latency, deadline = operation.demand.latency_left, operation.demand.time_left
+    return (
+        1.0
+        if latency <= target_latency
+        else max(0.0, (deadline - latency) / (deadline - target_latency))
+    )
 
 
 def replay(
@@ -93,27 +99,27 @@
     seeds: Iterable[int],
     seconds: float,
 ) -> CaseFigures:
-    """Play one pattern in one way with each seed.
+    """Run one pattern under one policy, once for each seed.
 
     Parameters
     ----------
     deployment : Deployment
-        Delays.
+        Network delays.
     sizes : Sizes
-        How large the site is.
+        Sizes of the site.
     pattern : Pattern
-        What comes, and what happens.
+        The load and the faults.
     policy : LoadPolicy
-        Steers the gates.
+        Policy of the gates.
     seeds : iterable of int
-        One run each.
+        Seeds, one for each run.
     seconds : float
-        How long operations come in each run.
+        Length of the load in each run.
     """
-    runs: list[list[Ended]] = []
+    runs: list[list[OperationResult]] = []
     sites = []
     for seed in seeds:
-        ends: list[Ended] = []
+        ends: list[OperationResult] = []
         site = ReplaySite(
             deployment, sizes, pattern, policy, seed, seconds, ends.append
         )
@@ -133,33 +139,33 @@
     )
 
 
-def get_account_class(ended: Ended) -> str:
-    """Return whether an operation is of the hot account or of another one."""
+def get_account_class(ended: OperationResult) -> str:
+    """Return the class of an operation's account: the hot account or the others."""
     is_hot = ended.operation.demand.account == HOT_ACCOUNT
     return HOT_ACCOUNT if is_hot else "others"
 
 
 def summarize(
-    ends: Iterable[Ended], get_key: Callable[[Ended], object]
+    ends: Iterable[OperationResult], get_key: Callable[[OperationResult], object]
 ) -> dict[object, Share]:
-    """Return the shares of operations by a key of theirs."""
+    """Return the shares of the operations, grouped by a key."""
     groups = defaultdict(list)
     for ended in ends:
         groups[get_key(ended)].append(ended)
-    return {key: _share(groups[key]) for key in sorted(groups)}
+    return {key: _summarize_group(groups[key]) for key in sorted(groups)}
 
 
-def _share(ends: list[Ended]) -> Share:
-    """Return what became of some operations."""
+def _summarize_group(ends: list[OperationResult]) -> Share:
+    """Return the shares of a group of operations."""
     count = len(ends)
     worths = list(map(compute_worth, ends))
-    parts = (
+    shares = (
         mean(worths),
         sum(worth == 1.0 for worth in worths) / count,
-        sum(each.end is End.REFUSED for each in ends) / count,
-        sum(each.end is End.LOST for each in ends) / count,
+        sum(each.end is OperationOutcome.REFUSED for each in ends) / count,
+        sum(each.end is OperationOutcome.LOST for each in ends) / count,
     )
-    return Share(count, *(round(part, 4) for part in parts))
+    return Share(count, *(round(share, 4) for share in shares))
 
 
 def format_pattern(name: str, cases: dict[str, CaseFigures]) -> list[str]:
@@ -170,22 +176,22 @@
         *first.classes,
     )
     seconds = tuple(f"{each} s" for each in first.seconds)
-    parts = [f"## {name}", "", "Worth (in aim, refused):", ""]
-    parts += _format_head(("way", "all", "spread", *columns))
+    lines = [f"## {name}", "", "Worth (in aim, refused):", ""]
+    lines += _format_head(("way", "all", "spread", *columns))
     for way, case in cases.items():
         shares = (*case.priorities.values(), *case.classes.values())
         cells = (
             f"{each.worth:.2f} ({each.in_aim:.2f}, {each.refused:.2f})"
             for each in shares
         )
-        parts.append(
+        lines.append(
             _format_row((way, f"{case.worth:.3f}", f"{case.spread:.3f}"), cells)
         )
-    parts += ["", "Worth by second of arrival:", "", *_format_head(("way", *seconds))]
+    lines += ["", "Worth by second of arrival:", "", *_format_head(("way", *seconds))]
     for way, case in cases.items():
         cells = (f"{each.worth:.2f}" for each in case.seconds.values())
-        parts.append(_format_row((way,), cells))
-    return [*parts, ""]
+        lines.append(_format_row((way,), cells))
+    return [*lines, ""]
 
 
 def _format_head(names: tuple[str, ...]) -> list[str]:
@@ -199,8 +205,8 @@
 
 
 def plot_patterns(patterns: dict[str, dict[str, CaseFigures]], target: Path) -> None:
-    """Draw the worth by second of each pattern, a line for each way."""
-    # The plotting library takes most of a second to import.
+    """Plot the worth by second of each pattern, a line for each policy."""
+    # Imported only here, as the plotting library takes most of a second to import.
     from beryltrack_bench.report import pyplot
 
     columns = min(2, len(patterns))
--- a/beryltrack_bench/replay/patterns.py
+++ b/beryltrack_bench/replay/patterns.py
@@ -1,7 +1,7 @@
-"""Load patterns: who asks for what, and what happens to the database meanwhile.
+"""Load patterns: streams of operations, and faults of the database and the owners.
 
-Loads are in multiples of what the database carries, so that a pattern means the same
-whatever its slots are. Times are parts of the run. Tests use the same patterns.
+Loads are in multiples of the database's capacity, so that a pattern is independent of
+the number of slots. Times are fractions of the run. Tests use the same patterns.
 """
 
 import random
@@ -15,18 +15,18 @@
     draw_statements,
 )
 
-WORK = 0.004
-"""Mean seconds that a statement takes at the database (an assumption; databases of the
-users' platform answer most statements in 1 to 40 ms)."""
+MEAN_SERVICE_TIME = 0.004
+"""Mean service time of a statement at the database, seconds (an assumption;
+production databases answer most statements in 1 to 40 ms)."""
 
-STATEMENTS = 1 + TRANSACTION_SHARE * (TRANSACTION_STATEMENTS - 1)
+MEAN_STATEMENTS = 1 + TRANSACTION_SHARE * (TRANSACTION_STATEMENTS - 1)
 """Mean statements of an operation."""
 
-AIMS = (0.15, 0.15, 0.25, 0.6)
-"""Target latency of each priority, seconds (an assumption, as usual routes have)."""
+TARGET_LATENCIES = (0.15, 0.15, 0.25, 0.6)
+"""Target latency of each priority, seconds (an assumption; typical for routes)."""
 
 DEADLINES = (1.0, 1.5, 2.0, 4.0)
-"""Seconds after which the result of each priority is of no use."""
+"""Deadline of each priority, seconds from the arrival of an operation."""
 
 PRIORITIES = tuple(range(LOWEST_PRIORITY + 1))
 
@@ -34,7 +34,7 @@
 
 
 class Window(NamedTuple):
-    """A part of a run, from 0.0 to 1.0 of its length."""
+    """An interval of a run, as fractions of its length."""
 
     start: float = 0.0
     end: float = 1.0
@@ -44,22 +44,22 @@
 
 
 class Stream(NamedTuple):
-    """Operations of one kind that come at a steady rate for a while.
+    """Operations of one kind that arrive at a steady mean rate.
 
     Parameters
     ----------
     priority : int
-        Their priority.
+        Priority of the operations.
     load : float
-        Operations, by what the database carries.
+        Arrival rate, in multiples of the database's capacity.
     window : Window
-        When they come.
+        When they arrive.
     account : str
-        Whose they are; empty for any of the accounts.
+        Their account; empty for a random one each.
     zone : int or None
-        Availability zone of the instances that they come in at; None for all.
+        Availability zone of the receiving instances; None for all.
     is_displaced : bool
-        True for reads that replicas would run if they were not behind.
+        True for displaced reads, which replicas would run if they did not lag.
     """
 
     priority: int
@@ -76,15 +76,15 @@
     Parameters
     ----------
     streams : tuple of Stream
-        What comes.
+        The load.
     has_accounts : bool
-        True if an operation's account says which owner decides; the zone otherwise.
+        True if an operation's account selects the owner; otherwise the zone does.
     slow : Window or None
-        When the database takes `SLOW_FACTOR` times as long.
+        When statements take `SLOW_FACTOR` times as long.
     hanging : Window or None
-        When it answers nothing.
+        When the database answers nothing.
     owner_lost : float or None
-        When the first owner is lost without a sign, and stays away.
+        When the first owner crashes without closing its connections, for good.
     """
 
     streams: tuple[Stream, ...]
@@ -95,28 +95,29 @@
 
 
 SLOW_FACTOR = 8.0
+"""Factor of the service times of a slow database."""
 
 
-def make_even(load: float, priorities: tuple[int, ...] = PRIORITIES):
-    """Return a steady load, in even parts of some priorities."""
+def make_even_load(load: float, priorities: tuple[int, ...] = PRIORITIES):
+    """Return a steady load, split evenly among some priorities."""
     return tuple(Stream(each, load / len(priorities)) for each in priorities)
 
 
 PATTERNS = {
-    "usual load": Pattern(make_even(0.8)),
+    "usual load": Pattern(make_even_load(0.8)),
     "bursts of the least urgent": Pattern(
         (
-            *make_even(0.6, PRIORITIES[:-1]),
+            *make_even_load(0.6, PRIORITIES[:-1]),
             Stream(LOWEST_PRIORITY, 3.0, Window(0.25, 0.45)),
             Stream(LOWEST_PRIORITY, 3.0, Window(0.6, 0.8)),
         )
     ),
     "one hot account": Pattern(
-        (*make_even(0.6), Stream(1, 2.0, Window(0.2, 0.8), HOT_ACCOUNT))
+        (*make_even_load(0.6), Stream(1, 2.0, Window(0.2, 0.8), HOT_ACCOUNT))
     ),
     "waves of unlike zones": Pattern(
         (
-            *make_even(0.2),
+            *make_even_load(0.2),
             *(
                 Stream(priority, 0.25, Window(zone / 3, (zone + 1) / 3), zone=zone)
                 for zone in range(3)
@@ -125,35 +126,35 @@
         ),
         has_accounts=False,
     ),
-    "slow database": Pattern(make_even(0.7), slow=Window(0.3, 0.5)),
-    "hanging database": Pattern(make_even(0.7), hanging=Window(0.3, 0.45)),
+    "slow database": Pattern(make_even_load(0.7), slow=Window(0.3, 0.5)),
+    "hanging database": Pattern(make_even_load(0.7), hanging=Window(0.3, 0.45)),
     "replicas that lag": Pattern(
         (
-            *make_even(0.6),
+            *make_even_load(0.6),
             Stream(0, 0.5, Window(0.3, 0.7), is_displaced=True),
             Stream(2, 1.0, Window(0.3, 0.7), is_displaced=True),
         )
     ),
-    "lost owner": Pattern(make_even(0.8), owner_lost=0.4),
-    "twice the load": Pattern(make_even(2.0)),
-    "four times the load": Pattern(make_even(4.0)),
+    "lost owner": Pattern(make_even_load(0.8), owner_lost=0.4),
+    "twice the load": Pattern(make_even_load(2.0)),
+    "four times the load": Pattern(make_even_load(4.0)),
 }
 """All patterns, by name."""
 
 
 class Sizes(NamedTuple):
-    """How large the site is.
+    """Sizes of the site.
 
     Parameters
     ----------
     instances : int
-        Instances that callers come in at.
+        Instances that receive operations.
     owners : int
-        How many of them hold the connections to the database.
+        Number of them that hold the connections to the database.
     slots : int
         Statements that the database runs at once.
     connections : int
-        Most connections to it.
+        Maximum of connections to the database.
     accounts : int
         Client accounts.
     zones : int
@@ -169,20 +170,20 @@
 
     @property
     def capacity(self) -> float:
-        """Operations a second that the database carries."""
-        return self.slots / (STATEMENTS * WORK)
+        """Mean throughput of the saturated database, operations a second."""
+        return self.slots / (MEAN_STATEMENTS * MEAN_SERVICE_TIME)
 
 
-def find_faults(sizes: Sizes) -> list[str]:
-    """Return why a site of these sizes cannot be played; empty if it can."""
+def validate_sizes(sizes: Sizes) -> list[str]:
+    """Return the reasons why a site cannot have these sizes; empty if it can."""
     small = (name for name, number in sizes._asdict().items() if number < 1)
     bounds = (
         (sizes.owners > sizes.instances, "more owners than instances"),
         (sizes.zones > sizes.instances, "more zones than instances"),
         (sizes.connections < sizes.owners, "fewer connections than owners"),
     )
-    wrong = [text for is_wrong, text in bounds if is_wrong]
-    return [f"{name} must be 1 or more" for name in small] or wrong
+    problems = [text for is_exceeded, text in bounds if is_exceeded]
+    return [f"{name} must be 1 or more" for name in small] or problems
 
 
 class Operation(NamedTuple):
@@ -191,25 +192,25 @@
     Parameters
     ----------
     at : float
-        When it comes, seconds.
+        Time of its arrival, seconds.
     instance : int
-        Number of the instance that it comes in at.
+        Number of the receiving instance.
     demand : Demand
-        What it asks for.
-    works : tuple of float
-        Seconds that each of its statements takes at the database.
+        Its priority, times and account.
+    service_times : tuple of float
+        Service time of each of its statements, seconds.
     """
 
     at: float
     instance: int
     demand: Demand
-    works: tuple[float, ...]
+    service_times: tuple[float, ...]
 
 
 def draw_operations(
     pattern: Pattern, sizes: Sizes, seconds: float, rng: random.Random
 ) -> list[Operation]:
-    """Return all operations of a run, in the order in which they come."""
+    """Return all operations of a run, in order of arrival."""
     drawn = (
         operation
         for stream in pattern.streams
@@ -221,16 +222,22 @@
 def _draw_stream(
     stream: Stream, sizes: Sizes, seconds: float, rng: random.Random
 ) -> Iterator[Operation]:
-    """Return the operations of one stream."""
-    at, end = (part * seconds for part in stream.window)
+    """Return the operations of one stream, a Poisson process."""
+    at, end = (fraction * seconds for fraction in stream.window)
     is_everywhere = stream.zone is None
     zone, step = (0, 1) if is_everywhere else (stream.zone % sizes.zones, sizes.zones)
     priority = stream.priority
     while (at := at + rng.expovariate(stream.load * sizes.capacity)) < end:
         account = stream.account or f"account-{rng.randrange(sizes.accounts)}"
         demand = Demand(
-            priority, AIMS[priority], DEADLINES[priority], account, stream.is_displaced
+            priority,
+            TARGET_LATENCIES[priority],
+            DEADLINES[priority],
+            account,
+            stream.is_displaced,
+        )
+        service_times = (
+            rng.expovariate(1 / MEAN_SERVICE_TIME) for _ in range(draw_statements(rng))
         )
-        works = (rng.expovariate(1 / WORK) for _ in range(draw_statements(rng)))
         instance = rng.randrange(zone, sizes.instances, step)
-        yield Operation(at, instance, demand, tuple(works))
+        yield Operation(at, instance, demand, tuple(service_times))
--- a/beryltrack_bench/replay/site.py
+++ b/beryltrack_bench/replay/site.py
@@ -1,6 +1,6 @@
-"""Owners with their gates before one database, and callers that try again once.
+"""Owners with a gate and a pool each for one database, and callers that retry once.
 
-The gates are the product's; the clock and the database are those of `overload`.
+The gates and pools are the product's; the clock and database are those of `overload`.
 """
 
 import random
@@ -37,32 +37,32 @@
 )
 
 GROUP = "group"
-KEPT_POOLS = POOLS._replace(idle_timeout=60.0)
-"""Pools of owners, whose connections stay open through a run."""
+POOL_POLICY = POOLS._replace(idle_timeout=60.0)
+"""Policy of the owners' pools, whose connections stay open through a run."""
 
-DRAINING = 4.5
-"""Seconds that a run goes on after its last operation came: the longest deadline."""
+DRAIN_TIME = 4.5
+"""Seconds that a run goes on after its last arrival: more than the longest deadline."""
 
 
-class End(Enum):
-    """How an operation ended for its caller."""
+class OperationOutcome(Enum):
+    """The outcome of an operation, as its caller sees it."""
 
     DONE = "done"
     REFUSED = "refused"
     LOST = "lost"
-    """Its answer did not come."""
+    """No answer arrived."""
 
 
-class Ended(NamedTuple):
-    """The end of an operation, and when that was, in seconds."""
+class OperationResult(NamedTuple):
+    """The outcome of an operation, and the time of it, seconds."""
 
     operation: Operation
-    end: End
+    end: OperationOutcome
     at: float
 
 
 class Owner:
-    """An instance that holds connections to the database: a gate before a pool.
+    """An instance that holds connections to the database: a gate and a pool.
 
     Parameters
     ----------
@@ -71,9 +71,9 @@
     database : SlotDatabase
         The database.
     policy : LoadPolicy
-        Steers its gate.
+        Policy of its gate.
     rng : random.Random
-        For both.
+        Source of random numbers for both.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
             clock,
             settings,
             lambda account: self._connect(),
-            KEPT_POOLS,
+            POOL_POLICY,
             limit=0,
             rng=rng,
         )
@@ -98,57 +98,57 @@
         self._connections: set[SlotConnection] = set()
         self._entering: set[Deferred] = set()
 
-    def set_part(self, slots: int, owners: int, connections: int) -> None:
-        """Take in what this owner's part of the database is."""
+    def set_share(self, slots: int, owners: int, connections: int) -> None:
+        """Set this owner's share of the database's capacity and connections."""
         self.gate.set_capacity(SharedCapacity(slots, owners, connections))
         self.pool.set_limit(connections)
 
     def enter(self, deadline: float, demand: Demand) -> Deferred[int]:
-        """Ask to run an operation; its answer is lost with the owner."""
+        """Enter the gate; the Deferred is cancelled if the owner crashes."""
         entering = self.gate.enter(deadline, demand)
         self._entering.add(entering)
-        return entering.addBoth(self._note_entered, entering)
+        return entering.addBoth(self._remove_entering, entering)
 
-    def lose(self) -> None:
-        """End without a sign: all that it had on its way is lost."""
+    def crash(self) -> None:
+        """Crash: everything in flight is lost, and callers get no answer."""
         self.is_lost = True
         self.pool.drain()
         for waiting in tuple(self._entering):
             waiting.cancel()
         for connection in tuple(self._connections):
-            connection.lose()
+            connection.abort()
 
     def _connect(self) -> Deferred[SlotConnection]:
-        return self._database.connect().addCallback(self._note_open)
+        return self._database.connect().addCallback(self._add_connection)
 
-    def _note_open(self, connection: SlotConnection) -> SlotConnection:
+    def _add_connection(self, connection: SlotConnection) -> SlotConnection:
         self._connections.add(connection)
         return connection
 
-    def _note_entered(self, result: object, entering: Deferred) -> object:
+    def _remove_entering(self, result: object, entering: Deferred) -> object:
         self._entering.discard(entering)
         return result
 
 
 class ReplaySite:
-    """All parties of one run.
+    """The callers, the owners and the database of one run.
 
     Parameters
     ----------
     deployment : Deployment
-        Delays.
+        Network delays.
     sizes : Sizes
-        How large it is.
+        Sizes of the site.
     pattern : Pattern
-        What happens.
+        The load and the faults.
     policy : LoadPolicy
-        Steers the gates.
+        Policy of the gates.
     seed : int
-        Of all random numbers; operations are the same for all policies.
+        Seed of all random numbers; operations are the same for all policies.
     seconds : float
-        How long operations come.
-    tell : callable
-        Called with the `Ended` of each operation.
+        Length of the load.
+    report : callable
+        Called with the `OperationResult` of each operation.
     """
 
     def __init__(
@@ -159,13 +159,13 @@
         policy: LoadPolicy,
         seed: int,
         seconds: float,
-        tell: Callable[[Ended], None],
+        report: Callable[[OperationResult], None],
     ):
         self.clock = SortedClock()
         self.untrue = 0
         self._delay = deployment.zone_delay
         self._gap = 2 * deployment.client_delay
-        self._sizes, self._pattern, self._tell = sizes, pattern, tell
+        self._sizes, self._pattern, self._report = sizes, pattern, report
         self._seconds = seconds
         rng = random.Random(f"{seed}/operations")
         self._operations = iter(draw_operations(pattern, sizes, seconds, rng))
@@ -193,17 +193,17 @@
         }
 
     def run(self) -> None:
-        """Play the pattern to its end."""
-        self._share()
+        """Run the pattern to its end."""
+        self._assign_shares()
         self._schedule_faults()
-        # The connections are open when the first operation comes.
+        # Time for the pools to open their connections before the first operation.
         self.clock.run_until(1.0)
-        self._began = self.clock.seconds()
+        self._started_at = self.clock.seconds()
         self._schedule_next()
-        self.clock.run_until(self._began + self._seconds + DRAINING)
+        self.clock.run_until(self._started_at + self._seconds + DRAIN_TIME)
 
     def _schedule_faults(self) -> None:
-        """Plan what happens to the database and the owners."""
+        """Schedule the faults of the database and the owners."""
         pattern, database = self._pattern, self.database
         faults = (
             (pattern.slow, lambda: database.set_slowness(SLOW_FACTOR)),
@@ -215,29 +215,29 @@
                 self._call_at(window.end, database.recover)
         if pattern.owner_lost is not None:
             first = next(iter(self.owners.values()))
-            self._call_at(pattern.owner_lost, first.lose)
-            # The others hear of it some time later.
-            notice = pattern.owner_lost + DETECTION_TIME / self._seconds
-            self._call_at(notice, self._share)
-
-    def _call_at(self, part: float, function: Callable[[], object]) -> None:
-        self.clock.callLater(1.0 + part * self._seconds, function)
-
-    def _share(self) -> None:
-        """Give each owner that is there its part of the database."""
-        left = [owner for owner in self.owners.values() if not owner.is_lost]
-        for owner in left:
-            connections = self._sizes.connections // len(left)
-            owner.set_part(self._sizes.slots, len(left), connections)
+            self._call_at(pattern.owner_lost, first.crash)
+            # The other owners detect the crash some time later.
+            detected_at = pattern.owner_lost + DETECTION_TIME / self._seconds
+            self._call_at(detected_at, self._assign_shares)
+
+    def _call_at(self, fraction: float, function: Callable[[], object]) -> None:
+        self.clock.callLater(1.0 + fraction * self._seconds, function)
+
+    def _assign_shares(self) -> None:
+        """Give each live owner its share of the database."""
+        live = [owner for owner in self.owners.values() if not owner.is_lost]
+        for owner in live:
+            connections = self._sizes.connections // len(live)
+            owner.set_share(self._sizes.slots, len(live), connections)
         self._known_lost = {
             name for name, owner in self.owners.items() if owner.is_lost
         }
 
     def _schedule_next(self) -> None:
-        """Have the next operation come."""
+        """Schedule the arrival of the next operation."""
         operation = next(self._operations, None)
         if operation is not None:
-            wait = self._began + operation.at - self.clock.seconds()
+            wait = self._started_at + operation.at - self.clock.seconds()
             self.clock.callLater(max(0.0, wait), self._arrive, operation)
 
     def _arrive(self, operation: Operation) -> None:
@@ -245,7 +245,7 @@
         Deferred.fromCoroutine(self._serve(operation))
 
     def _choose_owner(self, operation: Operation) -> Owner | None:
-        """Return the owner that decides for an operation; None if none is left."""
+        """Return the preferred live owner for an operation; None if there is none."""
         if self._pattern.has_accounts:
             ordered = self._slots[get_slot(operation.demand.account)]
         else:
@@ -255,16 +255,16 @@
         return self.owners.get(next(fit, ""))
 
     async def _serve(self, operation: Operation) -> None:
-        """Have an operation run; a caller that is refused tries once more."""
+        """Run an operation; after a refusal the caller retries once."""
         end, retry_after = await self._try(operation)
         left = operation.demand.time_left - (self._now - operation.at)
-        if end is End.REFUSED and retry_after < left:
+        if end is OperationOutcome.REFUSED and retry_after < left:
             await deferLater(self.clock, retry_after, int)
             end, _ = await self._try(operation)
-        self._tell(Ended(operation, end, self._now))
+        self._report(OperationResult(operation, end, self._now))
 
-    async def _try(self, operation: Operation) -> tuple[End, float]:
-        """Send an operation to its owner; return its end, and when to come back."""
+    async def _try(self, operation: Operation) -> tuple[OperationOutcome, float]:
+        """Send an operation to its owner; return its outcome and the retry delay."""
         self._attempts += 1
         attempt = self._attempts
         owner = self._choose_owner(operation)
@@ -272,40 +272,44 @@
         demand = operation.demand.after(self._now - operation.at)
         deadline = self.clock.seconds() + demand.time_left
         if owner is None or owner.is_lost:
-            return End.LOST, 0.0
+            return OperationOutcome.LOST, 0.0
         try:
             number = await owner.enter(deadline, demand)
         except PoolRefused as refused:
             self.untrue += attempt in self.database.ran
-            return End.REFUSED, refused.refusal.retry_after
+            return OperationOutcome.REFUSED, refused.refusal.retry_after
         except CancelledError:
-            return End.LOST, 0.0
-        ended = await self._run(operation.works, attempt, owner, number, deadline)
-        self.untrue += ended[0] is End.REFUSED and attempt in self.database.ran
+            return OperationOutcome.LOST, 0.0
+        ended = await self._run(
+            operation.service_times, attempt, owner, number, deadline
+        )
+        self.untrue += (
+            ended[0] is OperationOutcome.REFUSED and attempt in self.database.ran
+        )
         return ended
 
     async def _run(
         self,
-        works: tuple[float, ...],
+        service_times: tuple[float, ...],
         attempt: int,
         owner: Owner,
         number: int,
         deadline: float,
-    ) -> tuple[End, float]:
-        """Run the statements of an operation; see `_try` for what is returned."""
+    ) -> tuple[OperationOutcome, float]:
+        """Run the statements of an operation; returns the same as `_try`."""
         gate = owner.gate
         try:
             connection = await owner.pool.acquire(deadline)
         except PoolRefused as refused:
             gate.cancel(number)
-            return End.REFUSED, refused.refusal.retry_after
+            return OperationOutcome.REFUSED, refused.refusal.retry_after
         outcome = Outcome.ANSWERED
-        for index, work in enumerate(works):
+        for index, service_time in enumerate(service_times):
             if index:
                 await deferLater(self.clock, self._gap, int)
                 gate.start_statement(number)
             began = self.clock.seconds()
-            running = connection.run(attempt, work)
+            running = connection.run(attempt, service_time)
             running.addTimeout(max(0.0, deadline - began), self.clock)
             try:
                 await running
@@ -316,9 +320,13 @@
                 break
         gate.finish(number)
         owner.pool.release(connection, outcome is Outcome.ANSWERED)
-        return (End.DONE if outcome is Outcome.ANSWERED else End.LOST), 0.0
+        return (
+            OperationOutcome.DONE
+            if outcome is Outcome.ANSWERED
+            else OperationOutcome.LOST
+        ), 0.0
 
     @property
     def _now(self) -> float:
         """Seconds since the first operation could come."""
-        return self.clock.seconds() - self._began
+        return self.clock.seconds() - self._started_at
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -11,20 +11,20 @@
 from beryltrack_bench.main import make_application
 from beryltrack_bench.replay.figures import (
     ALL_ON,
+    BASELINE,
     CASES,
-    STANDING,
     compute_worth,
     replay,
 )
 from beryltrack_bench.replay.patterns import (
-    AIMS,
     DEADLINES,
     PATTERNS,
+    TARGET_LATENCIES,
     Operation,
     Sizes,
     draw_operations,
 )
-from beryltrack_bench.replay.site import End, Ended
+from beryltrack_bench.replay.site import OperationOutcome, OperationResult
 
 DEPLOYMENT = load_deployment("lectora")
 SECONDS = 3.0
@@ -34,7 +34,7 @@
     return replay(DEPLOYMENT, Sizes(), PATTERNS[pattern], CASES[way], [seed], SECONDS)
 
 
-@pytest.mark.parametrize("way", [ALL_ON, STANDING])
+@pytest.mark.parametrize("way", [ALL_ON, BASELINE])
 @pytest.mark.parametrize("pattern", PATTERNS)
 def test_refusals_are_true_and_no_connection_is_beyond_the_limit(pattern, way):
     figures = play(pattern, way)
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_burst_of_the_least_urgent_costs_the_others_little(seed):
     pattern = "bursts of the least urgent"
-    on, off = play(pattern, ALL_ON, seed), play(pattern, STANDING, seed)
+    on, off = play(pattern, ALL_ON, seed), play(pattern, BASELINE, seed)
     assert on.priorities[0].worth > 0.95
     for priority in range(3):
         assert on.priorities[priority].worth > off.priorities[priority].worth
@@ -80,16 +80,20 @@
 @pytest.mark.parametrize(
     ("end", "took", "worth"),
     [
-        (End.DONE, AIMS[0], 1.0),
-        (End.DONE, (AIMS[0] + DEADLINES[0]) / 2, 0.5),
-        (End.DONE, DEADLINES[0] + 1.0, 0.0),
-        (End.REFUSED, 0.0, 0.0),
-        (End.LOST, 0.0, 0.0),
+        (OperationOutcome.DONE, TARGET_LATENCIES[0], 1.0),
+        (OperationOutcome.DONE, (TARGET_LATENCIES[0] + DEADLINES[0]) / 2, 0.5),
+        (OperationOutcome.DONE, DEADLINES[0] + 1.0, 0.0),
+        (OperationOutcome.REFUSED, 0.0, 0.0),
+        (OperationOutcome.LOST, 0.0, 0.0),
     ],
 )
 def test_the_worth_falls_from_the_aim_to_the_deadline(end, took, worth):
-    operation = Operation(1.0, 0, Demand(0, AIMS[0], DEADLINES[0]), (0.004,))
-    assert compute_worth(Ended(operation, end, 1.0 + took)) == pytest.approx(worth)
+    operation = Operation(
+        1.0, 0, Demand(0, TARGET_LATENCIES[0], DEADLINES[0]), (0.004,)
+    )
+    assert compute_worth(OperationResult(operation, end, 1.0 + took)) == pytest.approx(
+        worth
+    )
 
 
 def run_command(options):
