--- a/beryltrack_bench/fleet/control.py
+++ b/beryltrack_bench/fleet/control.py
@@ -1,7 +1,7 @@
-"""What control costs a node, at a number of nodes and of database groups.
+"""Measures what the control plane costs a node, by numbers of nodes and groups.
 
-Real nodes run in one process, so a node's share is the process's figure divided
-by their number; the stand-in platform's part is in it.
+Real nodes run in one process, so the cost of a node is that of the process divided
+by their number; it includes a share of the stand-in platform's cost.
 """
 
 import gc
@@ -15,22 +15,31 @@
 from beryltrack_bench.fleet.figures import Rates, compute_rates, read_traffic
 from beryltrack_bench.fleet.fleet import Fleet
 
-SETTLE_TIMEOUT = 40.0
+CONVERGENCE_TIMEOUT = 40.0
+"""Seconds within which all nodes must know each other and all gossip."""
+
 SETTLE_TIME = 4.5
+"""Seconds from convergence to the begin of the measurement."""
+
 CHANGES = 5
+"""Number of settings changes that are measured."""
+
 CHANGE_TIME = 0.3
+"""Seconds for a change to spread before the next one."""
+
 VIEW_KIND = "group"
+"""Kind of the gossip items that stand for views of groups."""
 
 
 class ControlCost(NamedTuple):
-    """What control costs a node.
+    """The cost of the control plane for a node.
 
     Parameters
     ----------
     nodes : int
         Number of nodes.
     groups : int
-        Number of database groups in the settings and in the shared knowledge.
+        Number of database groups in the settings and in the gossip.
     steady : Rates
         Rates while nothing changes.
     change_cpu : float
@@ -71,19 +80,19 @@
     Returns
     -------
     ControlCost
-        The figures.
+        The measured cost.
 
     Raises
     ------
     TimeoutError
-        If the nodes did not come to know the same in time.
+        If the nodes did not converge in time.
     """
     gc.collect()
     before = read_resident_bytes()
     fleet = Fleet(reactor, seed)
     await fleet.start(nodes, groups)
     try:
-        await _settle(reactor, fleet, groups)
+        await _wait_until_converged(reactor, fleet, groups)
         steady = await _measure_steady(reactor, fleet, seconds)
         cpu, sent = await _measure_changes(reactor, fleet, steady)
         gc.collect()
@@ -93,18 +102,18 @@
     return ControlCost(nodes, groups, steady, cpu, sent, round(memory))
 
 
-async def _settle(reactor, fleet: Fleet, groups: int) -> None:
-    """Have all nodes know each other, the settings and a view of each group."""
-    await fleet.wait(fleet.is_joined, SETTLE_TIMEOUT)
+async def _wait_until_converged(reactor, fleet: Fleet, groups: int) -> None:
+    """Wait until all nodes know each other, the settings and a view of each group."""
+    await fleet.wait(fleet.is_joined, CONVERGENCE_TIMEOUT)
     for number in range(groups):
         item = GossipItem(VIEW_KIND, f"group-{number}", (1,), "db-0")
         fleet.nodes[0].peers.publish(item)
-    await fleet.wait(lambda: _knows_all(fleet, groups), SETTLE_TIMEOUT)
+    await fleet.wait(lambda: _is_converged(fleet, groups), CONVERGENCE_TIMEOUT)
     await deferLater(reactor, SETTLE_TIME, int)
 
 
-def _knows_all(fleet: Fleet, groups: int) -> bool:
-    """Return whether all nodes know the same, and all the settings."""
+def _is_converged(fleet: Fleet, groups: int) -> bool:
+    """Return whether all gossip stores are equal and all settings have arrived."""
     stores = [node.peers.gossip_store for node in fleet.nodes]
     return len({store.digest for store in stores}) == 1 and all(
         len(node.settings.current.groups) == groups + 1 for node in fleet.nodes
@@ -119,7 +128,7 @@
 
 
 async def _measure_changes(reactor, fleet: Fleet, steady: Rates) -> tuple[float, float]:
-    """Return the processor time and bytes of one change, for each node."""
+    """Return the processor time and bytes that one change costs each node."""
     began, before = time.monotonic(), read_traffic(fleet)
     for number in range(CHANGES):
         await fleet.change_settings(2.0 + number)
--- a/beryltrack_bench/fleet/figures.py
+++ b/beryltrack_bench/fleet/figures.py
@@ -1,4 +1,4 @@
-"""Times and traffic of a fleet, as the experiments print them."""
+"""Times and traffic of a fleet, in the form that the experiments print."""
 
 import math
 import time
@@ -9,20 +9,20 @@
 
 
 class Traffic(NamedTuple):
-    """What all nodes and the platform have counted up to a moment.
+    """Counters of all nodes and of the platform at one time.
 
     Parameters
     ----------
     at : float
-        The moment, seconds of the monotonic clock.
+        Time of the monotonic clock, seconds.
     processor : float
         Processor time of the whole process, seconds.
     bytes_sent, bytes_received : int
-        Payload of the peer links of all nodes, without the headers of TCP and IP.
+        Payload of the peer links of all nodes, without TCP and IP headers.
     messages : int
         Messages sent on the peer links by all nodes.
     calls : int
-        Calls that the platform has counted.
+        Calls that the platform has received.
     """
 
     at: float
@@ -34,19 +34,19 @@
 
 
 class Rates(NamedTuple):
-    """Traffic a second, between two moments.
+    """Mean traffic between two times.
 
     Parameters
     ----------
     cpu_share : float
-        Processor time for each node as a share of a core. The stand-in platform
-        runs in the same process and is in it.
+        Processor time of a node as a share of a core. It includes a share of the
+        stand-in platform, which runs in the same process.
     bytes_sent, bytes_received : float
-        Payload for each node, bytes a second.
+        Payload of a node, bytes a second.
     messages : float
-        Messages sent by each node, a second.
+        Messages that a node sends, a second.
     platform_calls : float
-        Calls of the whole fleet, a second.
+        Calls of the whole fleet to the platform, a second.
     """
 
     cpu_share: float
@@ -57,14 +57,14 @@
 
 
 class Spread(NamedTuple):
-    """The spread of some times, seconds.
+    """The distribution of some times, seconds.
 
     Parameters
     ----------
     p50, p99, max : float
-        Percentiles and the longest, rounded to milliseconds.
+        Percentiles and the maximum, rounded to milliseconds.
     count : int
-        How many there are.
+        Number of times.
     """
 
     p50: float
@@ -74,7 +74,7 @@
 
 
 def read_traffic(fleet: Fleet) -> Traffic:
-    """Return what has been counted up to now."""
+    """Return the current counters."""
     counters = [node.peers.counters for node in fleet.nodes]
     return Traffic(
         time.monotonic(),
@@ -87,7 +87,7 @@
 
 
 def compute_rates(before: Traffic, after: Traffic, nodes: int) -> Rates:
-    """Return the traffic a second between two moments."""
+    """Return the mean traffic between two readings."""
     seconds = after.at - before.at
     return Rates(
         round((after.processor - before.processor) / seconds / nodes, 6),
@@ -99,7 +99,7 @@
 
 
 def compute_spread(times: Iterable[float]) -> Spread:
-    """Return the spread of some times; of none all figures are zero."""
+    """Return the spread of some times; all zero if there are none."""
     ordered = sorted(times)
     if not ordered:
         return Spread(0.0, 0.0, 0.0, 0)
@@ -112,5 +112,5 @@
 
 
 def get_percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the smallest value that at least `share` of all do not exceed."""
+    """Return the smallest value that at least `share` of the values do not exceed."""
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
--- a/beryltrack_bench/fleet/fleet.py
+++ b/beryltrack_bench/fleet/fleet.py
@@ -1,7 +1,7 @@
 """A fleet of real nodes on loopback with the stand-in platform.
 
-A node is what a proxy has for control: settings, peers, and its client of the
-platform. Nothing is simulated; the nodes only share one process and its reactor.
+A node is the control plane of a proxy: settings, peers and a platform client.
+Nothing is simulated, but the nodes share one process and its reactor.
 """
 
 import random
@@ -21,7 +21,7 @@
 from beryltrack_standins.platform.limits import PlatformOptions
 from beryltrack_standins.platform.server import PlatformServer
 
-ANYWHERE = Endpoint("127.0.0.1", 0)
+ANY_PORT = Endpoint("127.0.0.1", 0)
 PEER_KEY = "the key of the bench"
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f")
 GROUP_PATH = "settings/bench/groups/main"
@@ -30,7 +30,7 @@
 
 
 def make_group(max_age: float, number: int = 0) -> dict[str, object]:
-    """Return the JSON of a group of three databases, at addresses of its own."""
+    """Return the JSON of a group of three databases, with addresses by its number."""
     host = f"10.0.{number // 256}.{number % 256}"
     databases = [
         {
@@ -45,7 +45,7 @@
 
 
 class Node:
-    """The control part of one proxy.
+    """The control plane of one proxy.
 
     Parameters
     ----------
@@ -62,12 +62,12 @@
     incarnation : int
         The incarnation of its process.
     seeds : tuple of Endpoint
-        Where peers may be found while the platform cannot tell.
+        Addresses of peers for use while the platform is unavailable.
     """
 
     def __init__(self, reactor, name, zone, url, rng, incarnation, seeds):
         instance = InstanceSettings(
-            name, zone, ANYWHERE, ANYWHERE, ANYWHERE, url, PEER_KEY, "", 1.0, seeds
+            name, zone, ANY_PORT, ANY_PORT, ANY_PORT, url, PEER_KEY, "", 1.0, seeds
         )
         self.name = name
         self.client = PlatformClient(reactor, url, rng)
@@ -82,7 +82,7 @@
 
     @property
     def value(self) -> float:
-        """The setting that the bench changes, as in force here."""
+        """The value in force of the setting that the bench changes."""
         return max((group.max_age for group in self.settings.current.groups), default=0)
 
     def start(self) -> None:
@@ -91,19 +91,19 @@
         self.settings.start()
 
     async def stop(self, abort: bool = False) -> None:
-        """Stop all tasks; without a word to the peers if `abort`."""
+        """Stop all tasks; if `abort`, the peers are not notified."""
         self.settings.stop()
         await (self.service.abort() if abort else self.service.stop())
         await self.client.close()
 
     def _check_value(self, site: SiteSettings) -> None:
-        """Count it if an older value came into force again."""
+        """Count a reversion if an older value came into force again."""
         self.reverted += self.value < self._highest
         self._highest = max(self._highest, self.value)
 
 
 class Fleet:
-    """Nodes that can be added, killed and told to leave.
+    """Nodes that can be added, crashed and removed, and their platform.
 
     Parameters
     ----------
@@ -118,14 +118,14 @@
         self.nodes: list[Node] = []
         self.rng = random.Random(seed)
         self._reactor = reactor
-        self._ended_reverts = 0
+        self._removed_reverts = 0
         self._started = 0
         self._change_client: PlatformClient | None = None
 
     @property
     def reverted(self) -> int:
-        """How often an older setting came into force again on any node."""
-        return self._ended_reverts + sum(node.reverted for node in self.nodes)
+        """Number of times that an older setting came into force again on any node."""
+        return self._removed_reverts + sum(node.reverted for node in self.nodes)
 
     async def start(self, count: int, groups: int = 0) -> None:
         """Start the platform with settings, and some nodes.
@@ -149,7 +149,7 @@
         await gatherResults(adding)
 
     async def add_node(self) -> Node:
-        """Start one more node and enter it in the instance list."""
+        """Start one more node and add it to the platform's instance list."""
         number = self._started
         self._started += 1
         node = Node(
@@ -163,25 +163,25 @@
         )
         node.start()
         self.nodes.append(node)
-        await self._list_node(node)
+        await self._register_node(node)
         return node
 
     async def remove_node(self, node: Node, abort: bool = False) -> None:
-        """Stop a node; without a word to its peers if `abort`."""
+        """Stop a node; if `abort`, its peers are not notified."""
         self.nodes.remove(node)
-        self._ended_reverts += node.reverted
+        self._removed_reverts += node.reverted
         await node.stop(abort)
         if not self.platform.faults.down:
             await treq.delete(f"{self.platform.url}/instances/{node.name}")
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all nodes and the platform."""
         await gatherResults([Deferred.fromCoroutine(n.stop()) for n in self.nodes])
         await self._change_client.close()
         await self.platform.stop()
 
     async def change_settings(self, value: float) -> float:
-        """Change the setting, as the operators' tool does; return its value.
+        """Change the setting as the operators' command does; return its value.
 
         Raises
         ------
@@ -197,7 +197,7 @@
         return value
 
     def is_joined(self) -> bool:
-        """Return whether all nodes know all of them as joined, and no others."""
+        """Return whether each node knows all nodes as joined, and no others."""
         names = {node.name for node in self.nodes}
         return all(
             names == {m.name for m in node.peers.members if m.state == JOINED}
@@ -205,39 +205,39 @@
         )
 
     def count_in_force(self, value: float) -> int:
-        """Return on how many nodes a value of the setting, or a later, is in force."""
+        """Return the number of nodes on which this or a later value is in force."""
         return sum(node.value >= value for node in self.nodes)
 
     def count_state(self, name: str, state: str) -> int:
-        """Return how many nodes see a member in a state."""
+        """Return the number of nodes that see a member in a state."""
         return sum(
             any(m.name == name and m.state == state for m in node.peers.members)
             for node in self.nodes
         )
 
     async def wait(self, condition, timeout: float) -> float:
-        """Wait for a condition; return the seconds it took.
+        """Wait for a condition; return the seconds until it held.
 
         Raises
         ------
         TimeoutError
-            If the condition did not hold in time.
+            If the condition did not hold within `timeout` seconds.
         """
         began = self._reactor.seconds()
         while not condition():
             if self._reactor.seconds() - began > timeout:
-                raise TimeoutError(f"nothing came of it within {timeout} s")
+                raise TimeoutError(f"the condition did not hold within {timeout} s")
             await deferLater(self._reactor, POLL_PERIOD)
         return self._reactor.seconds() - began
 
     def _get_seeds(self) -> tuple[Endpoint, ...]:
-        """Return where a new node may find others: a few of them."""
+        """Return the addresses of a few nodes, for a new node to join through."""
         chosen = self.rng.sample(self.nodes, min(SEED_COUNT, len(self.nodes)))
         owns = (node.peers.own for node in chosen)
         return tuple(Endpoint(own.host, own.port) for own in owns)
 
-    async def _list_node(self, node: Node) -> None:
-        """Enter a node in the instance list, as the platform does by itself."""
+    async def _register_node(self, node: Node) -> None:
+        """Add a node to the instance list, as a real platform does by itself."""
         own = node.peers.own
         entry = {"host": own.host, "port": own.port, "zone": own.zone, "state": "live"}
         if not self.platform.faults.down:
@@ -245,5 +245,5 @@
 
 
 def _raise_failure(failure: object) -> None:
-    """Report a change that was not accepted."""
+    """Raise an error for a change that was not accepted."""
     raise RuntimeError(f"the change was not accepted: {failure}")
--- a/beryltrack_bench/fleet/run.py
+++ b/beryltrack_bench/fleet/run.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine in the process's reactor, for commands that need real sockets."""
+"""Runs a coroutine in the process's reactor, for commands that use real sockets."""
 
 from collections.abc import Callable, Coroutine
 from typing import TypeVar
@@ -9,7 +9,7 @@
 
 
 def run_in_reactor(make: Callable[[object], Coroutine[object, object, T]]) -> T:
-    """Run the reactor until a coroutine has ended; once in a process.
+    """Run the reactor until a coroutine ends; possible once in a process.
 
     Parameters
     ----------
@@ -19,9 +19,9 @@
     Returns
     -------
     object
-        What the coroutine returned. What it raised is raised here.
+        The result of the coroutine; its exception is raised again.
     """
-    # Importing the reactor installs it, which nothing but a run should do.
+    # The import installs the reactor, so it must not happen at module level.
     from twisted.internet import reactor
 
     outcome: list = []
--- a/beryltrack_bench/fleet/scenario.py
+++ b/beryltrack_bench/fleet/scenario.py
@@ -1,4 +1,7 @@
-"""The course of the fleet experiment: changes, replacements, deaths, leavings."""
+"""The fleet experiment: settings changes, replacements, crashes and leaves of nodes.
+
+It measures how fast the nodes converge after each event, and the idle traffic.
+"""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,44 +20,67 @@
 )
 from beryltrack_bench.fleet.fleet import Fleet
 
-SETTLE_TIMEOUT = 30.0
+CONVERGENCE_TIMEOUT = 30.0
+"""Seconds within which all nodes must know each other, or all watches be open."""
+
 EVENT_TIMEOUT = 10.0
+"""Seconds after which a node counts as not informed of an event."""
+
 STEADY_SECONDS = 6.0
-# The first poll of a node's settings comes up to 19 s after its start, before it
-# knows how many share the store; only then do its calls show the fleet's rate.
+"""Length of the measurement of idle traffic."""
+
 STEADY_AFTER = 20.0
+"""Seconds from the start to the measurement of idle traffic. A node first polls its
+settings up to 19 s after its start, before it knows how many nodes share the store;
+only after that do its calls show the fleet's rate."""
+
 OUTAGE_SECONDS = 1.0
-REST_SECONDS = 0.3
+"""Seconds for which the store stays down after a change has arrived everywhere."""
+
+PAUSE_SECONDS = 0.3
+"""Mean pause between two changes."""
+
 CHANGES = 20
+"""Settings changes with the store up."""
+
 OUTAGES = 3
+"""Settings changes with the store down from the acceptance on."""
+
 REPLACEMENTS = 3
+"""Settings changes during a replacement of nodes."""
+
 REPLACED_SHARE = 8
+"""One node of so many is replaced at a time."""
+
 EVENTS = 3
-LOOK_PERIOD = 0.01
+"""Crashes, and leaves, that are measured."""
+
+CHECK_PERIOD = 0.01
+"""Seconds between two checks of a condition."""
 
 
 class ScenarioResult(NamedTuple):
-    """What the course measured; times in seconds.
+    """The measured figures; times in seconds.
 
     Parameters
     ----------
     start : float
-        From the start of the first node until all know of each other.
+        From the start of the first node until all know each other.
     steady : Rates
-        Traffic while nothing happens.
+        Traffic of an idle fleet.
     store_up : Spread
         From the acceptance of a change until it is in force, on each node.
     store_down : Spread
         The same, with the store down from the acceptance on.
     replacing : Spread
-        The same, while a part of the nodes is replaced; a new node's time
+        The same, while some of the nodes are replaced; a new node's time
         begins with its own start.
     death, leaving : Spread
-        Until each other node knows of a death or a leaving.
+        Until each other node knows of a crash or a leave.
     missed : int
-        Times that something was not known to a node within `EVENT_TIMEOUT`.
+        Number of nodes that an event had not reached within `EVENT_TIMEOUT`.
     reverted : int
-        Times that an older setting came into force again.
+        Number of times that an older setting came into force again.
     """
 
     start: float
@@ -69,7 +95,7 @@
 
 
 class FleetScenario:
-    """Runs one fleet through all that is measured.
+    """Runs one fleet through all events and measures their spread.
 
     Parameters
     ----------
@@ -84,114 +110,118 @@
         self._fleet = Fleet(reactor, seed)
         self._value = 1.0
         self._missed = 0
-        self._began = 0.0
+        self._started_at = 0.0
 
     async def run(self, nodes: int) -> ScenarioResult:
-        """Run the course with a number of nodes and stop everything."""
+        """Run the scenario with a number of nodes, and stop all of them."""
         began = self._reactor.seconds()
-        self._began = began
+        self._started_at = began
         await self._fleet.start(nodes)
-        await self._fleet.wait(self._fleet.is_joined, SETTLE_TIMEOUT)
+        await self._fleet.wait(self._fleet.is_joined, CONVERGENCE_TIMEOUT)
         start = self._reactor.seconds() - began
-        await self._sleep(2 * REST_SECONDS + 2.0)
+        await self._sleep(2 * PAUSE_SECONDS + 2.0)
         try:
             return await self._measure(round(start, 3))
         finally:
             await self._fleet.stop()
 
     async def _measure(self, start: float) -> ScenarioResult:
-        """Measure everything, one after the other."""
+        """Run all measurements, one after the other."""
         up = [await self._change(outage=False) for _ in range(CHANGES)]
-        elapsed = self._reactor.seconds() - self._began
+        elapsed = self._reactor.seconds() - self._started_at
         await self._sleep(max(0.0, STEADY_AFTER - elapsed))
         steady = await self._measure_steady()
         down = [await self._change(outage=True) for _ in range(OUTAGES)]
         replacing = [await self._replace() for _ in range(REPLACEMENTS)]
-        deaths = [await self._watch_event(DEAD) for _ in range(EVENTS)]
-        leavings = [await self._watch_event(LEAVING) for _ in range(EVENTS)]
+        deaths = [await self._measure_event(DEAD) for _ in range(EVENTS)]
+        leavings = [await self._measure_event(LEAVING) for _ in range(EVENTS)]
         return ScenarioResult(
             start,
             steady,
-            *map(_spread, (up, down, replacing, deaths, leavings)),
+            *map(_compute_event_spread, (up, down, replacing, deaths, leavings)),
             self._missed,
             self._fleet.reverted,
         )
 
     async def _measure_steady(self) -> Rates:
-        """Return the traffic while nothing happens."""
+        """Return the traffic of the idle fleet."""
         before = read_traffic(self._fleet)
         await self._sleep(STEADY_SECONDS)
         return compute_rates(before, read_traffic(self._fleet), len(self._fleet.nodes))
 
     async def _change(self, outage: bool) -> list[float]:
         """Change the settings; return each node's time until they are in force."""
-        # A change that no proxy could read before the outage has to wait for its
-        # end, so the watches have to be back after the last one.
-        await self._fleet.wait(self._is_watched, SETTLE_TIMEOUT)
-        value = await self._accept_change()
+        # A change that no node reads before the outage arrives only after it, so
+        # the watches must be open again after the last outage.
+        await self._fleet.wait(self._has_all_watches, CONVERGENCE_TIMEOUT)
+        value = await self._make_change()
         if outage:
             self._fleet.platform.set_fault("down", None)
         conditions = [
             lambda node=node: node.value >= value for node in self._fleet.nodes
         ]
-        times = await self._watch(conditions)
+        times = await self._measure_delays(conditions)
         if outage:
             await self._sleep(OUTAGE_SECONDS)
             self._fleet.platform.set_fault("up", None)
-        await self._sleep(self._fleet.rng.uniform(0.5, 1.5) * REST_SECONDS)
+        await self._sleep(self._fleet.rng.uniform(0.5, 1.5) * PAUSE_SECONDS)
         return times
 
     async def _replace(self) -> list[float]:
         """Change the settings while nodes are replaced, half of them by crashes."""
         fleet = self._fleet
         count = max(1, len(fleet.nodes) // REPLACED_SHARE)
-        gone = fleet.rng.sample(fleet.nodes, count)
-        value = await self._accept_change()
-        kept = [node for node in fleet.nodes if node not in gone]
+        replaced = fleet.rng.sample(fleet.nodes, count)
+        value = await self._make_change()
+        remaining = [node for node in fleet.nodes if node not in replaced]
         removals = [
             Deferred.fromCoroutine(fleet.remove_node(node, abort=index % 2 == 0))
-            for index, node in enumerate(gone)
+            for index, node in enumerate(replaced)
         ]
         watching = Deferred.fromCoroutine(
-            self._watch([lambda node=node: node.value >= value for node in kept])
+            self._measure_delays(
+                [lambda node=node: node.value >= value for node in remaining]
+            )
         )
         added = [await fleet.add_node() for _ in range(count)]
-        new = await self._watch([lambda n=n: n.value >= value for n in added])
+        new = await self._measure_delays([lambda n=n: n.value >= value for n in added])
         times = await watching + new
         await gatherResults(removals)
-        await fleet.wait(fleet.is_joined, SETTLE_TIMEOUT)
+        await fleet.wait(fleet.is_joined, CONVERGENCE_TIMEOUT)
         return times
 
-    async def _watch_event(self, state: str) -> list[float]:
-        """Kill a node or let it leave; return when each other node knows it."""
+    async def _measure_event(self, state: str) -> list[float]:
+        """Crash a node or let it leave; return the times until each other knows."""
         fleet = self._fleet
         node = fleet.rng.choice(fleet.nodes)
         others = [other for other in fleet.nodes if other is not node]
         conditions = [
-            lambda other=other: _sees(other, node.name, state) for other in others
+            lambda other=other: _sees_state(other, node.name, state) for other in others
         ]
         if state == LEAVING:
             node.service.leave()
-            times = await self._watch(conditions)
+            times = await self._measure_delays(conditions)
             await fleet.remove_node(node)
         else:
             removal = Deferred.fromCoroutine(fleet.remove_node(node, abort=True))
-            times = await self._watch(conditions)
+            times = await self._measure_delays(conditions)
             await removal
         return times
 
-    def _is_watched(self) -> bool:
-        """Return whether all watchers watch the store."""
-        wanted = min(WATCHER_COUNT, len(self._fleet.nodes))
-        return self._fleet.platform.watch_count >= wanted
+    def _has_all_watches(self) -> bool:
+        """Return whether all watches of the store are open."""
+        expected = min(WATCHER_COUNT, len(self._fleet.nodes))
+        return self._fleet.platform.watch_count >= expected
 
-    async def _accept_change(self) -> float:
-        """Make one change and return its value once the store accepted it."""
+    async def _make_change(self) -> float:
+        """Change the setting; return its value once the store has accepted it."""
         self._value += 1.0
         return await self._fleet.change_settings(self._value)
 
-    async def _watch(self, conditions: list[Callable[[], bool]]) -> list[float]:
-        """Return how long each condition took to hold."""
+    async def _measure_delays(
+        self, conditions: list[Callable[[], bool]]
+    ) -> list[float]:
+        """Return the seconds until each condition held, at most about the time-out."""
         began = self._reactor.seconds()
         waiting, times = conditions, []
         while waiting:
@@ -202,19 +232,19 @@
             if elapsed > EVENT_TIMEOUT:
                 self._missed += len(waiting)
                 return times + [elapsed] * len(waiting)
-            await self._sleep(LOOK_PERIOD)
+            await self._sleep(CHECK_PERIOD)
         return times
 
     def _sleep(self, seconds: float) -> Deferred:
-        """Let time pass."""
+        """Wait for a number of seconds."""
         return deferLater(self._reactor, seconds)
 
 
-def _sees(node, name: str, state: str) -> bool:
+def _sees_state(node, name: str, state: str) -> bool:
     """Return whether a node sees a member in a state."""
     return any(m.name == name and m.state == state for m in node.peers.members)
 
 
-def _spread(times: list[list[float]]) -> Spread:
-    """Return the spread over all events and nodes."""
+def _compute_event_spread(times: list[list[float]]) -> Spread:
+    """Return the spread of the times of all events and nodes."""
     return compute_spread(time for event in times for time in event)
