--- a/beryltrack_bench/replay/patterns.py
+++ b/beryltrack_bench/replay/patterns.py
@@ -34,7 +34,7 @@
 
 
 class Window(NamedTuple):
-    """An interval of a run, as fractions of its length."""
+    """An interval of a run, as fractions from 0.0 to 1.0 of its length."""
 
     start: float = 0.0
     end: float = 1.0
--- a/beryltrack_bench/steady/__init__.py
+++ b/beryltrack_bench/steady/__init__.py
@@ -1,1 +1,1 @@
-"""The steady workload: sessions that roam, replicas that lag, and an oracle."""
+"""The steady workload: sessions that change proxies, replicas that lag, an oracle."""
--- a/beryltrack_bench/steady/oracle.py
+++ b/beryltrack_bench/steady/oracle.py
@@ -1,7 +1,7 @@
-"""What an oracle would have done with the reads of a run, and what went wrong.
+"""An oracle that computes the best possible replica share and finds violations.
 
 The oracle knows at each time what was acknowledged and what each replica had
-applied. It shares no code with the deciders that it judges.
+applied. It shares no code with the deciders that it evaluates.
 """
 
 from collections import defaultdict
@@ -12,16 +12,16 @@
 from beryltrack_bench.steady.records import ReadRecord, RunRecord, Trace
 
 STALENESS = "staleness"
-"""Name of the invariant that a read is not older than it accepts."""
+"""Name of the invariant that no read is staler than it accepts."""
 
 
 class Oracle:
-    """Knows every position and age of a run exactly.
+    """Knows every log position and staleness of a run exactly.
 
     Parameters
     ----------
     record : RunRecord
-        What the run left behind.
+        The record of the run.
     """
 
     def __init__(self, record: RunRecord):
@@ -66,11 +66,11 @@
         )
 
     def _get_acknowledged(self, read: ReadRecord) -> int:
-        """Return the offset that a read must see, whoever wrote it."""
+        """Return the offset that a read must see of the writes of all sessions."""
         return self._acknowledged.get_offset(read.arrived_at - read.max_age)
 
     def _make_history(self) -> Iterator[WriteAcknowledged | ReadAnswered]:
-        """Return the history for the checks: what each session saw of its own."""
+        """Yield the history for the checks: which own writes each session saw."""
         own: dict[str, list[int]] = defaultdict(list)
         for write in self._record.writes:
             own[write.session].append(write.offset)
@@ -86,7 +86,7 @@
 
 
 def _trace_writes(record: RunRecord) -> Trace:
-    """Return how far the log was acknowledged at each time."""
+    """Return the trace of the acknowledged log offset."""
     trace = Trace()
     for write in sorted(record.writes, key=lambda each: each.acknowledged_at):
         trace.add(write.acknowledged_at, write.offset)
--- a/beryltrack_bench/steady/records.py
+++ b/beryltrack_bench/steady/records.py
@@ -1,4 +1,4 @@
-"""What a run of the steady workload leaves behind, as seen from outside."""
+"""The records of a run of the steady workload, as seen by callers and databases."""
 
 from bisect import bisect_left, bisect_right
 from typing import NamedTuple
@@ -22,7 +22,7 @@
     max_age : float
         Staleness that it accepts, seconds; zero if its session is unknown.
     offset : int
-        How far the log was applied that it saw.
+        Log offset that was applied where it ran.
     is_replica : bool
         True if a replica served it.
     """
@@ -44,7 +44,7 @@
     session : str
         The session.
     offset : int
-        Where it is in the log.
+        Its offset in the log.
     acknowledged_at : float
         When the proxy acknowledged it, seconds.
     ended_at : float
@@ -58,14 +58,14 @@
 
 
 class Trace:
-    """How far something had come at each time; it never goes back."""
+    """A log offset over time; it never decreases."""
 
     def __init__(self):
         self._times: list[float] = []
         self._offsets: list[int] = []
 
     def add(self, at: float, offset: int) -> None:
-        """Add the offset that is reached at a time not before the last one."""
+        """Add the offset reached at a time, which is not before the last one."""
         if not self._offsets or offset > self._offsets[-1]:
             self._times.append(at)
             self._offsets.append(offset)
@@ -82,14 +82,14 @@
 
 
 class TracedLog(ReplicaLog):
-    """A log that notes when its readers come to see each entry.
+    """A log that records when each entry becomes visible to readers.
 
     Parameters
     ----------
     name : str
-        The database's name.
+        Name of the database.
     get_time : callable
-        Gives the time, seconds.
+        Returns the time, seconds.
     """
 
     def __init__(self, name: str, get_time):
@@ -100,7 +100,7 @@
 
     @property
     def applied_offset(self) -> int:
-        """The offset of the last entry that readers can see."""
+        """The offset of the last entry that is visible to readers."""
         return self._applied_offset
 
     @applied_offset.setter
@@ -110,7 +110,7 @@
 
 
 class RunRecord(NamedTuple):
-    """All that a run leaves behind.
+    """The complete record of a run.
 
     Parameters
     ----------
@@ -121,9 +121,9 @@
     refused : list of str
         Texts of the refusals.
     replicas : dict of str to Trace
-        How far each replica had applied the log.
+        Applied log offset of each replica.
     lags : list of float
-        Seconds that each write took to be applied, at each replica.
+        Replication lag of each write at each replica, seconds.
     """
 
     reads: list[ReadRecord]
--- a/beryltrack_bench/steady/routers.py
+++ b/beryltrack_bench/steady/routers.py
@@ -1,4 +1,4 @@
-"""The ways to route reads that are compared: the product's and two baselines."""
+"""The read routing policies that are compared: the product's and two baselines."""
 
 from typing import NamedTuple, Protocol
 
@@ -15,8 +15,8 @@
     request : ReadRequest
         The read, as the product sees it.
     written_at : float
-        When its session's last write was acknowledged, at whatever proxy;
-        minus infinity if it has written nothing. The product does not see it.
+        When the last write of its session was acknowledged by any proxy; minus
+        infinity if it has written nothing. The product does not use it.
     """
 
     request: ReadRequest
@@ -33,16 +33,16 @@
         loads: tuple[TargetLoad, ...],
         now: float,
     ) -> Choice:
-        """Return where a read runs, or what has to happen first."""
+        """Return where a read runs, or what must happen first."""
 
 
 class ProductRouter(NamedTuple):
-    """The decider of the product.
+    """The product's routing decider.
 
     Parameters
     ----------
     policy : RoutingPolicy
-        Its limits.
+        Its policy.
     """
 
     policy: RoutingPolicy
@@ -75,14 +75,14 @@
 class StickyRouter(NamedTuple):
     """Sends a session's reads to the primary for a fixed time after its write.
 
-    It has no proof of ages and cannot tell what an unknown session has written,
-    so reads that must be current go to the primary, and a stated staleness is
-    taken for granted.
+    It has no proof of how stale a replica is, and does not know what a session
+    without a token has written. So reads that must be current go to the primary, and
+    replicas are assumed to satisfy any accepted staleness.
 
     Parameters
     ----------
     window : float
-        That time, seconds.
+        Time after a write, seconds.
     """
 
     window: float
@@ -94,22 +94,22 @@
         loads: tuple[TargetLoad, ...],
         now: float,
     ) -> Choice:
-        """Return the primary, or else the replica with the least work."""
+        """Return the primary, or the replica with the shortest queue."""
         request = arrival.request
         is_sticky = now - arrival.written_at < self.window
         if is_sticky or request.token is None or request.max_age == 0.0:
             return UseTarget(view.primary, False)
-        turn = request.sequence % len(loads)
+        start = request.sequence % len(loads)
         replicas = [
             load
-            for load in loads[turn:] + loads[:turn]
+            for load in loads[start:] + loads[:start]
             if load.database != view.primary
         ]
         return UseTarget(min(replicas, key=_rank(request.zone)).database, True)
 
 
 def _rank(zone: str):
-    """Return a key by the queue, the zone and the work of a database."""
+    """Return a sort key: queue length, then zone, then outstanding statements."""
     return lambda load: (
         load.outstanding // load.limit,
         load.zone != zone,
--- a/beryltrack_bench/steady/site.py
+++ b/beryltrack_bench/steady/site.py
@@ -1,8 +1,8 @@
-"""One database group under the steady workload, with all its proxies.
+"""One simulated database group under the steady workload, with all its proxies.
 
-The proxies run the product's `GroupTask` and a `Router` over the fakes. A
-database runs a few statements at once and queues the rest; a proxy holds its
-share of the connections to each database and queues what is beyond it.
+The proxies run the product's `GroupTask` and a `Router` over fakes. A database
+runs a few statements at once and queues the others; a proxy has its share of the
+connections to each database, and queues statements for them.
 """
 
 from collections import Counter
@@ -48,25 +48,30 @@
 )
 
 LOST_AFTER = 0.5
+"""Seconds of silence after which a primary counts as lost."""
+
 WARM_UP = 1.0
-"""Seconds before the first visit, in which the proxies get to know the group."""
+"""Seconds before the first visit, in which the proxies learn the group's state."""
 
 COOL_DOWN = 2.0
-"""Seconds after the last visit began, in which the last answers come."""
+"""Seconds after the last visit began, in which the last answers arrive."""
 
 CONFIRM_TIMEOUT = 5.0
+"""Seconds within which a write must be confirmed."""
+
 SAMPLE_TIMEOUT = 1.0
+"""Seconds after which a sample of the primary is cancelled."""
 
 
 class RunSettings(NamedTuple):
-    """What one run is made of.
+    """The parameters of one run.
 
     Parameters
     ----------
     deployment : Deployment
         The site.
     group : str
-        The group that is run.
+        Name of the simulated group.
     seed : int
         Seed of all random numbers.
     seconds : float
@@ -80,7 +85,7 @@
 
 
 class SteadyProxy:
-    """One proxy's course of a request, with a router of choice."""
+    """One proxy, which executes requests with a given router."""
 
     def __init__(self, site: "SteadySite", node: Node, router: Router):
         self.node = node
@@ -108,7 +113,7 @@
     async def read(
         self, arrival: Arrival, service_time: float
     ) -> tuple[UseTarget | Refuse, LogPosition]:
-        """Run a read; return where it ran and what it saw."""
+        """Run a read; return the choice of its database and the position it saw."""
         self._sequence += 1
         request = arrival.request._replace(zone=self.node.zone, sequence=self._sequence)
         choice = await self._choose(arrival._replace(request=request))
@@ -121,7 +126,7 @@
         return choice, position
 
     async def _choose(self, arrival: Arrival) -> UseTarget | Refuse:
-        """Ask the router until it names a database."""
+        """Ask the router until it returns a database or a refusal."""
         while True:
             now = self.task.get_time()
             view = self.task.view
@@ -140,19 +145,19 @@
             arrival = arrival._replace(request=request)
 
     def _refresh(self, choice: UseTarget | Refuse) -> None:
-        """Have ages proven anew if the choice says so."""
+        """Refresh the proven ages if the choice requires it."""
         if isinstance(choice, UseTarget) and choice.refreshes:
             self._refresher.refresh()
 
     def _get_loads(self) -> tuple[TargetLoad, ...]:
-        """Return this proxy's work at each database."""
+        """Return this proxy's outstanding statements at each database."""
         return tuple(
             TargetLoad(name, zone, self._outstanding[name], self._limit)
             for name, zone in self._site.zones.items()
         )
 
     async def _use(self, database: str, serve) -> LogPosition:
-        """Run something at a database over one of the proxy's connections."""
+        """Run a statement at a database over one of the proxy's connections."""
         self._outstanding[database] += 1
         await self._connections[database].acquire()
         try:
@@ -168,9 +173,9 @@
     Parameters
     ----------
     settings : RunSettings
-        What the run is made of.
+        Parameters of the run.
     router : Router
-        How the proxies route reads.
+        The proxies' read routing policy.
     """
 
     def __init__(self, settings: RunSettings, router: Router):
@@ -194,38 +199,38 @@
         self._rng = self._make_rng("callers")
 
     def run(self) -> RunRecord:
-        """Run the whole workload and return what it leaves behind."""
+        """Run the whole workload and return its record."""
         self._group.start()
         for proxy in self._proxies:
             proxy.task.start()
-        self._plan_stalls()
+        self._schedule_stalls()
         visits = make_visits(
             self._workload, self._settings.seconds, self._make_rng("visits")
         )
-        self._await_visit(iter(visits))
+        self._schedule_visit(iter(visits))
         self._site.run_until(WARM_UP + self._settings.seconds + COOL_DOWN)
-        self._note_replicas()
+        self._record_replicas()
         return self._record
 
     def make_task(self, node: Node) -> GroupTask:
-        """Return the product's watch of the group, at one proxy."""
+        """Return the product's `GroupTask` of one proxy."""
         adapter = FakeAdapter(self._group, node)
         rng = self._make_rng(node.name)
         return GroupTask(node, self._make_settings(), adapter, node.name, rng)
 
     def call(self, node: Node, database: str, serve) -> Deferred:
-        """Run something at a database's slots, over the link to it."""
+        """Run a statement in a database's slots, over the link to it."""
         server = self.servers[database]
         return self._group.call(
             node, database, "statement", lambda each: ensureDeferred(serve(server))
         )
 
     def _make_rng(self, purpose: str) -> Random:
-        """Return the random numbers of one purpose."""
+        """Return the random number generator for one purpose."""
         return Random(f"{self._settings.seed} {self._settings.group} {purpose}")
 
     def _make_group(self) -> FakeGroup:
-        """Return the databases, with logs that note what is applied when."""
+        """Return the databases, with logs that record when entries are applied."""
         rng = self._make_rng("databases")
         network = make_network(self._site, self.deployment, rng)
         group = FakeGroup(
@@ -253,12 +258,12 @@
         )
 
     def _add_proxy_node(self, index: int) -> Node:
-        """Return the node of a proxy, the zones taken in turn."""
+        """Return the node of a proxy; zones are assigned round robin."""
         zone = get_zone(self.deployment, index)
         return self._site.add_node(f"proxy-{index + 1}", zone)
 
-    def _plan_stalls(self) -> None:
-        """Let the replicas fall behind at their times."""
+    def _schedule_stalls(self) -> None:
+        """Schedule the stalls of the replicas."""
         replicas = tuple(name for name in self.zones if not self._is_primary(name))
         stalls = make_stalls(
             self._workload.stalls,
@@ -273,18 +278,18 @@
             )
 
     def _stall(self, database: str, until: float) -> None:
-        """Let a replica apply nothing until a time."""
+        """Stall a replica, which applies nothing until a time."""
         self._group.databases[database].lag_until = until
 
     def _is_primary(self, name: str) -> bool:
-        """Return whether a database leads the group."""
+        """Return whether a database is the group's primary."""
         return name == self._group.primary.name
 
-    def _await_visit(self, visits: Iterator[Visit]) -> None:
-        """Let the next caller begin its visit at its time, and so on.
+    def _schedule_visit(self, visits: Iterator[Visit]) -> None:
+        """Schedule the next visit, which in turn schedules the one after it.
 
-        Only one of them is planned at a time, as the clock sorts all that is
-        planned whenever something is added.
+        Only one visit is scheduled at a time, as the clock sorts all its timers
+        whenever one is added.
         """
         visit = next(visits, None)
         if visit is not None:
@@ -292,8 +297,8 @@
             self._site.clock.callLater(max(0.0, delay), self._begin, visit, visits)
 
     def _begin(self, visit: Visit, visits: Iterator[Visit]) -> None:
-        """Let a caller begin its visit."""
-        self._await_visit(visits)
+        """Begin a visit, and schedule the next one."""
+        self._schedule_visit(visits)
         ensureDeferred(self._visit(visit))
 
     async def _visit(self, visit: Visit) -> None:
@@ -313,11 +318,11 @@
     async def _write(self, visit: Visit, key: str) -> LogPosition | None:
         """Make one write; return its position if it was acknowledged."""
         proxy = self._rng.choice(self._proxies)
-        await self._travel()
-        service_time = self._draw(self._workload.service.write_median)
+        await self._wait_client_delay()
+        service_time = self._draw_service_time(self._workload.service.write_median)
         position = await proxy.write(key, service_time)
         acknowledged_at = self._site.clock.seconds()
-        await self._travel()
+        await self._wait_client_delay()
         if position is None:
             self._record.refused.append(f"{key} was not confirmed")
             return None
@@ -333,14 +338,14 @@
         """Make one read."""
         started_at = self._site.clock.seconds()
         proxy = self._rng.choice(self._proxies)
-        await self._travel()
+        await self._wait_client_delay()
         arrived_at = self._site.clock.seconds()
         request = ReadRequest(proxy.task.get_time(), token, visit.model.max_age)
         choice, position = await proxy.read(
             Arrival(request, written_at),
-            self._draw(self._workload.service.read_median),
+            self._draw_service_time(self._workload.service.read_median),
         )
-        await self._travel()
+        await self._wait_client_delay()
         if isinstance(choice, Refuse):
             self._record.refused.append(choice.text)
             return
@@ -356,28 +361,28 @@
             )
         )
 
-    def _draw(self, median: float) -> float:
-        """Return a service time."""
+    def _draw_service_time(self, median: float) -> float:
+        """Draw a log-normal service time, seconds."""
         return median * self._rng.lognormvariate(0.0, self._workload.service.sigma)
 
     def _think(self, visit: Visit) -> Deferred:
-        """Wait for the caller's next request."""
+        """Wait for the think time before the caller's next request."""
         spread = self._rng.lognormvariate(0.0, self._workload.think_sigma)
         return deferLater(self._site.clock, visit.model.think_median * spread)
 
-    def _travel(self) -> Deferred:
-        """Wait for the way between a caller and the site."""
+    def _wait_client_delay(self) -> Deferred:
+        """Wait for the network delay between a caller and the site."""
         return deferLater(self._site.clock, self.deployment.client_delay)
 
-    def _note_replicas(self) -> None:
-        """Note how far each replica had applied the log, and how late."""
+    def _record_replicas(self) -> None:
+        """Record the applied offsets and the replication lags of each replica."""
         primary = self._group.primary.log.trace
         for name, database in self._group.databases.items():
             if self._is_primary(name):
                 continue
             trace = database.log.trace
             self._record.replicas[name] = trace
-            # What is not applied when the run ends counts as applied then.
+            # A write that is not applied when the run ends counts as applied then.
             self._record.lags.extend(
                 min(trace.get_time(write.offset), self._site.clock.seconds())
                 - primary.get_time(write.offset)
--- a/beryltrack_bench/steady/slots.py
+++ b/beryltrack_bench/steady/slots.py
@@ -1,4 +1,4 @@
-"""A database's slots: how many statements it runs at once."""
+"""The execution slots of a database, which limit the statements it runs at once."""
 
 from twisted.internet.defer import DeferredSemaphore
 from twisted.internet.task import deferLater
@@ -8,14 +8,14 @@
 
 
 class SlotServer:
-    """A database's slots: it runs a few statements at once, the rest queue."""
+    """Runs a limited number of statements at once and queues the others."""
 
     def __init__(self, database: FakeDatabase, slots: int):
         self._database = database
         self._slots = DeferredSemaphore(slots)
 
     async def read(self, service_time: float) -> LogPosition:
-        """Run a read; return what was applied when it began to run."""
+        """Run a read; return the position applied when it began to run."""
         await self._slots.acquire()
         position = self._database.log.applied
         await self._run(service_time)
@@ -28,6 +28,6 @@
         return await self._database.write(key)
 
     async def _run(self, service_time: float) -> None:
-        """Hold a slot while a statement runs."""
+        """Run a statement in the acquired slot, and release the slot."""
         await deferLater(self._database.node, service_time)
         self._slots.release()
--- a/beryltrack_bench/steady/workload.py
+++ b/beryltrack_bench/steady/workload.py
@@ -1,7 +1,7 @@
-"""The workload of a deployment, typed, and the visits that callers make by it.
+"""The typed workload of a deployment, and the visits that callers make.
 
-A visit is what a session does in a short while: some writes, then some reads,
-each request through a proxy of its own, as the balancer spreads them.
+A visit is a short sequence of requests of one session: some writes, then some reads.
+The load balancer assigns each request to a proxy independently.
 """
 
 from itertools import accumulate, chain, repeat, takewhile
@@ -15,15 +15,15 @@
     Parameters
     ----------
     name : str
-        What the visit is for.
+        Name of the kind.
     rate : float
         Visits a second at one group.
     writes : int
         Writes at the beginning of a visit.
     reads : int
-        Reads after them.
+        Reads after the writes.
     think_median : float
-        Median of the seconds between two requests of a visit.
+        Median think time between two requests of a visit, seconds.
     max_age : float
         Staleness that the reads accept, seconds.
     known : float
@@ -40,7 +40,7 @@
 
 
 class ServiceModel(NamedTuple):
-    """How long statements run.
+    """Log-normal service times of statements.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
 
 
 class StallModel(NamedTuple):
-    """How replicas fall far behind: they apply nothing for a while.
+    """Stalls of replicas, which apply nothing for a while and fall behind.
 
     Parameters
     ----------
@@ -74,18 +74,18 @@
 
 
 class Workload(NamedTuple):
-    """What callers do at one group, and how its databases run it.
+    """The load of one group, and the behaviour of its databases.
 
     Parameters
     ----------
     visits : tuple of VisitModel
         The kinds of visits.
     think_sigma : float
-        Standard deviation of the logarithm of the times between requests.
+        Standard deviation of the logarithm of the think times.
     service : ServiceModel
-        How long statements run.
+        Service times of statements.
     stalls : StallModel
-        How replicas fall far behind.
+        Stalls of replicas.
     """
 
     visits: tuple[VisitModel, ...]
@@ -104,7 +104,7 @@
     at : float
         When it begins, seconds.
     model : VisitModel
-        Its kind.
+        The kind of visit.
     is_known : bool
         True if it carries a token.
     """
@@ -125,7 +125,7 @@
     at : float
         When it begins, seconds.
     length : float
-        How long nothing is applied, seconds.
+        Duration, seconds.
     """
 
     database: str
@@ -144,7 +144,7 @@
 
 
 def make_visits(workload: Workload, seconds: float, rng: Random) -> tuple[Visit, ...]:
-    """Return the visits of a run, in the order in which they begin.
+    """Return the visits of a run, in order of their begin.
 
     Parameters
     ----------
@@ -153,7 +153,7 @@
     seconds : float
         Length of the run.
     rng : Random
-        Source of the arrivals, which are a Poisson process.
+        Source of the arrivals, a Poisson process for each kind.
 
     Returns
     -------
@@ -180,13 +180,13 @@
     Parameters
     ----------
     model : StallModel
-        How replicas stall.
+        Distribution of the stalls.
     databases : tuple of str
-        The replicas.
+        Names of the replicas.
     seconds : float
         Length of the run.
     rng : Random
-        Source of their times.
+        Source of the times and lengths.
 
     Returns
     -------
@@ -201,6 +201,6 @@
 
 
 def _make_arrivals(rate: float, seconds: float, rng: Random) -> list[float]:
-    """Return the times of a Poisson process."""
+    """Return the arrival times of a Poisson process, seconds."""
     gaps = (rng.expovariate(each) for each in repeat(rate))
     return list(takewhile(lambda at: at < seconds, accumulate(gaps)))
