--- a/beryltrack_bench/soak/__init__.py
+++ b/beryltrack_bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of real processes: faults from outside, promises checked inside."""
+"""A randomized soak test of real processes under faults, with consistency checks."""
--- a/beryltrack_bench/soak/caller.py
+++ b/beryltrack_bench/soak/caller.py
@@ -10,39 +10,39 @@
 
 from beryltrack.settings.messages import Endpoint, RouteSettings
 from beryltrack.wire.line_buffer import LineBuffer
-from beryltrack_bench.soak.history import PRIMARY_ROUTE, History, Sent
+from beryltrack_bench.soak.history import PRIMARY_ROUTE, History, SentStatement
 
-PROMISES = frozenset(
+NOT_APPLIED_CODES = frozenset(
     (b"BUSY", b"ABORTED", b"LAGGING", b"READONLY", b"MISROUTED", b"TOOMANY")
 )
-"""Codes that say that nothing of an attempt is kept."""
+"""Error codes that guarantee that nothing of an attempt is applied."""
 
-ANSWER_LIMIT = 4.0
-"""Seconds that a caller waits for an answer."""
+ANSWER_TIMEOUT = 4.0
+"""Seconds for which a caller waits for an answer."""
 
-ITEMS = 12
-"""Items that callers read and write: few, so that they meet."""
+ITEM_COUNT = 12
+"""Number of items that callers read and write; small, so that sessions conflict."""
 
 _numbers = itertools.count(1)
 
 
 class CallerGone(Exception):
-    """Raised when a session ended before its answer."""
+    """Raised if a session ends before its answer; counted as an outcome by its name."""
 
 
 class CallerConnection(Protocol):
-    """One session: sends a statement and waits for its answer."""
+    """The client side of one session, with one statement in flight at a time."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Expect the answer to START."""
+        """Initialize the session; it is used from START on."""
         self.transport.setTcpNoDelay(True)
         self.buffer = LineBuffer()
         self.lines: list[bytes] = []
         self.waiting: Deferred | None = None
         self.is_gone = False
 
-    def ask(self, line: bytes) -> Deferred[list[bytes]]:
-        """Send a message; fires with the lines of its answer."""
+    def send(self, line: bytes) -> Deferred[list[bytes]]:
+        """Send a message; the Deferred fires with the lines of its answer."""
         self.lines, self.waiting = [], Deferred()
         if self.is_gone:
             self.waiting.errback(CallerGone())
@@ -51,7 +51,7 @@
         return self.waiting
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take the lines of an answer until READY."""
+        """Collect the lines of an answer until READY."""
         for line in self.buffer.feed(data):
             self.lines.append(line)
             if line.startswith(b"READY") and self.waiting is not None:
@@ -59,7 +59,7 @@
                 waiting.callback(self.lines)
 
     def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
-        """Fail who waits."""
+        """Fail the statement in flight."""
         self.is_gone = True
         waiting, self.waiting = self.waiting, None
         if waiting is not None:
@@ -67,22 +67,22 @@
 
 
 class Caller:
-    """Runs sessions of one route until it is stopped.
+    """Runs random sessions of one route until it is stopped.
 
     Parameters
     ----------
     reactor : reactor
         Source of sockets and timers.
     history : History
-        Takes what is sent and what it was told.
+        Records the statements sent and their answers.
     nodes : list of Endpoint
-        Where nodes take callers.
+        Addresses at which nodes accept callers.
     route : RouteSettings
         The route.
     kind : str
-        Its kind.
+        Kind of the route.
     rng : random.Random
-        Decides what is asked.
+        Source of the operations.
     account, key : str
         Its client account, and the key that it presents.
     """
@@ -116,7 +116,7 @@
             except (CallerGone, TimeoutError, OSError) as error:
                 self._history.outcomes[type(error).__name__] += 1
             except Exception as error:
-                # Twisted's errors of connections have no common type.
+                # Twisted's connection errors have no common base class.
                 self._history.outcomes[f"not connected: {type(error).__name__}"] += 1
             await deferLater(self._reactor, self._rng.uniform(0.02, 0.1))
 
@@ -129,12 +129,14 @@
         values: dict[bytes, bytes] = {}
         try:
             start = f"START {self._route.name} {self._key}".encode()
-            if not self._judge(await self._ask(connection, start), [], None):
+            if not self._record_answer(await self._send(connection, start), [], None):
                 return
             if self._rng.random() < 0.4:
                 value = b"v%d" % session
                 setting = b"QUERY s%d SET name %s" % (session, value)
-                if not self._judge(await self._ask(connection, setting), [], None):
+                if not self._record_answer(
+                    await self._send(connection, setting), [], None
+                ):
                     return
                 values[b"name"] = value
             for _ in range(self._rng.randint(1, 12)):
@@ -148,50 +150,52 @@
         finally:
             connection.transport.abortConnection()
 
-    def _ask(self, connection: CallerConnection, line: bytes) -> Deferred:
-        """Send one message and wait for a bounded time."""
-        return connection.ask(line).addTimeout(ANSWER_LIMIT, self._reactor)
+    def _send(self, connection: CallerConnection, line: bytes) -> Deferred:
+        """Send one message; the answer times out after `ANSWER_TIMEOUT`."""
+        return connection.send(line).addTimeout(ANSWER_TIMEOUT, self._reactor)
 
-    def _note(
-        self, session: int, text: bytes, transaction: int, asked_at: float, values: dict
+    def _record_statement(
+        self, session: int, text: bytes, transaction: int, sent_at: float, values: dict
     ) -> bytes:
-        """Note a statement that is about to be sent; return its identifier."""
+        """Record a statement that is about to be sent; return its identifier."""
         request = b"q%x" % next(_numbers)
-        kept = tuple(sorted(values.items()))
-        self._history.note_sent(
-            Sent(
+        session_values = tuple(sorted(values.items()))
+        self._history.record_sent(
+            SentStatement(
                 request,
                 text,
                 session,
                 transaction,
                 self._kind,
                 self._route.max_age,
-                asked_at,
-                kept,
+                sent_at,
+                session_values,
                 self._account,
             )
         )
         return request
 
     def _make_write(self) -> bytes:
-        """Return a write whose data no other has."""
-        return b"WRITE i%d d%d" % (self._rng.randrange(ITEMS), next(_numbers))
+        """Return a write of unique data to a random item."""
+        return b"WRITE i%d d%d" % (self._rng.randrange(ITEM_COUNT), next(_numbers))
 
     def _make_read(self) -> bytes:
-        """Return a read."""
-        return b"READ i%d" % self._rng.randrange(ITEMS)
+        """Return a read of a random item."""
+        return b"READ i%d" % self._rng.randrange(ITEM_COUNT)
 
     async def _run_statement(self, connection, session: int, values: dict) -> bool:
-        """Run a single read or write; False if the session is to end."""
+        """Run a single read or write; return False if the session must end."""
         is_write = self._rng.random() < 0.3
         text = self._make_write() if is_write else self._make_read()
-        request = self._note(session, text, 0, self._reactor.seconds(), values)
-        answer = await self._ask(connection, b"QUERY %s %s" % (request, text))
-        return self._judge(answer, [request], request if is_write else None)
+        request = self._record_statement(
+            session, text, 0, self._reactor.seconds(), values
+        )
+        answer = await self._send(connection, b"QUERY %s %s" % (request, text))
+        return self._record_answer(answer, [request], request if is_write else None)
 
     async def _run_transaction(self, connection, session: int, values: dict) -> bool:
-        """Run a transaction of some statements; False if the session is to end."""
-        transaction, asked_at = next(_numbers), self._reactor.seconds()
+        """Run a random transaction; return False if the session must end."""
+        transaction, sent_at = next(_numbers), self._reactor.seconds()
         writes = self._rng.random() < 0.6 or self._kind == PRIMARY_ROUTE
         texts = [b"BEGIN" if writes else b"BEGIN READ"]
         for _ in range(self._rng.randint(1, 4)):
@@ -201,29 +205,31 @@
         has_written = any(text.startswith(b"WRITE") for text in texts)
         requests = []
         for text in texts:
-            request = self._note(session, text, transaction, asked_at, values)
+            request = self._record_statement(
+                session, text, transaction, sent_at, values
+            )
             requests.append(request)
-            answer = await self._ask(connection, b"QUERY %s %s" % (request, text))
+            answer = await self._send(connection, b"QUERY %s %s" % (request, text))
             is_end = text == b"COMMIT" and has_written
-            if not self._judge(answer, requests, request if is_end else None):
+            if not self._record_answer(answer, requests, request if is_end else None):
                 return False
             if self._rng.random() < 0.02:
                 return False
             await deferLater(self._reactor, self._rng.uniform(0.0, 0.03))
         return True
 
-    def _judge(
+    def _record_answer(
         self, answer: list[bytes], requests: list[bytes], commit: bytes | None
     ) -> bool:
-        """Note what an answer promises; False if it is an error."""
+        """Record the outcome of statements; return False if the answer is an error."""
         error = next((line for line in answer if line.startswith(b"ERROR")), None)
         if error is None:
             self._history.outcomes["served"] += 1
             if commit is not None:
-                self._history.note_acknowledged(commit)
+                self._history.record_acknowledged(commit)
             return True
         code = error.split(b" ")[1]
         self._history.outcomes[code.decode()] += 1
-        if code in PROMISES:
-            self._history.note_refused(requests, code.decode())
+        if code in NOT_APPLIED_CODES:
+            self._history.record_refused(requests, code.decode())
         return False
--- a/beryltrack_bench/soak/command.py
+++ b/beryltrack_bench/soak/command.py
@@ -1,4 +1,4 @@
-"""The command `beryltrack-bench soak`: some seeds, one after the other."""
+"""The command `beryltrack-bench soak`: runs the soak on consecutive seeds."""
 
 import json
 
@@ -31,7 +31,7 @@
     ]
 
     def handle(self) -> int:
-        """Run the seeds; the exit code tells whether all promises held."""
+        """Run the seeds; the exit code says whether all checks passed."""
         from twisted.internet import reactor
 
         first, runs = int(self.option("seed")), int(self.option("runs"))
--- a/beryltrack_bench/soak/faults.py
+++ b/beryltrack_bench/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the soak: each begins, lasts for a while and ends; they overlap."""
+"""The faults that the soak injects; several can be active at the same time."""
 
 import itertools
 import random
@@ -15,7 +15,7 @@
 
 
 class Fault(NamedTuple):
-    """What a fault is called, how it begins and how it ends."""
+    """A fault: its name in the result, and the functions that begin and end it."""
 
     name: str
     begin: Step
@@ -23,19 +23,19 @@
 
 
 def draw_fault(site: SoakSite, rng: random.Random) -> Fault:
-    """Return a fault that is drawn at random."""
-    makers = _MAKERS if site.options.is_fenced else _UNFENCED_MAKERS
+    """Return a random fault of those that the site's options allow."""
+    factories = _FACTORIES if site.options.is_fenced else _UNFENCED_FACTORIES
     if site.options.has_only_primary_cuts:
-        makers = (_cut_primary,)
+        factories = (_cut_primary,)
     if site.options.is_forgetful:
-        makers += _FORGETFUL_MAKERS
+        factories += _FORGETFUL_FACTORIES
     if site.accounts:
-        makers += _ACCOUNT_MAKERS
+        factories += _ACCOUNT_FACTORIES
     if site.options.has_store_restores:
-        makers += _RESTORE_MAKERS
+        factories += _RESTORE_FACTORIES
     if site.options.is_paused_often:
-        makers += _PAUSE_MAKERS
-    return rng.choice(makers)(site, rng)
+        factories += _PAUSE_FACTORIES
+    return rng.choice(factories)(site, rng)
 
 
 def _do_nothing() -> None:
@@ -98,33 +98,33 @@
 
 
 def _pause_in_series(site: SoakSite, rng: random.Random) -> Fault:
-    """Let a node run for some tenths of a second between one pause and the next."""
+    """Pause a node repeatedly; it runs for some tenths of a second in between."""
     node = _draw_node(site, rng)
     ran, length = rng.uniform(0.1, 0.4), rng.uniform(0.5, 1.0)
     steps = itertools.cycle(((signal.SIGSTOP, length), (signal.SIGCONT, ran)))
     until = site.seconds() + 3 * (ran + length)
 
-    def go_on() -> None:
+    def toggle() -> None:
         number, wait = next(steps)
         if site.seconds() < until:
             site.signal_node(node, number)
-            site.call_later(wait, go_on)
+            site.call_later(wait, toggle)
 
     def end() -> None:
         nonlocal until
         until = site.seconds()
         site.signal_node(node, signal.SIGCONT)
 
-    return Fault(f"pause {node.name} again and again", go_on, end)
+    return Fault(f"pause {node.name} again and again", toggle, end)
 
 
 def _crash_database(site: SoakSite, rng: random.Random) -> Fault:
-    leads = rng.random() < 0.7 and site.group.primary is not None
-    name = site.group.primary.name if leads else rng.choice(DATABASES)
-    is_dark = rng.random() < 0.5
+    hits_primary = rng.random() < 0.7 and site.group.primary is not None
+    name = site.group.primary.name if hits_primary else rng.choice(DATABASES)
+    is_silent = rng.random() < 0.5
     return Fault(
-        f"{'darken' if is_dark else 'crash'} {name}",
-        lambda: site.databases[name].crash(is_dark),
+        f"{'darken' if is_silent else 'crash'} {name}",
+        lambda: site.databases[name].crash(is_silent),
         lambda: site.databases[name].restart(),
     )
 
@@ -132,9 +132,11 @@
 def _cut_link(site: SoakSite, rng: random.Random) -> Fault:
     node = _draw_node(site, rng)
     key = rng.choice(sorted(node.links))
-    ways = rng.choice(((TO_TARGET, TO_NODE), (TO_TARGET,), (TO_NODE,)))
+    directions = rng.choice(((TO_TARGET, TO_NODE), (TO_TARGET,), (TO_NODE,)))
     link = node.links[key]
-    return Fault(f"cut {node.name} {key} {ways}", lambda: link.cut(*ways), link.heal)
+    return Fault(
+        f"cut {node.name} {key} {directions}", lambda: link.cut(*directions), link.heal
+    )
 
 
 def _cut_primary(site: SoakSite, rng: random.Random) -> Fault:
@@ -152,7 +154,7 @@
     return Fault(f"cut {len(cut)} nodes from {name}", begin, end)
 
 
-def _cut_off_primary(site: SoakSite, rng: random.Random) -> Fault:
+def _isolate_primary(site: SoakSite, rng: random.Random) -> Fault:
     primary = site.group.primary or site.group.databases[DATABASES[0]]
     away = [node.links[primary.name] for node in site.nodes if rng.random() < 0.4]
 
@@ -196,7 +198,7 @@
     return Fault(f"{word} the connections of {node.name}", begin, _do_nothing)
 
 
-def _trouble_store(site: SoakSite, rng: random.Random) -> Fault:
+def _disturb_store(site: SoakSite, rng: random.Random) -> Fault:
     trouble = rng.choice((LOST, REFUSING, SILENT))
     nodes = [node for node in site.nodes if rng.random() < 0.7]
 
@@ -208,7 +210,7 @@
     return Fault(name, lambda: set_all(trouble), lambda: set_all(""))
 
 
-def _forget_changes(site: SoakSite, rng: random.Random) -> Fault:
+def _compact_store(site: SoakSite, rng: random.Random) -> Fault:
     return Fault("the store forgets its changes", site.store.forget, _do_nothing)
 
 
@@ -228,42 +230,43 @@
 
 
 def _empty_database(site: SoakSite, rng: random.Random) -> Fault:
-    leads = rng.random() < 0.5 and site.group.primary is not None
-    name = site.group.primary.name if leads else rng.choice(DATABASES)
-    is_dark = rng.random() < 0.5
+    hits_primary = rng.random() < 0.5 and site.group.primary is not None
+    name = site.group.primary.name if hits_primary else rng.choice(DATABASES)
+    is_silent = rng.random() < 0.5
 
     def end() -> None:
-        # By now another one may have lost what only this one still has.
+        # Another database may have restarted empty meanwhile, so that only this one
+        # still holds some commits.
         if site.group.may_forget:
             site.databases[name].restart_empty()
         else:
             site.databases[name].restart()
-        site.tell_start(name)
+        site.write_start_entry(name)
 
-    return Fault(f"empty {name}", lambda: site.databases[name].crash(is_dark), end)
+    return Fault(f"empty {name}", lambda: site.databases[name].crash(is_silent), end)
 
 
-def _lose_writes(site: SoakSite, rng: random.Random) -> Fault:
+def _restore_store(site: SoakSite, rng: random.Random) -> Fault:
     away = rng.choice(("", REFUSING, SILENT))
     nodes = [node for node in site.nodes if rng.random() < 0.8]
     times = rng.choice((1, 1, 2))
-    copies = []
+    backups = []
 
     def begin() -> None:
-        copies.append(site.store.make_backup())
+        backups.append(site.store.make_backup())
         for node in nodes:
             node.store.trouble = away
 
     def end() -> None:
         for _ in range(times):
-            site.restore(copies[0])
+            site.restore(backups[0])
         for node in nodes:
             node.store.trouble = ""
 
     return Fault(f"the store is restored {times} times, {away or 'here'}", begin, end)
 
 
-def _write_late(site: SoakSite, rng: random.Random) -> Fault:
+def _delay_store_writes(site: SoakSite, rng: random.Random) -> Fault:
     def set_all(value: str) -> None:
         for node in site.nodes:
             node.store.trouble = value
@@ -271,7 +274,7 @@
     return Fault("store writes late", lambda: set_all(LATE), lambda: set_all(""))
 
 
-def _take_key(site: SoakSite, rng: random.Random) -> Fault:
+def _revoke_keys(site: SoakSite, rng: random.Random) -> Fault:
     name = rng.choice(sorted(site.accounts))
     keys = ACCOUNTS[name][0]
     return Fault(
@@ -291,13 +294,13 @@
     )
 
 
-def _write_unreadable(site: SoakSite, rng: random.Random) -> Fault:
+def _write_malformed(site: SoakSite, rng: random.Random) -> Fault:
     kind = rng.choice(("servers", "members"))
     names = [f"other-{rng.randrange(9)}" for _ in range(3)]
 
     def begin() -> None:
         for name in names:
-            site.store.change(kind, name, rng.choice(_UNREADABLE))
+            site.store.change(kind, name, rng.choice(_MALFORMED_SPECS))
 
     def end() -> None:
         for name in names:
@@ -307,7 +310,7 @@
     return Fault(f"unreadable {kind}", begin, end)
 
 
-_UNREADABLE = (
+_MALFORMED_SPECS = (
     None,
     7,
     "text",
@@ -316,7 +319,7 @@
     {"host": None, "port": "x", "relay": 70000, "zone": "zone-1"},
 )
 
-_MAKERS = (
+_FACTORIES = (
     _kill_node,
     _kill_node,
     _kill_all,
@@ -331,35 +334,35 @@
     _delay_link,
     _break_links,
     _break_links,
-    _trouble_store,
-    _forget_changes,
+    _disturb_store,
+    _compact_store,
     _delay_promotions,
     _lag_replicas,
 )
 
-_FORGETFUL_MAKERS = (
+_FORGETFUL_FACTORIES = (
     *(_empty_database,) * 5,
-    *(_write_unreadable,) * 2,
+    *(_write_malformed,) * 2,
 )
 
-_RESTORE_MAKERS = (*(_lose_writes,) * 6, _write_late)
+_RESTORE_FACTORIES = (*(_restore_store,) * 6, _delay_store_writes)
 
-_PAUSE_MAKERS = (
+_PAUSE_FACTORIES = (
     *(_pause_node,) * 4,
     *(_pause_in_series,) * 6,
     *(_pause_all,) * 3,
 )
 
-_ACCOUNT_MAKERS = (*(_take_key,) * 2, *(_lower_limit,) * 2)
+_ACCOUNT_FACTORIES = (*(_revoke_keys,) * 2, *(_lower_limit,) * 2)
 
-# Where nobody stops a former primary, or a call under an old token, what makes them
-# comes more often.
-_UNFENCED_MAKERS = (
-    *_MAKERS,
+# Without fencing, neither a former primary nor a call with an old token is stopped, so
+# the faults that lead to them are drawn more often.
+_UNFENCED_FACTORIES = (
+    *_FACTORIES,
     _cut_primary,
     _cut_primary,
-    _cut_off_primary,
-    _cut_off_primary,
+    _isolate_primary,
+    _isolate_primary,
     _pause_node,
-    _trouble_store,
+    _disturb_store,
 )
--- a/beryltrack_bench/soak/links.py
+++ b/beryltrack_bench/soak/links.py
@@ -1,7 +1,7 @@
-"""Loopback proxies that stand between the nodes and what they talk to.
+"""Loopback TCP proxies between the nodes and their targets, for fault injection.
 
-A link can be delayed, cut, cut one way, reset, or have its open connections silenced
-while new ones work.
+A link can be delayed, cut in one or both directions, reset, or have its open
+connections silenced while new ones work.
 """
 
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
@@ -12,61 +12,61 @@
 TO_TARGET, TO_NODE = "to target", "to node"
 
 
-class _Side(Protocol):
+class _LinkEnd(Protocol):
     """One end of a connection that passes through a link."""
 
-    def __init__(self, link: "Link", way: str):
+    def __init__(self, link: "Link", direction: str):
         self.link = link
-        self.way = way
-        self.peer: _Side | None = None
+        self.direction = direction
+        self.peer: _LinkEnd | None = None
         self.held: list[bytes] = []
         self.is_silent = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send small messages at once."""
+        """Disable Nagle's algorithm, so that small messages are sent at once."""
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass bytes on, or keep them while the way is cut."""
+        """Forward bytes, or hold them while the direction is cut."""
         if self.is_silent:
             return
-        if self.way in self.link.cut_ways:
+        if self.direction in self.link.cut_directions:
             self.held.append(data)
         elif self.link.delay:
-            self.link.reactor.callLater(self.link.delay, self.pass_on, data)
+            self.link.reactor.callLater(self.link.delay, self.forward, data)
         else:
-            self.pass_on(data)
+            self.forward(data)
 
-    def pass_on(self, data: bytes) -> None:
-        """Give bytes to the other end."""
+    def forward(self, data: bytes) -> None:
+        """Write bytes to the other end, or hold them until it is connected."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.write(data)
         elif self.peer is None:
             self.held.append(data)
 
     def flush(self) -> None:
-        """Pass on what was kept."""
+        """Forward the held bytes."""
         held, self.held = self.held, []
         for data in held:
-            self.pass_on(data)
+            self.forward(data)
 
     def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
-        """Close the other end unless it must hear nothing."""
+        """Close the other end, unless the connection is silenced or the link cut."""
         self.link.sides.discard(self)
         if self.peer is not None and self.peer.transport is not None:
-            if not (self.is_silent or self.link.cut_ways):
+            if not (self.is_silent or self.link.cut_directions):
                 self.peer.transport.loseConnection()
 
 
 class Link(Factory):
-    """Takes the connections of one node to one target.
+    """Accepts the connections of one node to one target and forwards them.
 
     Parameters
     ----------
     reactor : IReactorTCP
         Opens the connections.
     target : Endpoint
-        Where they go.
+        Address of the target.
     """
 
     noisy = False
@@ -75,18 +75,18 @@
         self.reactor = reactor
         self.target = target
         self.delay = 0.0
-        self.cut_ways: frozenset[str] = frozenset()
-        self.sides: set[_Side] = set()
+        self.cut_directions: frozenset[str] = frozenset()
+        self.sides: set[_LinkEnd] = set()
 
-    def buildProtocol(self, addr) -> _Side:  # noqa: N802
-        """Take a connection and open the other half of it."""
-        near, far = _Side(self, TO_TARGET), _Side(self, TO_NODE)
+    def buildProtocol(self, addr) -> _LinkEnd:  # noqa: N802
+        """Accept a connection and open the one to the target."""
+        near, far = _LinkEnd(self, TO_TARGET), _LinkEnd(self, TO_NODE)
         self.sides |= {near, far}
         opening = TCP4ClientEndpoint(self.reactor, self.target.host, self.target.port)
 
         def join(_: object) -> None:
             near.peer, far.peer = far, near
-            if not self.cut_ways:
+            if not self.cut_directions:
                 near.flush()
 
         def give_up(failure) -> None:
@@ -96,13 +96,13 @@
         connectProtocol(opening, far).addCallbacks(join, give_up)
         return near
 
-    def cut(self, *ways: str) -> None:
-        """Hold all bytes that go these ways."""
-        self.cut_ways = frozenset(ways)
+    def cut(self, *directions: str) -> None:
+        """Hold all bytes in these directions."""
+        self.cut_directions = frozenset(directions)
 
     def heal(self) -> None:
-        """Let bytes pass again, without a delay."""
-        self.cut_ways, self.delay = frozenset(), 0.0
+        """Forward the held bytes and all later ones, without a delay."""
+        self.cut_directions, self.delay = frozenset(), 0.0
         for side in tuple(self.sides):
             side.flush()
 
@@ -113,6 +113,6 @@
                 side.transport.abortConnection()
 
     def silence(self) -> None:
-        """Let open connections carry nothing any more; new ones work."""
+        """Drop all further bytes of the open connections; new ones work."""
         for side in self.sides:
             side.is_silent = True
--- a/beryltrack_bench/soak/run.py
+++ b/beryltrack_bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a site, its callers, and faults by a seed."""
+"""One run of the soak: a site, its callers, and faults drawn by a seed."""
 
 import itertools
 import random
@@ -17,46 +17,46 @@
 from beryltrack_bench.soak.site import (
     ADDED_KEY,
     NO_ACCOUNT,
+    REVOKED_KEY,
     ROUTES,
-    TAKEN_KEY,
     Node,
     SoakOptions,
     SoakSite,
 )
 
-START_LIMIT = 15.0
-"""Seconds within which the nodes must take callers."""
+START_TIMEOUT = 15.0
+"""Longest wait for all nodes to register, seconds."""
 
 CALLERS = 4
 """Callers of each route."""
 
 SETTLE_TIME = 5.0
-"""Seconds after the last fault in which callers go on; a change of the settings that is
-made at its beginning must be in force at its end, as it has 3 s."""
+"""Seconds for which callers go on after the last fault. A settings change made at its
+beginning must be in force at its end, as a change may take 3 s."""
 
 ADDED_ROUTE = ROUTES[BOUNDED_ROUTE]._replace(name="db4")
 """The route that the last change of the settings adds."""
 
 
 class SoakResult(NamedTuple):
-    """What a run came to.
+    """The result of a run.
 
     Parameters
     ----------
     seed : int
         Its seed.
     violations : tuple of Violation
-        What was broken.
+        The violations found.
     outcomes : dict of str to int
-        How many statements ended how.
+        Number of statements by outcome.
     faults : tuple of str
-        The faults, in order.
+        Names of the faults, in order.
     promotions : int
         Changes of primary.
     served_last : int
-        Statements served after the last fault was over.
+        Statements served after the end of the last fault.
     folder : str
-        Where the nodes' logs lie.
+        Folder of the nodes' logs.
     """
 
     seed: int
@@ -74,19 +74,19 @@
     seconds: float,
     options: SoakOptions = SoakOptions(),  # noqa: B008 (immutable)
 ) -> SoakResult:
-    """Run a site under faults and judge what callers and databases saw.
+    """Run a site under faults and check what callers and databases saw.
 
     Parameters
     ----------
     reactor : reactor
         Carries the stand-ins and the callers.
     seed : int
-        Decides sizes, faults and what callers ask. Times of processes vary, so that
-        a seed gives the same faults, one after the other, and not the same run.
+        Seed of sizes, faults and operations. The timing of processes varies, so a
+        seed repeats the sequence of faults, but not the run.
     seconds : float
-        How long faults are injected.
+        Seconds for which faults are injected.
     options : SoakOptions
-        What may go wrong beside the usual faults, and how many nodes there are.
+        Additional faults, and the number of nodes.
     """
     rng = random.Random(seed)
     count, limit = rng.choice(((3, 40), (4, 40), (5, 14)))
@@ -104,14 +104,14 @@
 async def _run_callers(
     reactor, site: SoakSite, rng: random.Random, seed: int, seconds: float, folder: Path
 ) -> SoakResult:
-    """Run callers beside faults."""
-    entries = [node.listen for node in site.nodes]
+    """Run callers and faults, and check the history."""
+    endpoints = [node.listen for node in site.nodes]
     owners = itertools.cycle(site.accounts.values() or (NO_ACCOUNT,))
     callers = [
         Caller(
             reactor,
             site.history,
-            entries,
+            endpoints,
             route,
             kind,
             random.Random(rng.random()),
@@ -122,8 +122,10 @@
         for account in itertools.islice(owners, CALLERS)
     ]
     runs = [Deferred.fromCoroutine(caller.run()) for caller in callers]
-    # The stand-ins draw from their own numbers as often as they are asked.
-    faults = await _inject(reactor, site, random.Random(f"faults {seed}"), seconds)
+    # The stand-ins draw from `rng` at times that vary, so faults have their own.
+    faults = await _inject_faults(
+        reactor, site, random.Random(f"faults {seed}"), seconds
+    )
     served = site.history.outcomes["served"]
     if site.accounts:
         site.accounts["calm"] = site.accounts["calm"]._replace(keys=("calm-1",))
@@ -135,7 +137,7 @@
         await _check_settings(reactor, site, node, "calm-1")
         if site.accounts:
             await _check_settings(reactor, site, node, ADDED_KEY)
-            await _check_settings(reactor, site, node, TAKEN_KEY, False)
+            await _check_settings(reactor, site, node, REVOKED_KEY, False)
     for caller in callers:
         caller.is_stopped = True
     await gatherResults(runs)
@@ -155,7 +157,7 @@
 async def _check_settings(
     reactor, site: SoakSite, node: Node, key: str, is_served: bool = True
 ) -> None:
-    """Ask a node for the route that was added; one that is not there says nothing."""
+    """Check a session on the route that was added; skip a node that does not accept."""
     endpoint = TCP4ClientEndpoint(reactor, *node.listen, timeout=1)
     try:
         connection = await connectProtocol(endpoint, CallerConnection())
@@ -164,17 +166,17 @@
         return
     start = f"START {ADDED_ROUTE.name} {key}".encode()
     try:
-        await connection.ask(start).addTimeout(1.0, reactor)
+        await connection.send(start).addTimeout(1.0, reactor)
     except (CallerGone, TimeoutError) as error:
         site.history.outcomes[f"last session: {type(error).__name__}"] += 1
     connection.transport.abortConnection()
     lines = connection.lines
-    site.history.note_session(node.name, ADDED_ROUTE.name, lines, is_served)
+    site.history.check_session_answer(node.name, ADDED_ROUTE.name, lines, is_served)
 
 
 async def _wait_ready(reactor, site: SoakSite) -> None:
-    """Wait until all nodes have registered, as they do once they run."""
-    deadline = reactor.seconds() + START_LIMIT
+    """Wait until all nodes have registered in the store, or the time is up."""
+    deadline = reactor.seconds() + START_TIMEOUT
     names = {node.name for node in site.nodes}
     while reactor.seconds() < deadline:
         known = {name for kind, name in site.store.objects if kind == "members"}
@@ -184,10 +186,10 @@
     await deferLater(reactor, 2.0)
 
 
-async def _inject(
+async def _inject_faults(
     reactor, site: SoakSite, rng: random.Random, seconds: float
 ) -> list[str]:
-    """Begin and end faults for a time; all are over at the end."""
+    """Inject faults for some seconds, and wait until all have ended."""
     until = reactor.seconds() + seconds
     names = []
     while reactor.seconds() < until:
--- a/beryltrack_bench/soak/site.py
+++ b/beryltrack_bench/soak/site.py
@@ -1,7 +1,7 @@
-"""A site for the soak: stand-ins in this process, nodes as processes of their own.
+"""A site for the soak: stand-ins in this process, and each node in its own process.
 
-Each site has addresses of its own in the loopback range, so that several can run at
-once. Nodes reach databases, the store and the promotions through links.
+Each site has its own addresses in the loopback range, so that several can run at once.
+Nodes reach databases, the store and the promotion service through links.
 """
 
 import itertools
@@ -44,7 +44,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 GROUP = "group"
 DATABASES = ("i-a", "i-b", "i-c")
-FRONT_PORT, READY_PORT, CONTROL_PORT, INTERNAL_PORT = 8784, 8785, 8782, 7440
+CALLER_PORT, READY_PORT, CONTROL_PORT, INTERNAL_PORT = 8784, 8785, 8782, 7440
 GRACE = 4
 """Seconds between SIGTERM and SIGKILL."""
 
@@ -61,26 +61,26 @@
 
 
 BLOCKS = 200
-"""Blocks of addresses of each of which a site has one; more have another third byte."""
+"""Address blocks by the second byte, one for each site; then the third byte changes."""
 
-GUARD_INDEX = 249
-"""Place of the address that a run holds to keep its block to itself."""
+RESERVATION_INDEX = 249
+"""Index of the address on which a run listens to reserve its block."""
 
 
 def _make_host(number: int, index: int) -> str:
-    """Return the address of a node of a site."""
+    """Return the loopback address of a node of a site."""
     return f"127.{10 + number % BLOCKS}.{number // BLOCKS % 250}.{index + 1}"
 
 
 class Account(NamedTuple):
-    """A client account: its name, its keys, and how much it may ask for."""
+    """A client account: its name, its keys and its limit."""
 
     name: str
     keys: tuple[str, ...]
     limit: AccountLimit
 
     def to_wire(self) -> dict:
-        """Return the account as operators write it."""
+        """Return the account as operators write it in the settings."""
         return {
             "name": self.name,
             "api_keys": list(self.keys),
@@ -94,17 +94,17 @@
     "other": (("other-1",), AccountLimit(500.0, 100.0)),
     "hot": (("hot-1",), AccountLimit(12.0, 6.0)),
 }
-"""Accounts by name. Callers of the last one ask for far more than its limit."""
+"""Accounts by name; callers of the last one exceed its limit by far."""
 
 NO_ACCOUNT = Account("", ("u",), AccountLimit(0.0, 0.0))
-"""What callers belong to where there are no accounts."""
+"""The account of callers where there are no accounts."""
 
-TAKEN_KEY, ADDED_KEY = "calm-2", "other-2"
-"""The keys that the last change of the settings takes away and adds."""
+REVOKED_KEY, ADDED_KEY = "calm-2", "other-2"
+"""The keys that the last settings change revokes and adds."""
 
 
 class Node(NamedTuple):
-    """One node: where it listens, its links by target, and its view of the store."""
+    """One node: its address, its links by target, and its views of the stand-ins."""
 
     name: str
     host: str
@@ -114,31 +114,32 @@
 
     @property
     def listen(self) -> Endpoint:
-        """Where it takes callers."""
-        return Endpoint(self.host, FRONT_PORT)
+        """The address at which it accepts callers."""
+        return Endpoint(self.host, CALLER_PORT)
 
 
 class SoakOptions(NamedTuple):
-    """What a run has beside the usual faults.
+    """Options of a run, in addition to the usual faults.
 
     Parameters
     ----------
     is_fenced : bool
-        False if promotions are not fenced, and former primaries go on.
+        False if promotions are not fenced, so that former primaries go on.
     is_forgetful : bool
-        True if databases start again empty, and other programs write to the store.
+        True if databases restart empty, and other programs write to the store.
     has_accounts : bool
-        True if callers need keys, which come and go, and accounts have limits.
+        True if callers need keys, which are added and revoked, and accounts have
+        limits.
     has_store_restores : bool
         True if the store is restored from backups.
     is_paused_often : bool
-        True if nodes are paused often, also one time after the other, and all at once.
+        True if nodes are paused often, also repeatedly, and all at once.
     has_only_primary_cuts : bool
-        True if nothing happens but that some nodes cannot reach the primary.
+        True if the only fault is that some nodes cannot reach the primary.
     nodes : int
-        How many nodes; 0 lets the seed decide. Above 0 nodes may follow others in place
-        of the store, as they do from seven on. Each node has addresses of its own for
-        the databases; one that follows another goes by those of that.
+        Number of nodes; 0 if the seed decides. Above 0, nodes may follow other nodes
+        instead of the store, as they do in fleets of seven or more. Each node has its
+        own addresses of the databases; a follower uses those of the followed node.
     """
 
     is_fenced: bool = True
@@ -151,24 +152,24 @@
 
 
 class SoakSite:
-    """Stand-ins, links and processes.
+    """Stand-ins, links and processes of one run.
 
     Parameters
     ----------
     reactor : reactor
-        Carries the stand-ins.
+        Runs the stand-ins.
     number : int
-        Sets the site's addresses apart from those of others.
+        Selects the site's block of addresses.
     count : int
-        How many nodes.
+        Number of nodes.
     max_connections : int
-        Most connections to a database, of all nodes.
+        Maximum of connections of all nodes to a database.
     rng : random.Random
-        Source of all that varies.
+        Source of all random numbers.
     folder : Path
-        Takes settings files and logs.
+        Folder of settings files and logs.
     options : SoakOptions, optional
-        What it has beside the usual faults.
+        Options of the run.
     """
 
     def __init__(
@@ -195,7 +196,7 @@
         self._folder = folder
         self._limit = max_connections
         self._ports = []
-        self._number = self._hold_addresses(number)
+        self._number = self._reserve_addresses(number)
         self._processes: dict[str, subprocess.Popen] = {}
         self._starts: itertools.count = itertools.count(1)
         self._versions = itertools.count(1)
@@ -223,12 +224,12 @@
             self.start_node(node, True)
 
     def start_node(self, node: Node, is_first: bool = False) -> None:
-        """Start a node's process if none runs."""
+        """Start a node's process, unless one is running."""
         running = self._processes.get(node.name)
         if running is not None and running.poll() is None:
             return
         path = self._folder / f"{node.name}.json"
-        path.write_text(json.dumps(self._make_boot(node, is_first)))
+        path.write_text(json.dumps(self._make_boot_settings(node, is_first)))
         log = open(self._folder / f"{node.name}.log", "ab")
         with log:
             self._processes[node.name] = subprocess.Popen(
@@ -255,7 +256,7 @@
         return process is not None and process.poll() is None
 
     def stop(self) -> None:
-        """End the processes that were started here, and close all ports."""
+        """Kill the processes that this site started, and close all ports."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -265,12 +266,12 @@
             port.stopListening()
 
     def write_configuration(self, added: RouteSettings | None = None) -> None:
-        """Write a new version of what operators have configured.
+        """Write a new version of the operators' configuration.
 
         Parameters
         ----------
         added : RouteSettings, optional
-            A route that reads need not be current on, beside the usual ones.
+            An additional route, whose reads may be stale.
         """
         kinds = dict(ROUTES.items())
         if added is not None:
@@ -294,35 +295,35 @@
         if self.accounts:
             spec["tenants"] = [each.to_wire() for each in self.accounts.values()]
             for each in self.accounts.values():
-                self.history.note_limit(each.name, each.limit)
+                self.history.record_limit(each.name, each.limit)
         self.store.change("config", "main", spec)
 
     def change_account(self, name: str, **fields: object) -> None:
-        """Give an account other keys or another limit, in a new configuration."""
+        """Change the keys or the limit of an account, in a new configuration."""
         self.accounts[name] = self.accounts[name]._replace(**fields)
         self.write_configuration()
 
     def restore(self, backup: Backup) -> None:
-        """Let the store be restored from a backup.
+        """Restore the store from a backup.
 
-        The configuration is written again at once, the databases' entries within the
-        two seconds that they have, by what each was last told to say.
+        The configuration is written again at once. Each database's entry is written
+        again within the two seconds allowed for it, with its last content.
         """
         specs = {key: item["spec"] for key, item in self.store.objects.items()}
         self.store.restore(backup)
         self.store.change("config", "main", specs["config", "main"])
         for name in self.databases:
             delay = self._rng.uniform(0.0, 2.0)
-            self._reactor.callLater(delay, self._tell_again, name)
+            self._reactor.callLater(delay, self._rewrite_entry, name)
 
-    def _tell_again(self, name: str) -> None:
-        """Write a database's entry again if the store has another one."""
-        kept = self.store.objects.get(("servers", name))
-        if kept is None or kept["spec"] != self._entries[name]:
+    def _rewrite_entry(self, name: str) -> None:
+        """Write a database's entry again if the store has a different one."""
+        stored = self.store.objects.get(("servers", name))
+        if stored is None or stored["spec"] != self._entries[name]:
             self.store.change("servers", name, self._entries[name])
 
-    def tell_start(self, name: str) -> None:
-        """Write a database's entry anew, as it does at each start."""
+    def write_start_entry(self, name: str) -> None:
+        """Write a new entry of a database, as it does at each start."""
         spec = {
             "service": GROUP,
             "address": "",
@@ -337,30 +338,34 @@
         self._entries[name] = spec
         self.store.change("servers", name, spec)
 
-    def _hold_addresses(self, number: int) -> int:
-        """Return a number whose addresses no other run on this machine uses.
+    def _reserve_addresses(self, number: int) -> int:
+        """Return a number whose address block no other run on this machine uses.
 
-        Two runs of one seed would give their nodes the same ones: a node of the second
-        could not listen, and callers of one run would be answered by the other's.
+        Otherwise two runs of one seed would use the same addresses: a node of the
+        second could not listen, and callers of one would reach nodes of the other.
         """
         for free in itertools.count(number, BLOCKS):
             try:
-                self._listen(Factory(), _make_host(free, GUARD_INDEX), CONTROL_PORT)
+                self._listen(
+                    Factory(), _make_host(free, RESERVATION_INDEX), CONTROL_PORT
+                )
             except CannotListenError:
                 continue
             return free
 
     def _listen(self, factory, host: str = "127.0.0.1", port: int = 0) -> Endpoint:
-        """Open a port; return where it listens."""
+        """Open a port; return its address."""
         opened = self._reactor.listenTCP(port, factory, interface=host)
         self._ports.append(opened)
         return Endpoint(host, opened.getHost().port)
 
     def _make_node(self, index: int) -> Node:
-        """Return a node with links to all that it talks to."""
+        """Return a node with links to the databases, the store and the promotions."""
         host = _make_host(self._number, index)
         name = f"node-{index + 1}"
-        store = StoreView(self._reactor, self.store, self._get_rewrite(name), self._rng)
+        store = StoreView(
+            self._reactor, self.store, self._make_rewrite(name), self._rng
+        )
         promotions = PromotionView(
             self._reactor, {GROUP: self.group}, self.tokens, self._rng
         )
@@ -373,8 +378,8 @@
             self._addresses[name, key] = f"{host_port.host}:{host_port.port}"
         return Node(name, host, links, store, promotions)
 
-    def _get_rewrite(self, node: str):
-        """Return what gives a node its own addresses of the databases."""
+    def _make_rewrite(self, node: str):
+        """Return a function that puts a node's own addresses into database entries."""
 
         def rewrite(kind: str, name: str, spec: dict) -> dict:
             if kind != "servers" or name not in DATABASES:
@@ -384,19 +389,19 @@
         return rewrite
 
     def _fill_store(self) -> None:
-        """Write the configuration and the databases."""
+        """Write the configuration and the databases' entries."""
         self.write_configuration()
         for name in DATABASES:
-            self.tell_start(name)
+            self.write_start_entry(name)
 
-    def _make_boot(self, node: Node, is_first: bool) -> dict:
-        """Return a node's settings file."""
+    def _make_boot_settings(self, node: Node, is_first: bool) -> dict:
+        """Return the content of a node's settings file."""
         return {
             "node_name": node.name,
             "zone": f"zone-{1 + int(node.name[-1]) % 2}",
             "ip": node.host,
             "listen": {
-                "front": f"{node.host}:{FRONT_PORT}",
+                "front": f"{node.host}:{CALLER_PORT}",
                 "ready": f"{node.host}:{READY_PORT}",
             },
             "internal_ports": [INTERNAL_PORT, INTERNAL_PORT + 15],
