--- a/tests/bench/steady/test_oracle.py
+++ b/tests/bench/steady/test_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: each thing that it counts is seen when it is planted."""
+"""The oracle counts each planted violation, and computes the ceiling."""
 
 from beryltrack_bench.steady.oracle import STALENESS, Oracle
 from beryltrack_bench.steady.records import ReadRecord, RunRecord, Trace, WriteRecord
@@ -19,7 +19,7 @@
     return Oracle(RunRecord(list(reads), WRITES, [], named, []))
 
 
-def test_right_reads_are_no_violation():
+def test_correct_reads_are_no_violation():
     assert not any(_oracle(READ).count_violations().values())
 
 
@@ -29,7 +29,7 @@
     assert (counts["read_your_writes"], counts[STALENESS]) == (1, 0)
 
 
-def test_read_that_is_too_old_is_counted():
+def test_read_that_is_too_stale_is_counted():
     read = READ._replace(session="u", max_age=0.1)
     counts = _oracle(read).count_violations()
     assert (counts["read_your_writes"], counts[STALENESS]) == (0, 1)
@@ -42,7 +42,7 @@
     assert _oracle(READ, replicas=[late, _replica((9.0, 4))]).compute_ceiling(0) == 1.0
 
 
-def test_trace_gives_what_was_reached_and_when():
+def test_trace_returns_the_offset_at_a_time_and_the_time_of_an_offset():
     trace = _replica((1.0, 3), (2.0, 3), (4.0, 7))
     assert [trace.get_offset(at) for at in (0.5, 1.0, 3.9, 4.0)] == [0, 3, 3, 7]
     assert [trace.get_time(offset) for offset in (1, 3, 4, 8)] == [
--- a/tests/bench/steady/test_steady.py
+++ b/tests/bench/steady/test_steady.py
@@ -9,12 +9,12 @@
 SHORT = Options(runs=1, seconds=2.0)
 
 
-@pytest.mark.parametrize(("name", "least"), [("lectora", 0.97), ("jinhua", 0.97)])
-def test_replicas_serve_nearly_all_that_they_can(name, least):
+@pytest.mark.parametrize(("name", "min_share"), [("lectora", 0.97), ("jinhua", 0.97)])
+def test_replicas_serve_nearly_all_reads_that_they_can(name, min_share):
     figures = run(load_deployment(name), 3, SHORT)
     assert figures["violations"] == 0
     assert figures["refused"] == 0
-    assert figures["replica_share"] >= least * figures["ceiling"]
+    assert figures["replica_share"] >= min_share * figures["ceiling"]
     assert figures["replica_share"] > figures["baseline_sticky"]
     assert figures["baseline_primary_only"] == 0.0
 
--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -1,4 +1,4 @@
-"""Each invariant's check: a planted defect is reported, a clean history is not."""
+"""Each invariant's check reports a planted defect, and accepts a clean history."""
 
 import pytest
 
@@ -109,7 +109,7 @@
     assert find_invariants(CLEAN + events) >= {invariant}
 
 
-def test_an_unmarked_write_may_be_kept_once_a_sending():
+def test_a_write_without_at_most_once_may_be_logged_once_per_attempt():
     sent = WriteRequested("s", "g", ("e",), False, 3.0)
     twice = [FinalLog("g", (("a",), ("e",), ("e",)))]
     assert find_invariants(CLEAN + [sent, sent] + twice) == set()
@@ -126,11 +126,11 @@
 ]
 
 
-def test_an_earlier_sending_that_ran_makes_no_refusal_untrue():
+def test_a_refusal_is_true_though_an_earlier_attempt_ran():
     assert check_history(CLEAN[:-1] + REPEATED) == ()
 
 
-def test_a_run_of_the_refused_sending_itself_is_reported():
+def test_a_refused_attempt_that_ran_is_reported():
     again = Executed("g", ("f",), 3.35)
     assert find_invariants(CLEAN[:-1] + [again] + REPEATED) >= {"refusals_true"}
     only = [event for event in REPEATED if event is not REPEATED[1]]
--- a/tests/bench/test_clock.py
+++ b/tests/bench/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the experiments, against the library's."""
+"""The experiments' clock behaves like Twisted's test clock."""
 
 from random import Random
 
@@ -9,17 +9,17 @@
 
 
 def _run(clock: Clock, seed: int) -> list[tuple[float, int]]:
-    """Plan, put off and cancel calls at random times; return what ran when."""
+    """Schedule, delay and cancel calls at random; return the times of those that ran."""
     rng = Random(seed)
     ran = []
 
-    def note(number: int, again: bool) -> None:
+    def record(number: int, reschedules: bool) -> None:
         ran.append((clock.seconds(), number))
-        if again:
-            clock.callLater(0.5, note, number + 1000, False)
+        if reschedules:
+            clock.callLater(0.5, record, number + 1000, False)
 
     for number in range(60):
-        call = clock.callLater(10 * rng.random(), note, number, rng.random() < 0.3)
+        call = clock.callLater(10 * rng.random(), record, number, rng.random() < 0.3)
         later, change = 5 * rng.random(), rng.choice(["", "cancel", "reset", "delay"])
         if change:
             getattr(call, change)(*([] if change == "cancel" else [later]))
@@ -29,11 +29,11 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_calls_run_as_by_the_library(seed):
+def test_calls_run_as_with_the_library_s_clock(seed):
     assert _run(OrderedClock(), seed) == _run(Clock(), seed)
 
 
-def test_calls_of_one_time_run_in_the_order_in_which_they_were_planned():
+def test_calls_for_the_same_time_run_in_the_order_of_scheduling():
     clock, ran = OrderedClock(), []
     for number in range(5):
         clock.callLater(1.0, ran.append, number)
--- a/tests/bench/test_cost.py
+++ b/tests/bench/test_cost.py
@@ -1,4 +1,4 @@
-"""The experiment `cost` on its smallest size: it must give every figure."""
+"""The experiment `cost` at its smallest size gives every figure."""
 
 import pytest
 from twisted.internet import reactor
@@ -19,16 +19,16 @@
 
 
 @pytest.fixture(scope="module")
-def ways():
-    # The clients that go straight to the target are connections of its own.
+def paths():
+    # Direct clients need connections at the target in addition to the proxy's.
     options = SiteOptions(database=DatabaseOptions(max_connections=100))
     with run_proxies(1, options) as local:
         run(prepare_table, reactor, local)
         yield run(make_paths, local)
 
 
-def test_a_loop_is_measured_through_a_proxy_and_straight_to_the_target(ways):
-    direct, proxied = ways
+def test_a_loop_is_measured_through_a_proxy_and_directly(paths):
+    direct, proxied = paths
     assert isinstance(direct, Path)
     text = "SELECT note FROM cost"
     costs = [
@@ -38,7 +38,7 @@
     assert all(cost.cpu_per_statement > 0 for cost in costs)
 
 
-def test_the_proxy_s_part_is_what_the_way_through_it_takes_more():
+def test_the_proxy_s_cost_is_the_difference_from_the_direct_path():
     figures = describe_loop(LoopCost(500.0, 0.0012), LoopCost(2000.0, 0.0005))
     assert figures == {
         "statements_per_s": 500.0,
@@ -48,8 +48,8 @@
     }
 
 
-def test_idle_memory_is_what_has_come_on_for_each_connection(ways):
-    _, proxied = ways
+def test_idle_memory_is_the_growth_for_each_connection(paths):
+    _, proxied = paths
     readings = iter((1_000_000, 1_400_000))
     parameters = {"user": "app", "database": "main"}
     endpoint = proxied[0].endpoint
@@ -59,5 +59,5 @@
     assert idle == 8_000
 
 
-def test_a_gate_is_measured_while_one_operation_of_each_account_waits():
+def test_a_gate_is_measured_with_one_waiting_operation_of_each_account():
     assert measure_gate(8, operations=100) > 0.0
--- a/tests/bench/test_failover.py
+++ b/tests/bench/test_failover.py
@@ -10,12 +10,12 @@
 from beryltrack_bench.losses.site import LossOptions, LossSite, Store
 from beryltrack_bench.options import Options
 
-# Seconds over the floor: a little over the most that the long runs showed.
+# Seconds above the floor, with a small margin over the maximum of long runs.
 BOUND_OVER_FLOOR = {"lectora": 0.25, "jinhua": 0.3}
 
 
 @pytest.mark.parametrize("name", ["lectora", "jinhua"])
-def test_every_loss_is_over_soon_and_costs_nothing(name):
+def test_every_loss_ends_within_the_bound_without_violations(name):
     deployment = load_deployment(name)._replace(proxies=4)
     figures = failover.run(deployment, 1, Options(runs=1, seconds=3.0))
     assert set(figures["gap"]) == {loss.name for loss in LOSSES}
@@ -26,7 +26,7 @@
         assert figures[key] == 0
 
 
-def test_the_store_is_not_on_the_path_of_a_failover():
+def test_a_failover_does_not_depend_on_the_store():
     deployment = load_deployment("lectora")._replace(proxies=2)
     gaps = [
         failover.run_loss(
@@ -34,13 +34,13 @@
         ).gaps
         for store in Store
     ]
-    # Calls to the store draw from the links' jitter, which is 0.5 ms at most.
+    # Calls to the store draw from the links' jitter, which is at most 0.5 ms.
     assert len(gaps[0]) == deployment.proxies
     assert gaps[1] == pytest.approx(gaps[0], abs=0.005)
     assert gaps[2] == pytest.approx(gaps[0], abs=0.005)
 
 
-def test_a_needless_failover_would_be_seen():
+def test_a_needless_failover_is_counted():
     deployment = load_deployment("lectora")._replace(proxies=2)
     options = LossOptions(deployment, lost_after=0.06)
     calm = failover.run_calm(options, Disturbance(0.4), 8.0, Random(3))
@@ -48,7 +48,7 @@
     assert calm.lost == calm.doubled == 0
 
 
-def test_a_lost_and_a_doubled_write_would_be_seen():
+def test_a_lost_and_a_doubled_write_are_counted():
     deployment = load_deployment("lectora")._replace(proxies=1)
     site = LossSite(LossOptions(deployment, 0.3), Random(1))
     site.run(1.0)
--- a/tests/bench/test_fakes.py
+++ b/tests/bench/test_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes: what a crash, a pause and a cut link do to calls and replication."""
+"""The effects of crashes, pauses and cut links on calls and replication of the fakes."""
 
 from random import Random
 
@@ -65,7 +65,7 @@
     assert failed.failure().database == "group-1"
 
 
-def test_a_crash_breaks_the_call_under_way(site, group, proxy):
+def test_a_crash_breaks_the_call_in_progress(site, group, proxy):
     answer = group.write(proxy, "group-1", "k")
     group.crash("group-1")
     assert run(site, answer, 0.1).check(ConnectionLost)
@@ -77,13 +77,13 @@
     assert isinstance(run(site, adapter.get_status("group-1")), Failure)
 
 
-def test_a_frozen_database_answers_when_it_wakes(site, group, adapter):
+def test_a_frozen_database_answers_after_the_freeze(site, group, adapter):
     group.databases["group-1"].node.freeze(0.5)
     assert run(site, adapter.get_status("group-1"), 0.4) is None
     assert run(site, adapter.get_status("group-1")).unwrap().name == "group-1"
 
 
-def test_an_isolated_primary_goes_on_but_nobody_follows(site, group, proxy, adapter):
+def test_an_isolated_primary_goes_on_without_replication(site, group, proxy, adapter):
     group.isolate("group-1")
     assert run(site, group.write(proxy, "group-1", "k")) == LogPosition(1, 2)
     status = run(site, adapter.get_status("group-2")).unwrap()
@@ -91,7 +91,7 @@
     assert status.heard_age > 1.0
 
 
-def test_a_returning_primary_loses_its_tail(site, group, proxy, adapter):
+def test_a_returning_primary_loses_its_unreplicated_writes(site, group, proxy, adapter):
     group.isolate("group-1")
     run(site, group.write(proxy, "group-1", "lost"))
     for name in ("group-2", "group-3"):
@@ -127,7 +127,7 @@
     return FakePlatformClient(platform, network, proxy)
 
 
-def test_the_platform_changes_an_object_only_under_its_condition(site, client):
+def test_the_platform_changes_an_object_only_at_the_expected_version(site, client):
     assert run(site, client.put("x", 1, 0)) == Success(1)
     assert run(site, client.put("x", 2, 0)).failure().kind == ErrorKind.CONFLICT
     assert run(site, client.put("x", 2, 1)) == Success(2)
@@ -141,7 +141,7 @@
     assert run(site, client.get("x")).unwrap().version == 1
 
 
-def test_a_watch_ends_with_the_change(site, client):
+def test_a_watch_answers_at_a_change(site, client):
     watch = ensureDeferred(client.watch("x", 0, 20.0))
     run(site, client.put("x", 1, 0))
     assert [item.path for item in watch.result.unwrap().objects] == ["x"]
--- a/tests/bench/test_faults.py
+++ b/tests/bench/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault matrix: it holds, its cells repeat, and it reports planted defects."""
+"""The fault matrix finds no violation, repeats exactly, and reports planted defects."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 JINHUA = load_deployment("jinhua")
 
 
-def test_no_fault_of_a_sample_violates_an_invariant():
+def test_a_sample_of_faults_violates_no_invariant():
     figures = run_matrix(JINHUA, 1, 1, ("marked_write", "settings_change"))
     assert figures["cells"] >= 2 * len(FAULTS)
     assert figures["pairs"] >= 7
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize("text", [LOSS, CHANGE])
-def test_the_cells_of_the_planted_defects_hold_without_them(text):
+def test_cells_have_no_violation_without_the_planted_defect(text):
     assert find_violations(text) == set()
 
 
-def test_a_confirmation_by_one_receipt_is_found(monkeypatch):
+def test_a_confirmation_without_a_majority_is_found(monkeypatch):
     confirming = "beryltrack.transactions.decider.compute_majority"
     monkeypatch.setattr(confirming, lambda size: 1)
     figures = run_matrix(LECTORA, 1, 16, ("write",), ("isolate_primary",))
@@ -67,21 +67,21 @@
     assert find_violations(LOSS) >= {"no_acknowledged_write_lost"}
 
 
-def test_a_marked_write_that_runs_twice_is_found(monkeypatch):
+def test_an_at_most_once_write_that_runs_twice_is_found(monkeypatch):
     table = ledger.CREATE_TABLE.replace("PRIMARY KEY", "")
     monkeypatch.setattr("beryltrack.requests.ledger.CREATE_TABLE", table)
     figures = run_matrix(LECTORA, 1, 15, ("marked_write",), ("crash_proxy",))
     assert figures["by_invariant"]["at_most_once"]
 
 
-def test_settings_that_are_not_taken_in_are_found(monkeypatch):
+def test_ignored_settings_changes_are_found(monkeypatch):
     monkeypatch.setattr(
         SettingsDecider, "observe_changes", lambda self, answer: NO_UPDATE
     )
     assert find_violations(CHANGE) == {"settings"}
 
 
-def test_a_promise_that_came_to_nothing_does_not_hold_up_a_group_for_ever():
+def test_a_hold_without_a_promotion_does_not_block_a_group_for_ever():
     cell = parse_cell("failover:freeze_replica@102")
     assert run_cell(JINHUA, 1, cell).violations == ()
 
@@ -91,7 +91,7 @@
     assert run_cell(JINHUA, 3, cell).violations == ()
 
 
-def test_one_cell_gives_its_command():
+def test_a_single_cell_can_be_run():
     options = Options(cell="write:crash_primary@7")
     figures = run(LECTORA, 1, options)
     assert figures["cells"] == 1
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet experiment's figures, and that its violations can be found."""
+"""The figures of the fleet experiment, and its checks for violations."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_rates_are_for_each_node_but_calls_for_the_fleet():
+def test_rates_are_per_node_but_platform_calls_are_for_the_fleet():
     assert RESULT.steady == (0.125, 100.0, 50.0, 5.0, 1.5)
 
 
@@ -41,11 +41,11 @@
     assert list(fleet.find_violations(8, RESULT._replace(**change))) == [kind]
 
 
-def test_a_larger_fleet_has_more_time():
+def test_a_larger_fleet_has_a_longer_limit():
     late = RESULT._replace(store_up=compute_spread([4.9]))
     assert fleet.find_violations(64, late) == {}
 
 
-def test_more_nodes_than_one_process_carries_are_refused():
+def test_more_nodes_than_the_maximum_are_refused():
     with pytest.raises(ValueError, match="from 2 to 64"):
         fleet.run(load_deployment("lectora"), 1, Options(nodes=65))
--- a/tests/bench/test_limits.py
+++ b/tests/bench/test_limits.py
@@ -1,4 +1,4 @@
-"""A limit at the owners keeps the most urgent in time under an overload."""
+"""A concurrency limit at the owners keeps urgent requests in time under overload."""
 
 import pytest
 
@@ -17,28 +17,28 @@
 
 
 @pytest.mark.parametrize("way", ["fixed", "adaptive"])
-def test_the_most_urgent_are_in_time_at_twice_what_the_slots_carry(overload, way):
+def test_the_highest_priority_is_in_time_at_twice_the_capacity(overload, way):
     assert get_in_time(overload[way], 0) > 0.85
     assert get_in_time(overload["no limit"], 0) < 0.5
 
 
-def test_the_least_urgent_get_their_floor(overload):
-    # 0.05 of 231 turns a second for 100 that ask.
+def test_the_lowest_priority_gets_its_minimum_share(overload):
+    # The minimum share is 0.05 of 231 operations a second; 100 a second are offered.
     assert get_in_time(overload["adaptive"], 3) > 0.05
 
 
-def test_the_database_holds_no_more_than_the_even_parts_under_overload(overload):
+def test_the_database_runs_no_more_than_the_even_shares_under_overload(overload):
     assert overload["adaptive"]["most"] <= 16 < overload["no limit"]["most"]
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_all_are_in_time_while_the_slots_carry_them(way):
+def test_all_priorities_are_in_time_below_capacity(way):
     figures = play(way, "180/s", 1, SECONDS)
     assert min(get_in_time(figures, each) for each in range(4)) > 0.98
 
 
 @pytest.mark.parametrize("load", LOADS)
-def test_each_operation_ends_in_one_way(load):
+def test_each_operation_has_exactly_one_outcome(load):
     for each in play("adaptive", load, 1, SECONDS)["priorities"]:
         total = each["in_time"] + each["refused"] + each["late"]
         assert total == pytest.approx(1.0, abs=0.002)
--- a/tests/bench/test_overload.py
+++ b/tests/bench/test_overload.py
@@ -1,4 +1,4 @@
-"""Bounds of the experiment `overload`, in short runs."""
+"""Regression bounds of the experiment `overload`, in short runs."""
 
 import pytest
 
@@ -23,7 +23,7 @@
     return run_scenario(LECTORA, 1, [Offer("a", 5 * CAPACITY)], 0.25)
 
 
-def test_goodput_holds_at_five_times_what_the_connections_carry(overloaded):
+def test_goodput_holds_at_five_times_the_capacity(overloaded):
     figures = describe(overloaded, CAPACITY)
     assert figures["goodput_of_best"] >= 0.9
     assert figures["late"] == 0
@@ -31,20 +31,20 @@
     assert figures["in_use_while_waiting"] >= 0.9
 
 
-def test_refusals_are_true_early_and_within_the_limit(overloaded):
+def test_refusals_are_true_and_early_and_connections_within_the_limit(overloaded):
     figures = describe(overloaded, CAPACITY)
     assert figures["refused"] > 1000 and count_violations(overloaded) == 0
     assert figures["refusal_p99_s"] <= 0.01
 
 
-def test_a_refusal_that_ran_is_seen(overloaded):
+def test_a_refused_request_that_ran_is_counted(overloaded):
     ran = next(iter(overloaded.site.all_databases[0].ran))
     overloaded.tally.refused_numbers.append(ran)
     assert count_violations(overloaded) == 1
     overloaded.tally.refused_numbers.pop()
 
 
-def test_connections_follow_the_callers_to_two_of_the_proxies():
+def test_connections_move_to_the_two_loaded_proxies():
     offers = [Offer("a", 1.3 * CAPACITY, weights=get_weights(LECTORA, 0.0))]
     result = run_scenario(LECTORA, 1, offers, 0.3)
     assert compute_mean(result.callers.utilization_samples) >= 0.9
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -1,4 +1,4 @@
-"""Load patterns against the deciders: whom they cost, and that refusals are true."""
+"""Load patterns against the deciders: worth by class, and that refusals are true."""
 
 import json
 import random
@@ -30,14 +30,14 @@
 SECONDS = 3.0
 
 
-def play(pattern, way=ALL_ON, seed=1):
+def run_pattern(pattern, way=ALL_ON, seed=1):
     return replay(DEPLOYMENT, Sizes(), PATTERNS[pattern], CASES[way], [seed], SECONDS)
 
 
 @pytest.mark.parametrize("way", [ALL_ON, BASELINE])
 @pytest.mark.parametrize("pattern", PATTERNS)
 def test_refusals_are_true_and_no_connection_is_beyond_the_limit(pattern, way):
-    figures = play(pattern, way)
+    figures = run_pattern(pattern, way)
     assert figures.untrue == 0 and figures.over_limit == 0
     offered = sum(share.offered for share in figures.priorities.values())
     operations = draw_operations(
@@ -47,28 +47,28 @@
 
 
 def test_at_the_usual_load_nothing_is_refused():
-    shares = play("usual load").priorities.values()
+    shares = run_pattern("usual load").priorities.values()
     assert all(share.refused == share.lost == 0.0 for share in shares)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_burst_of_the_least_urgent_costs_the_others_little(seed):
+def test_a_burst_of_the_lowest_priority_costs_the_others_little(seed):
     pattern = "bursts of the least urgent"
-    on, off = play(pattern, ALL_ON, seed), play(pattern, BASELINE, seed)
+    on, off = run_pattern(pattern, ALL_ON, seed), run_pattern(pattern, BASELINE, seed)
     assert on.priorities[0].worth > 0.95
     for priority in range(3):
         assert on.priorities[priority].worth > off.priorities[priority].worth
-    # Their floor keeps some of them served.
+    # The minimum share keeps some of the lowest priority served.
     assert on.priorities[3].in_aim > 0.0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_one_hot_account_costs_the_others_less_than_itself(seed):
-    classes = play("one hot account", ALL_ON, seed).classes
+    classes = run_pattern("one hot account", ALL_ON, seed).classes
     assert classes["others"].worth > classes["hot"].worth + 0.3
 
 
-def test_each_policy_meets_the_same_operations():
+def test_operations_depend_only_on_the_seed():
     pattern = PATTERNS["twice the load"]
     first, again = (
         draw_operations(pattern, Sizes(), 1.0, random.Random(7)) for _ in range(2)
@@ -87,7 +87,7 @@
         (OperationOutcome.LOST, 0.0, 0.0),
     ],
 )
-def test_the_worth_falls_from_the_aim_to_the_deadline(end, took, worth):
+def test_the_worth_falls_from_the_target_latency_to_the_deadline(end, took, worth):
     operation = Operation(
         1.0, 0, Demand(0, TARGET_LATENCIES[0], DEADLINES[0]), (0.004,)
     )
@@ -127,11 +127,11 @@
         "--connections 2",
     ],
 )
-def test_what_is_not_known_is_told(options):
+def test_invalid_options_are_a_usage_error(options):
     assert run_command(options)[0] == 1
 
 
-def test_without_any_owner_answers_are_lost():
+def test_answers_are_lost_without_a_live_owner():
     sizes = Sizes(owners=1)
     pattern = PATTERNS["lost owner"]
     figures = replay(DEPLOYMENT, sizes, pattern, CASES[ALL_ON], [1], SECONDS)
--- a/tests/bench/test_wire.py
+++ b/tests/bench/test_wire.py
@@ -1,4 +1,4 @@
-"""Bounds of the calls that one unit costs between the two sockets."""
+"""Bounds of the function calls that the proxy makes for one exchange."""
 
 import pytest
 
@@ -9,5 +9,5 @@
 
 
 @pytest.mark.parametrize("name", BOUNDS)
-def test_a_unit_costs_no_more_calls_than_it_did(name):
+def test_an_exchange_takes_no_more_calls_than_its_bound(name):
     assert count_calls(make_exchanges()[name], 20) <= BOUNDS[name]
