--- a/beryltrack_bench/fleet/fleet.py
+++ b/beryltrack_bench/fleet/fleet.py
@@ -26,7 +26,10 @@
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f")
 GROUP_PATH = "settings/bench/groups/main"
 POLL_PERIOD = 0.02
+"""Seconds between two checks of a condition in `Fleet.wait`."""
+
 SEED_COUNT = 3
+"""Nodes whose addresses a new node gets as seeds."""
 
 
 def make_group(max_age: float, number: int = 0) -> dict[str, object]:
@@ -135,7 +138,7 @@
         count : int
             Number of nodes.
         groups : int
-            Number of database groups in the settings beside the one that
+            Number of database groups in the settings, in addition to the one that
             `change_settings` changes.
         """
         self.platform.start()
--- a/beryltrack_bench/quota/strategies.py
+++ b/beryltrack_bench/quota/strategies.py
@@ -70,7 +70,7 @@
 class SingleOwner:
     """A single owner counts all operations, except for a small fixed reserve.
 
-    Each instance acts on its own view of who the owner is.
+    Each instance acts on its own view of the owner.
     """
 
     def __init__(self):
--- a/beryltrack_bench/replay/command.py
+++ b/beryltrack_bench/replay/command.py
@@ -47,7 +47,7 @@
     ]
 
     def handle(self) -> int:
-        """Replay the selected patterns; the exit code tells of violations."""
+        """Replay the selected patterns; the exit code reports violations."""
         policies, problems = self._read_policies()
         patterns, unknown = _select(PATTERNS, self.option("pattern"), "pattern")
         sizes = Sizes(*(int(self.option(name)) for name in Sizes._fields))
--- a/beryltrack_bench/soak/faults.py
+++ b/beryltrack_bench/soak/faults.py
@@ -235,8 +235,8 @@
     is_silent = rng.random() < 0.5
 
     def end() -> None:
-        # Another database may have restarted empty meanwhile, so that only this one
-        # still holds some commits.
+        # Another database may have restarted empty since the fault began, so that only
+        # this one still holds some commits.
         if site.group.may_forget:
             site.databases[name].restart_empty()
         else:
--- a/tests/bench/test_clock.py
+++ b/tests/bench/test_clock.py
@@ -9,7 +9,7 @@
 
 
 def _run(clock: Clock, seed: int) -> list[tuple[float, int]]:
-    """Schedule, delay and cancel calls at random; return the times of those that ran."""
+    """Schedule, delay and cancel calls at random; return when which call ran."""
     rng = Random(seed)
     ran = []
 
--- a/tests/bench/test_fakes.py
+++ b/tests/bench/test_fakes.py
@@ -1,4 +1,4 @@
-"""The effects of crashes, pauses and cut links on calls and replication of the fakes."""
+"""How crashes, pauses and cut links affect calls and replication of the fakes."""
 
 from random import Random
 
