--- a/beryltrack/accounts/link.py
+++ b/beryltrack/accounts/link.py
@@ -106,7 +106,7 @@
 
     Parameters
     ----------
-    shares : RightsLedger
+    shares : QuotaShareLedger
         Holds their loans.
     seconds : callable
         The node's monotonic clock.
--- a/beryltrack/callers/extended.py
+++ b/beryltrack/callers/extended.py
@@ -187,7 +187,7 @@
     ----------
     plan : ExtendedPlan
         The plan.
-    names : TargetNames
+    names : TargetStatements
         The statements that exist on the connection.
 
     Returns
@@ -225,7 +225,7 @@
         The effects of the built batch.
     completed : int
         Number of effects that the target completed; see `ResponseEnd`.
-    names : TargetNames
+    names : TargetStatements
         The statements on the connection.
     table : StatementTable
         The caller's statements.
--- a/beryltrack/callers/sequence.py
+++ b/beryltrack/callers/sequence.py
@@ -28,7 +28,7 @@
 
     `stall_timeout` is how long a response may stay unread, seconds; `max_pending` how
     many messages may be pending; `get_idle_timeout` returns how long a transaction may
-    stay idle, seconds, with 0 for no limit.
+    stay idle, seconds, with 0 for no limit; `sockets` holds the TCP settings.
     """
 
     stall_timeout: float
@@ -244,7 +244,7 @@
     ----------
     reactor : IReactorTime
         Source of timers.
-    handler : SessionOwner
+    handler : SessionHandler
         Keeps the callers' sessions and runs their statements.
     limits : CallerLimits
         Limits of each connection.
--- a/beryltrack/command/edits.py
+++ b/beryltrack/command/edits.py
@@ -80,7 +80,7 @@
 
     Parameters
     ----------
-    changes : tuple of ChangeLine
+    changes : tuple of ChangeOutcome
         The objects, in the order of the run.
     pending : tuple of PendingInstance
         Instances on which they were not in force in time; empty if there was no wait.
--- a/beryltrack/command/fleet.py
+++ b/beryltrack/command/fleet.py
@@ -75,9 +75,9 @@
 
     Parameters
     ----------
-    instances : tuple of InstanceLine
+    instances : tuple of InstanceSummary
         All instances, by name.
-    groups : tuple of GroupLine
+    groups : tuple of GroupSummary
         All groups, by name.
     counters : Counters
         Sums over the instances that answered, counted since each one's start.
--- a/beryltrack/connections/target.py
+++ b/beryltrack/connections/target.py
@@ -100,7 +100,7 @@
         sink : ResponseSink
             Receives the frames of the answer as they arrive.
         edits : tuple of Edit
-            See `AnswerReader.start`.
+            See `ResponseReader.start`.
 
         Returns
         -------
--- a/beryltrack/daemon/groups.py
+++ b/beryltrack/daemon/groups.py
@@ -54,7 +54,7 @@
     ----------
     reactor : reactor
         Source of sockets and timers.
-    factory : TargetKit
+    factory : GroupFactory
         Makes the parts of a group that depend on the wire protocol.
     """
 
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -69,7 +69,7 @@
 
         Raises
         ------
-        PutOut
+        Evicted
             If the request has to stop waiting.
         """
         if self._error is not None:
--- a/beryltrack/requests/forward_encoding.py
+++ b/beryltrack/requests/forward_encoding.py
@@ -60,7 +60,7 @@
         True if the caller supplied the token.
     wire : bytes
         The unit's frames as the caller sent them.
-    statements : tuple of StatementForm
+    statements : tuple of ForwardedStatement
         Statements that earlier units prepared and this one uses.
     """
 
@@ -81,7 +81,7 @@
     ----------
     token : str
         The session's token after the unit.
-    statements : tuple of StatementForm
+    statements : tuple of ForwardedStatement
         The names that the unit prepared or closed.
     """
 
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -73,7 +73,7 @@
         Parameters of the choice of targets.
     events : RequestEvents
         Logs the decisions about requests.
-    account_owners : AccountWays
+    account_owners : AccountOwners
         Chooses the owners that run the operations of accounts.
     is_crowded : callable
         Returns whether the databases have too few connections for all instances.
@@ -132,7 +132,7 @@
         Parameters of retries.
     admission : AdmissionPolicy, optional
         Parameters of admission control.
-    account_owners : AccountWays, optional
+    account_owners : AccountOwners, optional
         Chooses the owners that run the operations of accounts.
     is_crowded : callable, optional
         Returns whether the databases have too few connections for all instances.
