--- a/beryltrack/callers/batches.py
+++ b/beryltrack/callers/batches.py
@@ -22,8 +22,8 @@
     def is_stale(self, name: str) -> bool:
         """Return whether the statement exists but must be prepared again."""
 
-    def get_excess(self, coming: int) -> tuple[str, ...]:
-        """Return the statements to close before `coming` more are prepared."""
+    def get_excess(self, new_count: int) -> tuple[str, ...]:
+        """Return the statements to close before `new_count` more are prepared."""
 
 
 class Effect(NamedTuple):
--- a/beryltrack/connections/prepared.py
+++ b/beryltrack/connections/prepared.py
@@ -7,7 +7,7 @@
 """Statements that stay prepared on one connection; the oldest beyond it are closed."""
 
 
-class PreparedNames:
+class PreparedStatements:
     """Names of the prepared statements on one connection, least recently used first.
 
     Parameters
@@ -51,7 +51,7 @@
         """Return whether the statement exists but must be prepared again."""
         return name in self._stale
 
-    def get_excess(self, coming: int) -> tuple[str, ...]:
-        """Return the oldest names to close before `coming` more are prepared."""
-        excess = max(0, len(self._names) + coming - self._limit)
+    def get_excess(self, new_count: int) -> tuple[str, ...]:
+        """Return the oldest names to close before `new_count` more are prepared."""
+        excess = max(0, len(self._names) + new_count - self._limit)
         return tuple(islice(self._names, excess))
--- a/beryltrack/connections/target.py
+++ b/beryltrack/connections/target.py
@@ -22,7 +22,7 @@
     TargetLogon,
 )
 from beryltrack.connections.messages import TargetLost
-from beryltrack.connections.prepared import PreparedNames
+from beryltrack.connections.prepared import PreparedStatements
 from beryltrack.errors import (
     FEATURE_NOT_SUPPORTED,
     INVALID_SQL_STATEMENT_NAME,
@@ -63,7 +63,7 @@
 
     def __init__(self, reactor, endpoint: Endpoint, credentials: Credentials):
         self.endpoint = endpoint
-        self.prepared = PreparedNames()
+        self.prepared = PreparedStatements()
         self.position: LogPosition | None = None
         self.broken = False
         self.ready: Deferred[TargetConnection] = Deferred()
@@ -313,7 +313,7 @@
 
 __all__ = [
     "Credentials",
-    "PreparedNames",
+    "PreparedStatements",
     "ResponseEnd",
     "ResponseSink",
     "TargetConnection",
--- a/beryltrack/connections/task.py
+++ b/beryltrack/connections/task.py
@@ -106,7 +106,7 @@
     def _now(self) -> float:
         return self._reactor.seconds()
 
-    def get_expected(self, demand: Demand) -> ExpectedTimes:
+    def get_expected_times(self, demand: Demand) -> ExpectedTimes:
         """Return no estimate: a pool has no load reports of its target."""
         return ExpectedTimes()
 
--- a/beryltrack/daemon/fleet.py
+++ b/beryltrack/daemon/fleet.py
@@ -181,7 +181,7 @@
         owners = self.get_owner_names(group)
         if self._known_owners.get(group) != owners:
             self._known_owners[group] = owners
-            runtime.task.set_nodes(owners)
+            runtime.task.set_instances(owners)
 
     def _record_failover(self, report: FailoverReport) -> None:
         """Record in the platform a change of primary that this instance made."""
--- a/beryltrack/daemon/group_connections.py
+++ b/beryltrack/daemon/group_connections.py
@@ -78,7 +78,7 @@
             self._set_candidates(runtime)
         else:
             # In a fleet that starts each instance would rank itself first.
-            runtime.task.set_nodes((self._name,), False)
+            runtime.task.set_instances((self._name,), False)
         runtime.ensure_started()
 
     def set_accounts(self, has_accounts: bool) -> None:
@@ -169,7 +169,7 @@
         name = runtime.settings.name
         names = self._directory.get_candidates(name, limit)
         is_owner = self._directory.is_owner(name, limit)
-        runtime.task.set_nodes(names, is_owner)
+        runtime.task.set_instances(names, is_owner)
         vias = ("", *names) if is_owner else names
         for database, pool in runtime.pools.items():
             pool.retain_sessions(names)
--- a/beryltrack/daemon/line_group_factory.py
+++ b/beryltrack/daemon/line_group_factory.py
@@ -37,7 +37,7 @@
     ----------
     reactor : reactor
         Source of sockets and timers.
-    node_name : str
+    instance_name : str
         Name of this instance.
     promotion : PromotionClient
         The service that carries out promotions.
@@ -65,7 +65,7 @@
     def __init__(
         self,
         reactor,
-        node_name: str,
+        instance_name: str,
         promotion: PromotionClient,
         authority: PromotionAuthority,
         directory: RelayDirectory,
@@ -84,7 +84,7 @@
         self._is_fenced = is_fenced
         self._policies = policies
         self._reactor = reactor
-        self._node_name = node_name
+        self._instance_name = instance_name
         self._promotion = promotion
         self._authority = authority
         self._rng = rng
@@ -136,7 +136,7 @@
             self._reactor,
             group,
             adapter,
-            self._node_name,
+            self._instance_name,
             self._rng,
             self._policies.probes,
             authority=self._authority,
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -51,7 +51,7 @@
     CONFIG_KIND,
     CONFIG_PATH,
     DATABASES_KIND,
-    ROW_TABLES,
+    ROW_SCHEMAS,
     read_configuration,
     read_entry,
 )
@@ -197,7 +197,7 @@
         self._snapshot: Snapshot = {}
         self._site = NodeSite(self._seconds)
         self._configuration = ConfigurationTask(
-            reactor, read_configuration, ROW_TABLES, self._apply_configuration
+            reactor, read_configuration, ROW_SCHEMAS, self._apply_configuration
         )
         self._expiry_call = None
         self._listen_retry_call = None
@@ -216,7 +216,7 @@
             retries=self._policies.retries,
             admission=self._policies.admission,
             account_owners=directory,
-            is_crowded=lambda: directory.is_crowded,
+            has_group_owners=lambda: directory.has_group_owners,
         )
         self._group_factory.set_retry_budget(self._services.retries)
         handler = RequestTask(self._services, self._get_site, self._find_group)
@@ -548,7 +548,7 @@
         """Schedule the next check of the databases, when a missing one expires."""
         if self._expiry_call is not None and self._expiry_call.active():
             self._expiry_call.cancel()
-        due = self._site.get_due(now)
+        due = self._site.get_next_check(now)
         if due is not None:
             self._expiry_call = self._reactor.callLater(due - now + 0.01, self._apply)
 
--- a/beryltrack/daemon/node_site.py
+++ b/beryltrack/daemon/node_site.py
@@ -74,6 +74,6 @@
         self._routes = {route.name: route for route in self._settings.routes}
         return self._settings
 
-    def get_due(self, now: float) -> float | None:
+    def get_next_check(self, now: float) -> float | None:
         """Return when the databases must be checked again; None for never."""
-        return self._roster.get_due(now)
+        return self._roster.get_next_check(now)
--- a/beryltrack/daemon/postgres_group_factory.py
+++ b/beryltrack/daemon/postgres_group_factory.py
@@ -26,7 +26,7 @@
     ----------
     reactor : reactor
         Source of sockets and timers.
-    node_name : str
+    instance_name : str
         Name of this instance.
     rng : random.Random
         Source of jitter.
@@ -35,15 +35,15 @@
     supports_member_changes = False
     losses = DEFAULT_POLICY
 
-    def __init__(self, reactor, node_name: str, rng: random.Random):
+    def __init__(self, reactor, instance_name: str, rng: random.Random):
         self._reactor = reactor
-        self._node_name = node_name
+        self._instance_name = instance_name
         self._rng = rng
 
     def make_task(self, group: GroupSettings) -> GroupTask:
         """Return the task that watches a group."""
         adapter = PostgresDatabaseGroup(self._reactor, group, self._rng)
-        return GroupTask(self._reactor, group, adapter, self._node_name, self._rng)
+        return GroupTask(self._reactor, group, adapter, self._instance_name, self._rng)
 
     def make_pool(self, group: GroupSettings, database: DatabaseSettings) -> PoolTask:
         """Return the pool of one database."""
--- a/beryltrack/failover/decider.py
+++ b/beryltrack/failover/decider.py
@@ -135,7 +135,7 @@
     ----------
     group : str
         The group's name.
-    node : str
+    instance : str
         This instance's name.
     detector : FailureDetector
         Gives the timeouts after which databases have lost their primary.
@@ -148,14 +148,14 @@
     def __init__(
         self,
         group: str,
-        node: str,
+        instance: str,
         detector: FailureDetector,
         rng: Random,
         policy: FailoverPolicy = DEFAULT_POLICY,
     ):
         self._group = group
-        self._node = node
-        self._nodes: tuple[str, ...] = (node,)
+        self._instance = instance
+        self._instances: tuple[str, ...] = (instance,)
         self._is_candidate = True
         self._detector = detector
         self._rng = rng
@@ -187,18 +187,20 @@
         """
         return self._due
 
-    def set_nodes(self, nodes: tuple[str, ...], is_candidate: bool = True) -> None:
+    def set_instances(
+        self, instances: tuple[str, ...], is_candidate: bool = True
+    ) -> None:
         """Set the instances that may hold elections for the group.
 
         Parameters
         ----------
-        nodes : tuple of str
+        instances : tuple of str
             Their names.
         is_candidate : bool
             False if this instance leaves elections to them: a silence of the primary
             may be a failure of its own network path.
         """
-        self._nodes = nodes
+        self._instances = instances
         self._is_candidate = is_candidate
 
     def set_holds_permit(self, holds_permit: bool) -> None:
@@ -377,7 +379,7 @@
     def _get_rank(self) -> int:
         """Return how many instances act before this one."""
         term = self._highest_term if self._policy.rotates_ranks else 0
-        return compute_rank(self._node, self._nodes, self._group, term)
+        return compute_rank(self._instance, self._instances, self._group, term)
 
     def _compute_backoff(self, kind: ElectionKind) -> float:
         """Return a jittered back-off that grows with consecutive failures, seconds."""
@@ -419,7 +421,7 @@
         return Election(
             kind,
             self._get_next_term(view),
-            f"{self._node}/{self._rng.getrandbits(64):016x}",
+            f"{self._instance}/{self._rng.getrandbits(64):016x}",
             self._get_lost_after(view) if kind in _LOSS_KINDS else 0.0,
             view.primary,
             leader.term if leader else 0,
--- a/beryltrack/failover/ranking.py
+++ b/beryltrack/failover/ranking.py
@@ -8,19 +8,21 @@
 import xxhash
 
 
-def compute_weight(node: str, group: str, term: int) -> int:
+def compute_weight(instance: str, group: str, term: int) -> int:
     """Return the rendezvous weight of an instance for one group and term."""
-    return xxhash.xxh3_64_intdigest(f"{group}/{term}/{node}".encode())
+    return xxhash.xxh3_64_intdigest(f"{group}/{term}/{instance}".encode())
 
 
-def compute_rank(node: str, nodes: tuple[str, ...], group: str, term: int) -> int:
+def compute_rank(
+    instance: str, instances: tuple[str, ...], group: str, term: int
+) -> int:
     """Return how many instances rank before this one.
 
     Parameters
     ----------
-    node : str
+    instance : str
         This instance's name.
-    nodes : tuple of str
+    instances : tuple of str
         Names of the members; this one may be missing among them.
     group : str
         The group.
@@ -32,5 +34,5 @@
     int
         Zero for the instance that acts without delay.
     """
-    own = compute_weight(node, group, term)
-    return sum(compute_weight(other, group, term) > own for other in set(nodes))
+    own = compute_weight(instance, group, term)
+    return sum(compute_weight(other, group, term) > own for other in set(instances))
--- a/beryltrack/failover/task.py
+++ b/beryltrack/failover/task.py
@@ -93,7 +93,7 @@
         The group.
     adapter : DatabaseGroup
         Control requests to its databases.
-    node_name : str
+    instance_name : str
         Name of this instance.
     rng : Random
         Source of jitter and of candidate names.
@@ -112,7 +112,7 @@
         reactor,
         group_settings: GroupSettings,
         adapter: DatabaseGroup,
-        node_name: str,
+        instance_name: str,
         rng: Random,
         delegate: FailoverDelegate,
         detector: FailureDetector,
@@ -134,7 +134,7 @@
         self._policy = policy
         self._decider = FailoverDecider(
             group_settings.name,
-            node_name,
+            instance_name,
             detector,
             rng,
             policy,
@@ -155,9 +155,11 @@
         """Set the names of the group's databases from new settings."""
         self._databases = databases
 
-    def set_nodes(self, nodes: tuple[str, ...], is_candidate: bool = True) -> None:
+    def set_instances(
+        self, instances: tuple[str, ...], is_candidate: bool = True
+    ) -> None:
         """Set the instances that may act for the group; see `FailoverDecider`."""
-        self._decider.set_nodes(nodes, is_candidate)
+        self._decider.set_instances(instances, is_candidate)
         if self._authority is None:
             return
         if not self._authority.keeps_permits:
--- a/beryltrack/groups/sharing.py
+++ b/beryltrack/groups/sharing.py
@@ -19,7 +19,7 @@
 
 VIEW_KIND = "group"
 
-GetNodes = Callable[[str], tuple[str, ...]]
+GetInstances = Callable[[str], tuple[str, ...]]
 
 
 class PeerKnowledge(Protocol):
@@ -39,14 +39,14 @@
     ----------
     peers : PeerKnowledge
         Distributes items.
-    get_nodes : callable
+    get_instances : callable
         Returns the names of the instances that watch a group, including this
         instance if it does.
     """
 
-    def __init__(self, peers: PeerKnowledge, get_nodes: GetNodes):
+    def __init__(self, peers: PeerKnowledge, get_instances: GetInstances):
         self._peers = peers
-        self._get_nodes = get_nodes
+        self._get_instances = get_instances
         self._tasks: dict[str, GroupTask] = {}
         self._hints: dict[str, GroupView] = {}
         peers.subscribe(VIEW_KIND, self._handle_view_item)
@@ -56,7 +56,7 @@
         """Publish the view of a group's task, and pass it the hint received before."""
         group = task.view.group
         self._tasks[group] = task
-        task.set_nodes(self._get_nodes(group))
+        task.set_instances(self._get_instances(group))
         task.subscribe(self._publish)
         if group in self._hints:
             task.learn_view(self._hints[group])
@@ -85,7 +85,7 @@
 
     def _handle_member_item(self, item: GossipItem) -> None:
         for group, task in self._tasks.items():
-            task.set_nodes(self._get_nodes(group))
+            task.set_instances(self._get_instances(group))
 
 
 def make_view_item(view: GroupView) -> GossipItem:
--- a/beryltrack/groups/task.py
+++ b/beryltrack/groups/task.py
@@ -72,7 +72,7 @@
         The group.
     adapter : DatabaseGroup
         Sends control requests to its databases.
-    node_name : str
+    instance_name : str
         Name of this instance.
     rng : Random
         Source of jitter and of names of failover attempts.
@@ -93,7 +93,7 @@
         reactor,
         group_settings: GroupSettings,
         adapter: DatabaseGroup,
-        node_name: str,
+        instance_name: str,
         rng: Random,
         policy: ProbePolicy | None = None,
         detector: FailureDetector | None = None,
@@ -116,7 +116,7 @@
             reactor,
             group_settings,
             adapter,
-            node_name,
+            instance_name,
             rng,
             self,
             self._detector,
@@ -201,18 +201,20 @@
             self._handle_restart(name)
         self._report_view()
 
-    def set_nodes(self, nodes: tuple[str, ...], is_candidate: bool = True) -> None:
+    def set_instances(
+        self, instances: tuple[str, ...], is_candidate: bool = True
+    ) -> None:
         """Set the instances that may run failovers of this group.
 
         Parameters
         ----------
-        nodes : tuple of str
+        instances : tuple of str
             Names of the live members. They are ranked, so that after a loss one of
             them acts first.
         is_candidate : bool
             False if this instance must leave changes of primary to them.
         """
-        self._failover.set_nodes(nodes, is_candidate)
+        self._failover.set_instances(instances, is_candidate)
 
     def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
         """Use only control connections through these owners; see `ControlCalls`."""
--- a/beryltrack/load/ingress_admission.py
+++ b/beryltrack/load/ingress_admission.py
@@ -159,7 +159,7 @@
 def compute_target_wait(
     limit: float,
     target_latency: float,
-    is_crowded: bool,
+    has_group_owners: bool,
     policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> float:
     """Return for how many seconds a request waits for an available target.
@@ -170,12 +170,12 @@
         The longest wait, seconds.
     target_latency : float
         The request's target latency, seconds; infinite without one.
-    is_crowded : bool
+    has_group_owners : bool
         True if instances outnumber the connections that the databases take.
     policy : TargetWaitPolicy
         The parameters.
     """
-    if not is_crowded:
+    if not has_group_owners:
         return limit
     return min(limit, max(policy.min_wait, policy.latency_fraction * target_latency))
 
@@ -183,7 +183,7 @@
 def may_wait_for_target(
     waiting: int,
     has_primary: bool,
-    is_crowded: bool,
+    has_group_owners: bool,
     policy: TargetWaitPolicy = TARGET_WAIT,
 ) -> bool:
     """Return whether one more request may wait for an available target.
@@ -194,9 +194,9 @@
         Requests of the group that wait at this instance.
     has_primary : bool
         False if the group is known to have no primary.
-    is_crowded : bool
+    has_group_owners : bool
         True if instances outnumber the connections that the databases take.
     policy : TargetWaitPolicy
         The parameters.
     """
-    return has_primary or not is_crowded or waiting < policy.max_waiting
+    return has_primary or not has_group_owners or waiting < policy.max_waiting
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -49,7 +49,7 @@
     Field("rate_per_s", parse_number, False),
     Field("burst_size", parse_number, False),
 )
-ROW_TABLES = {"routes": _ROUTE_FIELDS, ACCOUNTS: _ACCOUNT_FIELDS}
+ROW_SCHEMAS = {"routes": _ROUTE_FIELDS, ACCOUNTS: _ACCOUNT_FIELDS}
 _GROUP_FIELDS = (
     Field("name", parse_name),
     Field("connection_limit", fields.parse_positive),
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -244,7 +244,7 @@
         """Limit the operations that run at the database; see `GatedPool`."""
         self._gated.set_capacity(capacity)
 
-    def get_expected(self, demand: Demand) -> ExpectedTimes:
+    def get_expected_times(self, demand: Demand) -> ExpectedTimes:
         """Return the expected load of the database on the current path."""
         return self._estimate(self._choose_via(demand.account), demand)
 
--- a/beryltrack/relay/avoided.py
+++ b/beryltrack/relay/avoided.py
@@ -58,7 +58,7 @@
             self._avoided[name] = known._replace(failed_at=now)
         return known is None
 
-    def get_due(self, now: float) -> tuple[str, ...]:
+    def get_due_probes(self, now: float) -> tuple[str, ...]:
         """Return the instances to probe now."""
         return tuple(
             name for name, each in self._avoided.items() if each.probe_due <= now
--- a/beryltrack/relay/directory.py
+++ b/beryltrack/relay/directory.py
@@ -81,12 +81,12 @@
         self._slot_policy = slot_policy
         self._slot_preferences: dict[int, tuple[PreferenceList, ...]] = {}
         self._quota_refusals = QuotaRefusals(seconds)
-        self._is_crowded = False
+        self._has_group_owners = False
 
     @property
-    def is_crowded(self) -> bool:
+    def has_group_owners(self) -> bool:
         """True if a group in use has owners, as its databases cannot serve all."""
-        return self._is_crowded
+        return self._has_group_owners
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -136,7 +136,7 @@
     def _invalidate_placements(self) -> None:
         self._placements.clear()
         self._slot_preferences.clear()
-        self._is_crowded = False
+        self._has_group_owners = False
         self._observe_owners()
 
     def get_placement(self, group: str, max_connections: int) -> Placement:
@@ -155,7 +155,7 @@
         placement = compute_placement(
             group, self._peers, max_connections, min_instances, self._choose_owners
         )
-        self._is_crowded |= bool(placement.owners)
+        self._has_group_owners |= bool(placement.owners)
         if self._smallest_limit is None:
             return placement
         owners = choose_account_owners(self._peers, self._smallest_limit)
@@ -385,7 +385,7 @@
 
     def get_due_probes(self) -> tuple[str, ...]:
         """Return the avoided owners to probe now."""
-        return self._avoided.get_due(self._seconds())
+        return self._avoided.get_due_probes(self._seconds())
 
     def get_time_since_failure(self, name: str) -> float:
         """Return the seconds since an avoided owner last failed."""
--- a/beryltrack/relay/probes.py
+++ b/beryltrack/relay/probes.py
@@ -50,7 +50,7 @@
     ):
         self._is_enabled = is_enabled
         self._reactor = reactor
-        self._awake = get_pause_aware_clock(reactor)
+        self._pause_aware_clock = get_pause_aware_clock(reactor)
         self._name = name
         self._directory = directory
         self._running: set[str] = set()
@@ -101,7 +101,7 @@
         answer = link.send_offer(self._name, EMPTY_OFFER)
         link.ended.addCallback(lambda _: answer.called or answer.cancel())
         try:
-            await answer.addTimeout(PROBE_TIMEOUT, self._awake)
+            await answer.addTimeout(PROBE_TIMEOUT, self._pause_aware_clock)
         finally:
             link.abort()
 
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -134,9 +134,9 @@
     @property
     def wait_until(self) -> float:
         """Time until which it waits for a usable database, by the node's clock."""
-        policy, is_crowded = self.policy, self.services.is_crowded()
+        policy, has_group_owners = self.policy, self.services.has_group_owners()
         wait = compute_target_wait(
-            policy.target_timeout, policy.target_latency, is_crowded
+            policy.target_timeout, policy.target_latency, has_group_owners
         )
         return self.arrived_at + wait
 
@@ -274,7 +274,7 @@
     pool = context.runtime.pools.get(database)
     if pool is None:
         return None
-    reported = pool.get_expected(context.demand).wait
+    reported = pool.get_expected_times(context.demand).wait
     wait = reported or pool.load.expected_wait
     return wait * 1000 if math.isfinite(wait) else None
 
--- a/beryltrack/requests/flow.py
+++ b/beryltrack/requests/flow.py
@@ -127,7 +127,8 @@
             written_at=context.caller.session.written_at,
             sequence=next(context.services.sequence),
             account=context.caller.account,
-            may_run_unproven=context.services.is_crowded() and not self._lacks_proof,
+            may_run_unproven=context.services.has_group_owners()
+            and not self._lacks_proof,
             via_zone=context.services.account_owners.get_zone(context.caller.account),
         )
 
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -36,7 +36,7 @@
         The node's time.
     get_runtimes : callable
         Returns the runtimes of the groups.
-    give_up : callable
+    abort_overdue : callable
         Receives each connection whose statement is past its time limit.
     is_silent : callable
         Returns whether the owner that a connection goes through has fallen silent.
@@ -49,14 +49,14 @@
         reactor,
         seconds: Callable[[], float],
         get_runtimes: Callable[[], Iterable[GroupRuntime]],
-        give_up: Callable[[PooledConnection], None],
+        abort_overdue: Callable[[PooledConnection], None],
         is_silent: Callable[[PooledConnection], bool] = lambda connection: False,
         late_after: float = LATE_AFTER,
     ):
         self._pause_aware_clock = get_pause_aware_clock(reactor)
         self._seconds = seconds
         self._get_runtimes = get_runtimes
-        self._give_up = give_up
+        self._abort_overdue = abort_overdue
         self._is_silent = is_silent
         self._late_after = late_after
         self._checking = LoopingCall(self.check)
@@ -94,6 +94,6 @@
         ran = self._seconds() - since - self._pause_aware_clock.get_paused_time(since)
         is_past_limit = ran > connection.run_until - since
         if is_past_limit or (ran > SILENT_AFTER and self._is_silent(connection)):
-            self._give_up(connection)
+            self._abort_overdue(connection)
         elif ran > self._late_after:
             runtime.task.suspect(database, since)
--- a/beryltrack/requests/runtime.py
+++ b/beryltrack/requests/runtime.py
@@ -119,7 +119,7 @@
                 item.zone,
                 pool.outstanding,
                 pool.limit,
-                *pool.get_expected(demand),
+                *pool.get_expected_times(demand),
             )
             for item, pool in pairs
         )
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -75,7 +75,7 @@
         Logs the decisions about requests.
     account_owners : AccountOwners
         Chooses the owners that run the operations of accounts.
-    is_crowded : callable
+    has_group_owners : callable
         Returns whether the databases have too few connections for all instances.
     """
 
@@ -91,7 +91,7 @@
     routing: RoutingPolicy = DEFAULT_POLICY
     events: RequestEvents = NullRequestEvents()
     account_owners: AccountOwners = NO_ACCOUNT_OWNERS
-    is_crowded: Callable[[], bool] = lambda: False
+    has_group_owners: Callable[[], bool] = lambda: False
 
 
 def make_services(
@@ -106,7 +106,7 @@
     retries: RetryPolicy = DEFAULT_RETRIES,
     admission: AdmissionPolicy | None = None,
     account_owners: AccountOwners = NO_ACCOUNT_OWNERS,
-    is_crowded: Callable[[], bool] = lambda: False,
+    has_group_owners: Callable[[], bool] = lambda: False,
 ) -> RequestServices:
     """Return the services of one instance.
 
@@ -134,7 +134,7 @@
         Parameters of admission control.
     account_owners : AccountOwners, optional
         Chooses the owners that run the operations of accounts.
-    is_crowded : callable, optional
+    has_group_owners : callable, optional
         Returns whether the databases have too few connections for all instances.
 
     Returns
@@ -155,5 +155,5 @@
         routing,
         events or NullRequestEvents(),
         account_owners,
-        is_crowded,
+        has_group_owners,
     )
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -213,7 +213,7 @@
     runtime = search.runtime
     has_primary = bool(runtime.view.primary)
     return may_wait_for_target(
-        runtime.waiting_count, has_primary, search.services.is_crowded()
+        runtime.waiting_count, has_primary, search.services.has_group_owners()
     )
 
 
--- a/beryltrack/settings/roster.py
+++ b/beryltrack/settings/roster.py
@@ -208,7 +208,7 @@
         """Return whether a missing entry is no longer a member."""
         return now >= self._known[entry.name].missing_since + MEMBER_EXPIRY
 
-    def get_due(self, now: float) -> float | None:
+    def get_next_check(self, now: float) -> float | None:
         """Return when the members next change by time; None if no entry is missing."""
         times = (
             known.missing_since + delay
--- a/beryltrack_bench/losses/site.py
+++ b/beryltrack_bench/losses/site.py
@@ -99,7 +99,7 @@
         if options.bad_link:
             self._cut_one_link()
         for name, task in self.tasks.items():
-            task.set_nodes(tuple(self.tasks))
+            task.set_instances(tuple(self.tasks))
             task.start()
             self.callers[name].start()
 
--- a/beryltrack_bench/matrix/proxy.py
+++ b/beryltrack_bench/matrix/proxy.py
@@ -186,7 +186,7 @@
         )
         pools = {each.name: self._make_pool(each) for each in settings.databases}
         self.runtime = GroupRuntime(self.node, settings, task, pools)
-        task.set_nodes(self._fleet())
+        task.set_instances(self._fleet())
         task.start()
         for pool in pools.values():
             pool.start()
--- a/tests/callers/test_extended.py
+++ b/tests/callers/test_extended.py
@@ -10,7 +10,7 @@
     make_statement,
     run_deallocate,
 )
-from beryltrack.connections.prepared import PreparedNames
+from beryltrack.connections.prepared import PreparedStatements
 from beryltrack.wire.messages import Edit
 
 TEXT = "SELECT $1"
@@ -45,7 +45,7 @@
 
 
 def test_a_new_statement_is_prepared_under_the_shared_name():
-    table, names = StatementTable(), PreparedNames()
+    table, names = StatementTable(), PreparedStatements()
     plan, built = run([PARSE, BIND, EXECUTE], table, names)
     assert built.wire == join(m.Parse(NAME, TEXT, [25]), RENAMED, EXECUTE)
     assert built.edits == (Edit.PASS,)
@@ -55,7 +55,7 @@
 
 
 def test_a_statement_of_an_earlier_unit_is_prepared_where_missing():
-    names = PreparedNames()
+    names = PreparedStatements()
     _, built = run([BIND, EXECUTE], make_table(s=STATEMENT), names)
     assert built.wire == join(m.Parse(NAME, TEXT, [25]), RENAMED, EXECUTE)
     assert built.edits == (Edit.DROP,)
@@ -64,7 +64,7 @@
 
 
 def test_a_statement_that_the_target_has_is_not_parsed_again():
-    names, table = PreparedNames(), StatementTable()
+    names, table = PreparedStatements(), StatementTable()
     names.touch(NAME)
     plan, built = run([PARSE], table, names)
     assert built.wire == join(m.Close("S", "beryltrack_none"))
@@ -74,14 +74,14 @@
 
 
 def test_a_parse_that_fails_leaves_no_statement():
-    table, names = StatementTable(), PreparedNames()
+    table, names = StatementTable(), PreparedStatements()
     run([PARSE], table, names, completed=0)
     assert table.get("s") is None
     assert NAME not in names
 
 
 def test_the_unnamed_statement_of_an_earlier_unit_is_sent_again():
-    table, names = StatementTable(), PreparedNames()
+    table, names = StatementTable(), PreparedStatements()
     bind = m.Bind("", "", [], [b"x"], [])
     run([m.Parse("", TEXT, [25])], table, names)
     _, built = run([bind, EXECUTE], table, names)
@@ -90,13 +90,13 @@
 
 
 def test_an_unknown_statement_is_forwarded_unchanged():
-    plan, built = run([BIND, EXECUTE], StatementTable(), PreparedNames())
+    plan, built = run([BIND, EXECUTE], StatementTable(), PreparedStatements())
     assert built.wire == join(BIND, EXECUTE)
     assert plan.executed == ()
 
 
 def test_a_close_keeps_the_shared_statement():
-    names, table = PreparedNames(), make_table(s=STATEMENT)
+    names, table = PreparedStatements(), make_table(s=STATEMENT)
     names.touch(NAME)
     _, built = run([m.Close("S", "s")], table, names)
     assert built.edits == (Edit.PASS,)
@@ -105,7 +105,7 @@
 
 
 def test_a_portal_of_an_earlier_unit_is_run_until_the_transaction_ends():
-    table, names = make_table(s=STATEMENT), PreparedNames()
+    table, names = make_table(s=STATEMENT), PreparedStatements()
     run([m.Bind("p", "s", [], [b"x"], [])], table, names)
     again = m.Execute("p", 10)
     assert run([again], table, names)[0].executed == (TEXT,)
@@ -114,7 +114,7 @@
 
 
 def test_the_oldest_statements_are_closed_beyond_the_limit():
-    names, table = PreparedNames(limit=2), StatementTable()
+    names, table = PreparedStatements(limit=2), StatementTable()
     others = [make_statement(f"SELECT {number}", ()) for number in range(2)]
     for other in others:
         names.touch(other.target_name)
@@ -127,7 +127,7 @@
 
 
 def test_stale_statements_are_closed_and_prepared_anew():
-    names, table = PreparedNames(), make_table(s=STATEMENT)
+    names, table = PreparedStatements(), make_table(s=STATEMENT)
     names.touch(NAME)
     names.expire()
     _, built = run([BIND, EXECUTE], table, names)
@@ -141,8 +141,8 @@
     table = StatementTable()
     for number in range(MAX_STATEMENTS):
         table.set(str(number), STATEMENT)
-    assert run([PARSE], table, PreparedNames())[0].error.sqlstate == "54000"
-    assert run([BIND], table, PreparedNames())[0].error is None
+    assert run([PARSE], table, PreparedStatements())[0].error.sqlstate == "54000"
+    assert run([BIND], table, PreparedStatements())[0].error is None
 
 
 def test_deallocate():
--- a/tests/daemon/test_configuration.py
+++ b/tests/daemon/test_configuration.py
@@ -7,7 +7,7 @@
 from beryltrack.objects.fields import Field
 from beryltrack.objects.messages import PlatformObject
 from beryltrack.objects.rows import SLICE_ROWS
-from beryltrack.platform.settings import ROW_TABLES, read_configuration
+from beryltrack.platform.settings import ROW_SCHEMAS, read_configuration
 from tests.platform.test_settings import CONFIG
 
 COUNT = 1400
@@ -36,7 +36,7 @@
     def __init__(self):
         self.clock, self.found = CountingClock(), []
         self.task = ConfigurationTask(
-            self.clock, read_configuration, ROW_TABLES, self.found.append
+            self.clock, read_configuration, ROW_SCHEMAS, self.found.append
         )
 
     @property
@@ -92,7 +92,7 @@
         taken.append(found)
         raise RuntimeError("a defect")
 
-    task = ConfigurationTask(Clock(), read_configuration, ROW_TABLES, callback)
+    task = ConfigurationTask(Clock(), read_configuration, ROW_SCHEMAS, callback)
     task.read(make_item(7, 1))
     task.read(make_item(8, 1))
     assert len(taken) == 2 and "Applying a configuration failed" in caplog.text
--- a/tests/daemon/test_group_connections.py
+++ b/tests/daemon/test_group_connections.py
@@ -51,7 +51,7 @@
         self.calls = []
         self.pool = Pool()
         task = SimpleNamespace(
-            set_nodes=lambda *args: self.calls.append(args),
+            set_instances=lambda *args: self.calls.append(args),
             set_allowed_vias=lambda vias: self.calls.append(vias),
         )
         self.runtime = SimpleNamespace(
--- a/tests/failover/test_decider.py
+++ b/tests/failover/test_decider.py
@@ -48,7 +48,7 @@
 
 def make_decider(node="n1", nodes=NODES):
     decider = FailoverDecider("g", node, DETECTOR, Random(1))
-    decider.set_nodes(nodes)
+    decider.set_instances(nodes)
     return decider
 
 
@@ -290,6 +290,6 @@
 
 def test_an_instance_that_is_no_candidate_holds_no_election():
     decider = make_decider(nodes=("n1",))
-    decider.set_nodes(("n2",), False)
+    decider.set_instances(("n2",), False)
     assert decider.decide(DEAD, 10.0) is None
     assert not decider.is_first
--- a/tests/failover/test_task.py
+++ b/tests/failover/test_task.py
@@ -185,7 +185,9 @@
 def test_competing_elections_of_many_instances_converge():
     site = make_site(proxies=6)
     for task in site.tasks.values():
-        task.set_nodes(())  # No instance knows the others, so all are first in rank.
+        task.set_instances(
+            ()
+        )  # No instance knows the others, so all are first in rank.
     history = []
     for database in site.group.databases.values():
         database._record = history.append
--- a/tests/group_site.py
+++ b/tests/group_site.py
@@ -32,7 +32,7 @@
         self.nodes = {name: self.site.add_node(name, "scl-a") for name in names}
         self.tasks = {name: self._make_task(name, policy) for name in names}
         for task in self.tasks.values():
-            task.set_nodes(names)
+            task.set_instances(names)
             task.start()
         self.run(1.0)
 
--- a/tests/groups/test_sharing.py
+++ b/tests/groups/test_sharing.py
@@ -31,7 +31,7 @@
         self.nodes = ()
         self.hints = []
 
-    def set_nodes(self, nodes):
+    def set_instances(self, nodes):
         self.nodes = nodes
 
     def subscribe(self, callback):
--- a/tests/load/test_verdicts.py
+++ b/tests/load/test_verdicts.py
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("target_latency", "is_crowded", "expected"),
+    ("target_latency", "has_group_owners", "expected"),
     [
         (0.2, False, 0.35),
         (0.2, True, 0.1),
@@ -126,13 +126,13 @@
     ],
 )
 def test_in_a_large_fleet_a_request_waits_for_a_part_of_its_target_latency(
-    target_latency, is_crowded, expected
+    target_latency, has_group_owners, expected
 ):
-    assert compute_target_wait(0.35, target_latency, is_crowded) == expected
+    assert compute_target_wait(0.35, target_latency, has_group_owners) == expected
 
 
 @pytest.mark.parametrize(
-    ("waiting", "has_primary", "is_crowded", "expected"),
+    ("waiting", "has_primary", "has_group_owners", "expected"),
     [
         (0, False, True, True),
         (7, False, True, True),
@@ -142,6 +142,6 @@
     ],
 )
 def test_few_requests_wait_while_the_group_is_known_to_have_no_primary(
-    waiting, has_primary, is_crowded, expected
+    waiting, has_primary, has_group_owners, expected
 ):
-    assert may_wait_for_target(waiting, has_primary, is_crowded) is expected
+    assert may_wait_for_target(waiting, has_primary, has_group_owners) is expected
--- a/tests/objects/test_shared_copies.py
+++ b/tests/objects/test_shared_copies.py
@@ -404,8 +404,8 @@
 def test_a_pause_makes_no_follower_leave_its_watcher():
     """Guards against followers that all call the store after a pause."""
     fleet = Fleet(20)
-    awake = get_pause_aware_clock(fleet.clock)
-    awake.start_detection()
+    pause_aware_clock = get_pause_aware_clock(fleet.clock)
+    pause_aware_clock.start_detection()
     before = get_sources(fleet)
     fleet.clock.advance(3.0)
     assert any(before.values()) and get_sources(fleet) == before
@@ -414,15 +414,15 @@
 def test_a_watcher_that_falls_silent_during_a_pause_is_left_after_it():
     """Guards against a pause that hides the loss of the watcher."""
     fleet = Fleet(20)
-    awake = get_pause_aware_clock(fleet.clock)
-    awake.start_detection()
+    pause_aware_clock = get_pause_aware_clock(fleet.clock)
+    pause_aware_clock.start_detection()
     before = get_sources(fleet)
     lost = next(filter(None, before.values()))
     fleet.cut.add(lost)
     fleet.clock.advance(3.0)
     for _ in range(round(2.0 / STEP)):
         fleet.run(STEP)
-        awake.record_tick()
+        pause_aware_clock.record_tick()
     sources = get_sources(fleet)
     followers = [name for name, source in before.items() if source == lost]
     assert followers and lost not in {sources[name] for name in followers}
--- a/tests/relay/test_avoided.py
+++ b/tests/relay/test_avoided.py
@@ -17,7 +17,7 @@
     found = []
     for number in range(int(until / step)):
         now = number * step
-        for name in avoided.get_due(now):
+        for name in avoided.get_due_probes(now):
             found.append(now)
             avoided.record_probe_failure(name, now)
     return found
@@ -39,14 +39,14 @@
     avoided.add("a", 0.0)
     for _ in range(2000):
         avoided.record_probe_failure("a", 0.0)
-    assert avoided.get_due(MAX_PROBE_INTERVAL - 0.1) == ()
-    assert avoided.get_due(MAX_PROBE_INTERVAL) == ("a",)
+    assert avoided.get_due_probes(MAX_PROBE_INTERVAL - 0.1) == ()
+    assert avoided.get_due_probes(MAX_PROBE_INTERVAL) == ("a",)
 
 
 def test_an_instance_that_answers_a_probe_is_no_longer_avoided():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0)
-    assert avoided.get_due(MIN_PROBE_INTERVAL) == ("a",)
+    assert avoided.get_due_probes(MIN_PROBE_INTERVAL) == ("a",)
     assert avoided.remove("a") and not avoided.has("a")
     assert not avoided.remove("a")
 
@@ -54,8 +54,8 @@
 def test_an_instance_that_refuses_connections_is_not_probed_at_once():
     avoided = AvoidedOwners()
     avoided.add("a", 0.0, REFUSAL_AVOID_TIME)
-    assert avoided.get_due(REFUSAL_AVOID_TIME - 0.1) == ()
-    assert avoided.get_due(REFUSAL_AVOID_TIME) == ("a",)
+    assert avoided.get_due_probes(REFUSAL_AVOID_TIME - 0.1) == ()
+    assert avoided.get_due_probes(REFUSAL_AVOID_TIME) == ("a",)
 
 
 def test_another_failure_does_not_shorten_the_interval():
@@ -64,7 +64,7 @@
     for _ in range(7):
         avoided.record_probe_failure("a", 0.0)
     assert not avoided.add("a", 0.1)
-    assert avoided.get_due(7.9) == () and avoided.get_due(8.0) == ("a",)
+    assert avoided.get_due_probes(7.9) == () and avoided.get_due_probes(8.0) == ("a",)
 
 
 @pytest.mark.parametrize("min_time", [MIN_PROBE_INTERVAL, REFUSAL_AVOID_TIME])
@@ -74,7 +74,7 @@
     for number in range(100):
         now = 0.05 * number
         avoided.add("a", now, min_time)
-        if avoided.get_due(now):
+        if avoided.get_due_probes(now):
             break
     assert now == pytest.approx(min_time, abs=0.06)
     assert avoided.get_failed_at("a") == now
--- a/tests/relay/test_directory.py
+++ b/tests/relay/test_directory.py
@@ -77,10 +77,10 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "connections", "is_crowded"),
+    ("others", "connections", "has_group_owners"),
     [(5, 22, False), (7, 43, False), (71, 156, True)],
 )
-def test_a_fleet_is_crowded_if_its_groups_have_owners(others, connections, is_crowded):
+def test_owners_of_groups_count_as_group_owners(others, connections, has_group_owners):
     me = Peer("me", "a", Endpoint("me", 1))
     directory = RelayDirectory(me, Clock().seconds, 8)
     names = [f"n{each}" for each in range(others)]
@@ -89,11 +89,11 @@
     ]
     directory.set_peers(peers)
     directory.get_placement("g", connections)
-    assert directory.is_crowded is is_crowded
-    # Accounts have owners in every fleet; that alone does not make it crowded.
+    assert directory.has_group_owners is has_group_owners
+    # Accounts have owners in every fleet; they are no group owners.
     directory.set_accounts(connections)
     directory.get_placement("g", connections)
-    assert directory.is_crowded is is_crowded
+    assert directory.has_group_owners is has_group_owners
 
 
 def test_an_owner_that_does_not_reach_one_database_is_used_for_others():
--- a/tests/requests/test_hold.py
+++ b/tests/requests/test_hold.py
@@ -19,7 +19,7 @@
 class Site:
     """A group without a primary, in a fleet of some size."""
 
-    def __init__(self, is_crowded, waiting_count=0):
+    def __init__(self, has_group_owners, waiting_count=0):
         self.clock = Clock()
         self.waiting = [Deferred() for _ in range(waiting_count)]
         self.runtime = SimpleNamespace(
@@ -31,7 +31,7 @@
         )
         self.services = SimpleNamespace(
             seconds=self.clock.seconds,
-            is_crowded=lambda: is_crowded,
+            has_group_owners=lambda: has_group_owners,
             routing=DEFAULT_POLICY,
         )
 
@@ -64,11 +64,15 @@
     assert isinstance(end, Failure) and end.failure().retry_after > 0
 
 
-@pytest.mark.parametrize(("is_crowded", "wait_until"), [(False, 0.35), (True, 0.125)])
-def test_target_latency_bounds_the_wait_in_a_large_fleet(is_crowded, wait_until):
+@pytest.mark.parametrize(
+    ("has_group_owners", "wait_until"), [(False, 0.35), (True, 0.125)]
+)
+def test_target_latency_bounds_the_wait_in_a_large_fleet(has_group_owners, wait_until):
     context, _ = make_context("text", StatementKind.WRITE)
     policy = RequestPolicy(0.8, 0.35, target_latency=0.5)
-    services = context.services._replace(is_crowded=lambda: is_crowded, policy=policy)
+    services = context.services._replace(
+        has_group_owners=lambda: has_group_owners, policy=policy
+    )
     assert context._replace(services=services).search.wait_until == wait_until
 
 
--- a/tests/settings/test_roster.py
+++ b/tests/settings/test_roster.py
@@ -36,7 +36,7 @@
     roster = Roster()
     roster.observe((A, B, C), 0.0)
     roster.observe((A, B), 1.0)
-    due = roster.get_due(1.0)
+    due = roster.get_next_check(1.0)
     assert due == 1.0 + MISSING_GRACE
     *_, last = roster.get_members("main", due)
     assert last == C._replace(draining=True)
@@ -81,7 +81,7 @@
     roster.observe((before, B, C), 0.0)
     roster.observe((after, B, C), 1.0)
     assert get_names(roster, 1.0) == ["a@2000", "b", "c"]
-    assert roster.get_due(1.0) is None
+    assert roster.get_next_check(1.0) is None
 
 
 def test_an_entry_without_a_start_time_is_not_a_restart():
