--- a/beryltrack_bench/__init__.py
+++ b/beryltrack_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments and load against the stand-ins."""
+"""Experiments, fault injection and load tests against fakes and stand-ins."""
--- a/beryltrack_bench/checker.py
+++ b/beryltrack_bench/checker.py
@@ -1,7 +1,7 @@
-"""The invariants, checked over a recorded history: one check for each.
+"""Checks of the invariants over a recorded history, one function each.
 
 The checks read only `beryltrack_bench.history` and share no code with the
-package that they judge. Each gives every violation that it finds.
+package under test. Each yields all violations that it finds.
 """
 
 from collections import Counter
@@ -34,23 +34,23 @@
 )
 
 LEAVING_LIMIT = 3.0
-"""Seconds after which a leaving target may get no new work."""
+"""Seconds after a target starts leaving from which it must get no new work."""
 
 IN_FORCE_LIMIT = 5.0
-"""Seconds after which an accepted change must be in force on every proxy."""
+"""Seconds within which an accepted change must be in force on every proxy."""
 
 E = TypeVar("E", bound=Event)
 
 
 class Violation(NamedTuple):
-    """One breach of an invariant.
+    """One violation of an invariant.
 
     Parameters
     ----------
     invariant : str
         Name of the invariant.
     text : str
-        What was seen.
+        What was observed.
     """
 
     invariant: str
@@ -73,7 +73,7 @@
 
 
 def check_read_your_writes(history: History) -> Iterator[str]:
-    """A read sees each write acknowledged to its session before it was sent."""
+    """A read sees each write acknowledged to its session before the read was sent."""
     written = list(_select(history, WriteAcknowledged))
     for read in _select(history, ReadAnswered):
         missing = [
@@ -89,7 +89,7 @@
 
 
 def check_no_acknowledged_write_lost(history: History) -> Iterator[str]:
-    """An acknowledged write is in the log of every later primary and the last."""
+    """An acknowledged write is in the log of each later primary and the final log."""
     logs = _get_final_keys(history)
     promotions = list(_select(history, Promoted))
     for write in _select(history, WriteAcknowledged):
@@ -104,7 +104,7 @@
 
 
 def check_transactions_apart(history: History) -> Iterator[str]:
-    """A commit holds the statements of one transaction: all of them, in order."""
+    """A commit contains exactly the statements of one transaction, in order."""
     requested = {request.keys for request in _select(history, WriteRequested)}
     for entry in _get_commits(history):
         if entry not in requested:
@@ -112,7 +112,7 @@
 
 
 def check_own_answer(history: History) -> Iterator[str]:
-    """A caller gets the whole answer to its own request and no other, once."""
+    """A caller gets the complete answer to its own request, exactly once."""
     answered = Counter()
     for answer in _select(history, RequestAnswered):
         answered[answer.request] += 1
@@ -124,11 +124,11 @@
 
 
 def check_refusals_true(history: History) -> Iterator[str]:
-    """What was refused as not run did not run; what was rolled back is not kept.
+    """A request refused as not run did not run; one rolled back has no effect.
 
-    A caller may send a refused request again; what runs after that says
-    nothing of the refusal. Nor does what ran before this sending: an earlier
-    sending, whose outcome was told as unknown, may have run.
+    A caller may send a refused request again, so only executions between the
+    refused attempt and the next one count. An earlier attempt, whose outcome was
+    reported as unknown, may have run.
     """
     requests = list(_select(history, WriteRequested))
     commits = list(_select(history, Executed))
@@ -140,7 +140,7 @@
         runs = [each.at for each in commits if each.keys == refused.keys]
         ran = any(since <= at < until for at in runs)
         is_kept = bool(kept.get(refused.group, set()) & set(refused.keys))
-        # What an earlier sending has done is there to stay, and is not this one's.
+        # An effect of an earlier attempt remains and does not belong to this one.
         lasts = until == inf and is_kept and not any(at < since for at in runs)
         untrue = {Refusal.NOT_RUN: ran or lasts, Refusal.ROLLED_BACK: lasts}
         if untrue.get(refused.refusal):
@@ -152,7 +152,10 @@
 
 
 def check_at_most_once(history: History) -> Iterator[str]:
-    """A marked request is in the last log once at most, another once a sending."""
+    """An at-most-once request is in the final log at most once.
+
+    Any other request is there at most once for each attempt.
+    """
     allowed = Counter()
     for request in _select(history, WriteRequested):
         for key in request.keys:
@@ -166,7 +169,7 @@
 
 
 def check_leaving_targets(history: History) -> Iterator[str]:
-    """A target that is leaving gets no new work after `LEAVING_LIMIT` seconds."""
+    """A leaving target gets no new work after `LEAVING_LIMIT` seconds."""
     left_at: dict[str, float] = {}
     for event in history:
         match event:
@@ -182,7 +185,7 @@
 
 
 def check_shutdowns(history: History) -> Iterator[str]:
-    """Each request in flight when a graceful shutdown begins gets its answer."""
+    """Each request in flight at the start of a graceful shutdown is answered."""
     answered = {answer.request for answer in _select(history, RequestAnswered)}
     crashed = {crash.proxy for crash in _select(history, ProxyCrashed)}
     begun_at = {begun.proxy: begun.at for begun in _select(history, ShutdownBegun)}
@@ -193,7 +196,7 @@
 
 
 def check_settings(history: History) -> Iterator[str]:
-    """Accepted settings are in force everywhere in time and never revert."""
+    """Accepted settings are in force on all proxies in time and never revert."""
     accepted = list(_select(history, ChangeAccepted))
     made = Counter(change.change_id for change in accepted if change.change_id)
     yield from (f"change {key} was made twice" for key in made if made[key] > 1)
@@ -223,12 +226,12 @@
 
 
 def _select(history: History, kind: type[E]) -> Iterator[E]:
-    """Return the records of one kind, in their order."""
+    """Return the events of one type, in order."""
     return (event for event in history if isinstance(event, kind))
 
 
 def _get_final_keys(history: History) -> dict[str, frozenset[str]]:
-    """Return the keys in the last log of each group."""
+    """Return the keys in the final log of each group."""
     return {
         log.group: frozenset(key for entry in log.entries for key in entry)
         for log in _select(history, FinalLog)
@@ -236,14 +239,14 @@
 
 
 def _get_commits(history: History) -> Iterator[tuple[str, ...]]:
-    """Return what each commit held, at any database."""
+    """Return the keys of each commit at any database."""
     yield from (commit.keys for commit in _select(history, Executed))
     for log in _select(history, FinalLog):
         yield from log.entries
 
 
 def _lacks_write(promoted: Promoted, write: WriteAcknowledged, term: int) -> bool:
-    """Return whether a later primary lacks a write that was acknowledged before it.
+    """Return whether a later primary lacks a previously acknowledged write.
 
     Parameters
     ----------
@@ -252,10 +255,10 @@
     write : WriteAcknowledged
         The write.
     term : int
-        The highest term that had a primary when the write was acknowledged. One
-        of a lower term, promoted late by a message that was delayed, is no
-        later primary; one that was promoted before may have gained the write
-        since, which the last log tells.
+        The highest term that had a primary when the write was acknowledged. A
+        primary of a lower term, promoted late by a delayed message, is not a
+        later primary. A primary promoted earlier may receive the write after its
+        promotion; the final log shows whether it did.
     """
     is_later = promoted.term > term and promoted.at >= write.at
     return is_later and not promoted.keys.issuperset(write.keys)
@@ -264,7 +267,7 @@
 def _group_versions(
     history: History,
 ) -> dict[tuple[str, str], list[VersionInForce]]:
-    """Return what was seen in force at each proxy of each path, in order."""
+    """Return the versions seen in force by proxy and path, in order."""
     found: dict[tuple[str, str], list[VersionInForce]] = {}
     for seen in _select(history, VersionInForce):
         found.setdefault((seen.proxy, seen.path), []).append(seen)
@@ -272,6 +275,6 @@
 
 
 def _is_late(change: ChangeAccepted, seen: list[VersionInForce]) -> bool:
-    """Return whether a proxy was seen without a change when it was due."""
+    """Return whether a proxy was seen without a change after it was due."""
     due = max(change.at, seen[0].at) + IN_FORCE_LIMIT
     return any(each.at > due and each.version < change.version for each in seen)
--- a/beryltrack_bench/deployment.py
+++ b/beryltrack_bench/deployment.py
@@ -1,8 +1,8 @@
-"""The deployments that the experiments measure, loaded from JSON files.
+"""The deployments that the experiments model, loaded from JSON files.
 
-Places, sizes, delays and connection limits are those that the users stated.
-What they left open (the pace of replication, the workload) stands in the same
-files, so that no figure of an experiment rests on a number hidden in code.
+The users state the zones, sizes, delays and connection limits. The values that
+they leave open (replication speed, workload) are in the same files, so that no
+result of an experiment depends on a number that is only in code.
 """
 
 import json
@@ -17,18 +17,19 @@
 
 
 class ReplicationModel(NamedTuple):
-    """How fast the replicas of a deployment follow.
+    """Replication speed of a deployment.
 
     Parameters
     ----------
     heartbeat : float
-        Seconds between two words of a primary that has nothing to replicate.
+        Seconds between two heartbeats of a primary that has nothing to replicate.
     receive_jitter : float
-        Most seconds that reception takes beyond the link's delay.
+        Maximum time that reception takes beyond the link's delay, seconds.
     apply_median : float
-        Median of the seconds from reception to application.
+        Median time from reception to application, seconds.
     apply_sigma : float
-        Spread of that time: the standard deviation of its logarithm.
+        Standard deviation of the logarithm of the time from reception to
+        application.
     """
 
     heartbeat: float
@@ -38,7 +39,7 @@
 
 
 class Deployment(NamedTuple):
-    """One user's site.
+    """The model of one user's site.
 
     Parameters
     ----------
@@ -57,16 +58,16 @@
     databases_per_group : int
         Databases in each group.
     slots : int
-        Statements that a database runs at once.
+        Statements that a database runs concurrently.
     max_connections : int
-        Most connections to one database over all proxies.
+        Maximum number of connections to one database over all proxies.
     connection_setup : float
-        Seconds that a new connection takes.
+        Time to open a connection, seconds.
     replication : ReplicationModel
-        How fast replicas follow.
+        Replication speed.
     workload : dict
-        What `steady` and `overload` read of the workload; each experiment
-        loads it into its own typed form.
+        Workload settings of `steady` and `overload`; each experiment loads them
+        into its own typed form.
     """
 
     name: str
@@ -84,15 +85,15 @@
 
 
 def get_zone(deployment: Deployment, index: int) -> str:
-    """Return the availability zone of the instance with a number, round robin."""
+    """Return the availability zone of the instance at an index (round robin)."""
     return deployment.zones[index % len(deployment.zones)]
 
 
 def get_delay(deployment: Deployment, source: str, target: str) -> float:
     """Return the one-way delay between two availability zones, in seconds.
 
-    Inside a zone a tenth of the delay between zones is taken: the users state
-    only the latter.
+    Within a zone a tenth of the delay between zones is assumed, because the users
+    state only the latter.
     """
     share = 0.1 if source == target else 1.0
     return deployment.zone_delay * share
@@ -101,21 +102,21 @@
 def parse_deployment(
     text: str, source: str
 ) -> tuple[Deployment | None, tuple[Finding, ...]]:
-    """Check the JSON text of a deployment and load it.
+    """Validate and load the JSON text of a deployment.
 
     Parameters
     ----------
     text : str
         JSON text.
     source : str
-        Where the text came from, for the findings.
+        Name of the text's source, used in findings.
 
     Returns
     -------
     deployment : Deployment or None
         None if there are findings.
     findings : tuple of Finding
-        Everything that is wrong.
+        All errors of syntax and schema.
     """
     try:
         value = json.loads(text)
@@ -132,7 +133,7 @@
 
 
 def load_deployment(name: str) -> Deployment:
-    """Load one of the bench's own deployments.
+    """Load one of the deployments that ship with the bench.
 
     Raises
     ------
@@ -149,7 +150,7 @@
 
 
 def _make_deployment(value: dict) -> Deployment:
-    """Return the typed form of a checked JSON object."""
+    """Return the typed form of a validated JSON object."""
     fields = {
         key: tuple(part) if isinstance(part, list) else part
         for key, part in value.items()
@@ -159,10 +160,10 @@
 
 
 def _load_schema() -> dict:
-    """Return the schema of a deployment's file."""
+    """Return the JSON schema of deployment files."""
     return json.loads(_read("schema.json"))
 
 
 def _read(name: str) -> str:
-    """Return the text of a file beside the deployments."""
+    """Return the text of a file in the deployments folder."""
     return files("beryltrack_bench").joinpath("deployments", name).read_text()
--- a/beryltrack_bench/fakes/clock.py
+++ b/beryltrack_bench/fakes/clock.py
@@ -1,9 +1,9 @@
-"""A `task.Clock` that stays quick with many calls planned.
+"""A `task.Clock` that stays fast with many scheduled calls.
 
-The library's clock sorts all planned calls whenever one is added or run, which
-took half of the time of an experiment. This one puts a new call where it
-belongs. Calls of one time run in the order in which they were planned, as with
-the library's clock, so that figures do not depend on which of them is used.
+Twisted's clock sorts all scheduled calls whenever one is added or run, which
+took half of the time of an experiment. This clock inserts a new call at its
+sorted position. Calls scheduled for the same time run in the order in which they
+were scheduled, as with Twisted's clock, so results are the same with either.
 """
 
 from bisect import insort
@@ -14,12 +14,12 @@
 
 
 class OrderedClock(Clock):
-    """The library's clock, with its calls kept in order of their times."""
+    """Twisted's clock with a sorted list of calls."""
 
     def callLater(  # noqa: N802
         self, delay: float, callable: Callable[..., object], *args, **kwargs
     ) -> DelayedCall:
-        """Run a function after some seconds."""
+        """Schedule a function after a delay in seconds."""
         call = DelayedCall(
             self.seconds() + delay,
             callable,
@@ -33,7 +33,7 @@
         return call
 
     def advance(self, amount: float) -> None:
-        """Let some seconds pass, and run what was planned until then."""
+        """Advance the time by some seconds and run the calls that become due."""
         self.rightNow += amount
         while self.calls and self.calls[0].time <= self.seconds():
             call = self.calls.pop(0)
@@ -45,11 +45,11 @@
             call.func(*call.args, **call.kw)
 
     def _move(self, call: DelayedCall) -> None:
-        """Put a call where it belongs after it was planned for an earlier time."""
+        """Restore the order after a call was rescheduled to an earlier time."""
         self.calls.remove(call)
         insort(self.calls, call, key=_get_planned_time)
 
 
 def _get_planned_time(call: DelayedCall) -> float:
-    """Return when a call was planned, before it was put off."""
+    """Return the time of a call without a later postponement."""
     return call.time
--- a/beryltrack_bench/fakes/database.py
+++ b/beryltrack_bench/fakes/database.py
@@ -1,8 +1,8 @@
-"""A fake database: a `ReplicaLog`, replication over the links, and statements.
+"""A fake database: a `ReplicaLog`, replication over the fake network, statements.
 
-A write appends one entry that carries its idempotency key, so that lost and
-doubled writes can be counted in the last primary's log. A read gives the keys
-that are visible together with the applied position.
+A write appends one log entry with the keys of its statements, so that lost and
+duplicated writes can be counted in the last primary's log. A read returns the
+visible keys and the applied position.
 """
 
 from collections.abc import Callable
@@ -32,21 +32,22 @@
 from beryltrack_standins.database.replica_log import ReplicaLog
 
 STOPPED_WRITES_LIMIT = 2.0
+"""Seconds after which a primary that stopped writes accepts them again."""
 
 
 class WriteRefused(Exception):
-    """SQLSTATE 25006: the database takes no writes; this one provably did not run."""
+    """SQLSTATE 25006: the database accepts no writes; this one did not run."""
 
 
 class ReadResult(NamedTuple):
-    """What a read saw.
+    """The result of a read.
 
     Parameters
     ----------
     keys : tuple of str
-        Keys of the writes that were visible, oldest first.
+        Keys of the visible writes, oldest first.
     position : LogPosition
-        The applied position at which it ran.
+        The applied position at which the read ran.
     """
 
     keys: tuple[str, ...]
@@ -67,17 +68,17 @@
     Parameters
     ----------
     node : Node
-        Where it runs.
+        The node that it runs on.
     network : Network
         The site's links.
     model : ReplicationModel
-        The pace of replication.
+        Replication speed.
     rng : Random
         Source of the apply lag.
     group : str
         Name of its group, for the history.
     record : callable
-        Takes what happens here, for the history.
+        Called with each event for the history.
     """
 
     def __init__(
@@ -104,24 +105,24 @@
         self._is_applying = False
 
     def start(self) -> None:
-        """Begin the primary's heartbeats; also after a restart."""
+        """Start the primary's heartbeats, also after a restart."""
         self._is_applying = False
         self._waiters = []
         self._tick()
 
     def get_status(self) -> DatabaseStatus:
-        """Return what the database says of itself."""
+        """Return the status that the database reports."""
         return self.log.get_status(self.node.seconds())
 
     def wait_status(self, wait: StatusWait, timeout: float) -> Deferred:
-        """Give the status when it differs from what the caller knows.
+        """Return the status as soon as it differs from what the proxy knows.
 
         Parameters
         ----------
         wait : StatusWait
-            What ends the wait, besides a change of the leaving flag.
+            The conditions that end the wait, besides a change of the leaving flag.
         timeout : float
-            Seconds after which the answer comes in any case.
+            Seconds after which the status is returned unconditionally.
         """
         waiter = _Waiter(wait, self.log.leaving, Deferred())
         if self._is_ready(waiter):
@@ -150,7 +151,7 @@
         return PromoteReply(promoted, self.get_status())
 
     def stop_writes(self, term: int) -> DatabaseStatus:
-        """Take no more writes for a while, if this is the primary of the term."""
+        """Stop writes for `STOPPED_WRITES_LIMIT` if this is the term's primary."""
         if self.log.term == term and self.log.can_write():
             self.log.stopped_writes = True
             self.node.schedule(
@@ -159,21 +160,21 @@
         return self.get_status()
 
     def set_leaving(self, leaving: bool) -> None:
-        """Say that the database wants no new work."""
+        """Set whether the database announces that it is leaving."""
         self.log.leaving = leaving
         event = TargetLeft if leaving else TargetReturned
         self._record(event(self.name, self.node.seconds()))
         self._notify()
 
     def write(self, *keys: str, at_most_once: bool = False) -> Deferred:
-        """Commit one write transaction that carries some keys.
+        """Commit one write transaction.
 
         Parameters
         ----------
         *keys : str
-            The statements, each by its key.
+            One key for each statement.
         at_most_once : bool
-            True if a repeat shall have no effect, as with the ledger's row.
+            True if a repeat must have no effect, as with the ledger's row.
 
         Returns
         -------
@@ -183,7 +184,7 @@
         return self._run(lambda: self._commit(keys, at_most_once))
 
     def read(self) -> Deferred:
-        """Give a `ReadResult`."""
+        """Return a Deferred of a `ReadResult`."""
         return self._run(lambda: ReadResult(self.get_keys(), self.log.applied))
 
     def get_keys(self) -> tuple[str, ...]:
@@ -199,7 +200,7 @@
         return answer.addCallback(lambda ignored: run())
 
     def _commit(self, keys: tuple[str, ...], at_most_once: bool) -> LogPosition:
-        """Append a write and send it to the replicas."""
+        """Append a write to the log and send it to the replicas."""
         if not self.log.can_write():
             raise WriteRefused(f"{self.name} takes no writes")
         if at_most_once and (known := self._find_existing(keys)):
@@ -212,13 +213,13 @@
         return position
 
     def _find_existing(self, keys: tuple[str, ...]) -> LogPosition | None:
-        """Return where a marked write is in the log already."""
+        """Return the position of an earlier commit of the same keys, if any."""
         offsets = enumerate(self.log.entries, start=1)
         found = (offset for offset, entry in offsets if entry.statements == keys)
         return next(map(self.log.get_position, found), None)
 
     def _resume_writes(self, term: int) -> None:
-        """Take writes again, unless the term has moved meanwhile."""
+        """Accept writes again unless the term has changed."""
         if self.log.term == term:
             self.log.stopped_writes = False
 
@@ -228,7 +229,7 @@
         self.node.schedule(self._model.heartbeat, self._tick, None)
 
     def _replicate(self) -> None:
-        """Send the log to each replica, without waiting for it."""
+        """Send the log to each replica without waiting for an answer."""
         if self.log.can_write() or self.log.stopped_writes:
             for peer in self.peers:
                 self._network.send(
@@ -239,13 +240,13 @@
                 )
 
     def receive(self, primary: ReplicaLog) -> None:
-        """Take new entries from a primary and apply them a little later."""
+        """Receive new entries from a primary and schedule their application."""
         if self.log.receive(primary, self.node.seconds()):
             self._notify()
             self._apply_later()
 
     def _apply_later(self) -> None:
-        """Apply what was received after the replica's lag."""
+        """Schedule the application of received entries after the replica's lag."""
         if self._is_applying or self.log.applied_offset >= len(self.log.entries):
             return
         self._is_applying = True
@@ -255,7 +256,7 @@
         self.node.schedule(due, lambda: self._apply(target), None)
 
     def _apply(self, offset: int) -> None:
-        """Apply up to an offset."""
+        """Apply the entries up to an offset."""
         self._is_applying = False
         reached = min(offset, len(self.log.entries))
         self.log.applied_offset = max(self.log.applied_offset, reached)
@@ -279,7 +280,7 @@
             self._answer(ready)
 
     def _answer(self, waiters: list[_Waiter]) -> None:
-        """Answer some long polls, each once."""
+        """Answer long polls, each at most once."""
         for waiter in waiters:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
--- a/beryltrack_bench/fakes/group.py
+++ b/beryltrack_bench/fakes/group.py
@@ -1,4 +1,4 @@
-"""A fake database group and the control adapter through which a proxy sees it."""
+"""A fake database group and the control adapter that proxies use for it."""
 
 from collections.abc import Callable
 from random import Random
@@ -16,7 +16,7 @@
 from beryltrack_bench.history import Event
 
 CONTROL_TIMEOUT = 1.0
-"""Seconds after which a control call that got no answer fails."""
+"""Seconds after which a control call without an answer fails."""
 
 FIRST_TERM = 1
 
@@ -27,19 +27,19 @@
     Parameters
     ----------
     site : Site
-        Where the nodes belong.
+        The site that the nodes are added to.
     network : Network
         The site's links.
     deployment : Deployment
-        Number of databases, zones and the pace of replication.
+        Number of databases, zones and replication speed.
     rng : Random
         Source of the apply lag.
     name : str
         The group's name.
     record : callable
-        Takes what happens at its databases, for the history.
+        Called with each event at its databases, for the history.
     make_database : callable
-        `FakeDatabase` or a kind of it.
+        `FakeDatabase` or a subclass.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
 
     @property
     def primary(self) -> FakeDatabase:
-        """The primary of the highest term, or the furthest replica if none leads."""
+        """The primary of the highest term, else the most up-to-date replica."""
         return max(self.databases.values(), key=_rank_database)
 
     def start(self) -> None:
-        """Promote the first database and begin replication."""
+        """Promote the first database and start replication."""
         first, *_ = self.databases.values()
         for database in self.databases.values():
             database.grant(FIRST_TERM, "start", 0.0)
@@ -88,14 +88,14 @@
         label: str,
         serve: Callable[[FakeDatabase], object],
     ) -> Deferred:
-        """Ask a database something over a node's link to it; see `Network.call`."""
+        """Call a database over a node's link to it; see `Network.call`."""
         target = self.databases[database]
         return self.network.call(source, target.node, label, lambda: serve(target))
 
     def write(
         self, source: Node, database: str, *keys: str, at_most_once: bool = False
     ) -> Deferred:
-        """Commit one write from a node; no timeout of its own."""
+        """Send one write from a node, without a timeout."""
         return self.call(
             source,
             database,
@@ -104,22 +104,22 @@
         )
 
     def read(self, source: Node, database: str) -> Deferred:
-        """Read from a node; no timeout of its own."""
+        """Send one read from a node, without a timeout."""
         return self.call(source, database, "read", FakeDatabase.read)
 
     def crash(self, name: str, silent: bool = False) -> None:
-        """End a database's process, or its whole instance if silent."""
+        """Crash a database's process, or its whole instance if `silent`."""
         self.databases[name].node.crash(silent)
 
     def restart(self, name: str) -> None:
-        """Bring a database back with the log that it had."""
+        """Restart a database with its log."""
         database = self.databases[name]
         if not database.node.alive:
             database.node.restart()
             database.start()
 
     def isolate(self, name: str) -> None:
-        """Cut a database from its group; proxies still reach it."""
+        """Partition a database from its group; proxies still reach it."""
         for peer in self.databases[name].peers:
             self.network.cut_both(name, peer.name)
 
@@ -151,7 +151,7 @@
     async def wait_status(
         self, database: str, wait: StatusWait, timeout: float
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Return the status when the wait is over, or after a timeout in seconds."""
+        """Return the status when a condition holds or a timeout (seconds) ends."""
         return await self._call(
             database,
             "status_after",
@@ -162,7 +162,7 @@
     async def grant(
         self, database: str, term: int, candidate: str, lost_after: float
     ) -> Result[GrantReply, ControlFailure]:
-        """Ask a database for a term."""
+        """Ask a database to grant a term."""
         return await self._call(
             database, "grant", lambda each: each.grant(term, candidate, lost_after)
         )
@@ -170,7 +170,7 @@
     async def promote(
         self, database: str, term: int, candidate: str, token: int = 0
     ) -> Result[PromoteReply, ControlFailure]:
-        """Have a database lead a term."""
+        """Ask a database to become the primary of a term."""
         return await self._call(
             database, "promote", lambda each: each.promote(term, candidate)
         )
@@ -178,17 +178,17 @@
     async def stop_writes(
         self, database: str, term: int
     ) -> Result[DatabaseStatus, ControlFailure]:
-        """Have a primary take no more writes for a while."""
+        """Ask a primary to stop accepting writes for a limited time."""
         return await self._call(
             database, "stop_writes", lambda each: each.stop_writes(term)
         )
 
     async def release(self, database: str):
-        """Return the status: the fakes follow the highest term by themselves."""
+        """Return the status; the fakes follow the highest term by themselves."""
         return await self.get_status(database)
 
     def set_databases(self, databases) -> None:
-        """Keep the members: those of a fake group never change."""
+        """Do nothing: the members of a fake group never change."""
 
     def close(self) -> None:
         """Do nothing: the fake connections hold no resources."""
@@ -200,7 +200,7 @@
         serve: Callable[[FakeDatabase], object],
         wait: float = 0.0,
     ) -> Result:
-        """Make a control call; a lost connection or a timeout is a failure."""
+        """Make a control call; return a Failure if it is lost or times out."""
         answer = self._group.call(self._node, database, label, serve)
         try:
             return Success(await answer.addTimeout(CONTROL_TIMEOUT + wait, self._node))
@@ -209,13 +209,13 @@
 
 
 def _rank_database(database: FakeDatabase) -> tuple:
-    """Return the rank of a database among those that lead or might."""
+    """Return a sort key: primaries first, then by term and received position."""
     log = database.log
     return log.role == PRIMARY, log.term, log.received
 
 
 def make_network(site: Site, deployment: Deployment, rng: Random) -> Network:
-    """Return the links of a deployment."""
+    """Return the network of a deployment."""
     return Network(
         lambda source, target: get_delay(deployment, source, target),
         rng,
--- a/beryltrack_bench/fakes/network.py
+++ b/beryltrack_bench/fakes/network.py
@@ -1,10 +1,10 @@
-"""Links between nodes: delays, cuts in one direction, and calls with an answer.
+"""Links between nodes: delays, one-way partitions, and calls with an answer.
 
-Messages between two nodes arrive in order, as over TCP, and TCP sends again
-what a broken link swallowed: what meets a cut link arrives late, when the link
-is mended, if the process that it was sent to is still there. Only the caller's
-own timeout tells meanwhile. A crash of the process breaks its connections,
-which the other end hears at once; a crash of the whole instance is silent.
+Messages between two nodes arrive in order, as over TCP. TCP retransmits what a
+broken link drops, so a message on a cut link arrives when the link is healed, if
+the receiving process still runs. Until then only the sender's own timeout shows
+the cut. A crash of a process closes its connections, which the other end sees
+at once; a crash of a whole instance is silent.
 """
 
 from collections.abc import Callable
@@ -18,17 +18,17 @@
 from beryltrack_bench.fakes.nodes import Node, Step
 
 Link = tuple[str, str]
-"""Names of the node that sends and the node that receives."""
+"""Names of the sending and the receiving node."""
 
 
 class Pipe(Protocol):
-    """One end of a connection that lasts."""
+    """One end of a persistent connection."""
 
     node: Node
     peer: "Pipe"
 
     def handle_loss(self, reason: Exception) -> None:
-        """Take the end of the connection."""
+        """Handle the loss of the connection."""
 
 
 class Network:
@@ -37,11 +37,11 @@
     Parameters
     ----------
     get_delay : callable
-        Gives the one-way delay in seconds between two availability zones.
+        Returns the one-way delay between two availability zones, seconds.
     rng : Random
         Source of the jitter.
     jitter : float
-        Most seconds that a message takes beyond the link's delay.
+        Maximum time that a message takes beyond the link's delay, seconds.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._last_arrival: dict[Link, float] = {}
 
     def cut(self, source: str, target: str) -> None:
-        """Deliver nothing from one node to another until the link is mended."""
+        """Hold all messages from one node to another until the link is healed."""
         self._cuts.add((source, target))
 
     def cut_both(self, one: str, other: str) -> None:
@@ -64,13 +64,13 @@
         self._cuts |= {(one, other), (other, one)}
 
     def reset(self, one: str, other: str) -> None:
-        """Break all connections between two nodes; both ends hear it at once."""
+        """Reset all connections between two nodes; both ends see it at once."""
         for pipe in tuple(self.pipes):
             if {pipe.node.name, pipe.peer.node.name} == {one, other}:
                 pipe.handle_loss(ConnectionLost())
 
     def heal(self, one: str, other: str) -> None:
-        """Mend the link between two nodes; what was held arrives now."""
+        """Heal the link between two nodes and deliver the delayed messages."""
         links = ((one, other), (other, one))
         self._cuts.difference_update(links)
         for link in links:
@@ -82,14 +82,14 @@
         return (source, target) in self._cuts
 
     def compute_delay(self, source: Node, target: Node) -> float:
-        """Return how long a message takes at least, seconds."""
+        """Return the minimum time of a message, seconds."""
         delay = self._get_delay(source.zone, target.zone)
         return delay + source.extra_delay + target.extra_delay
 
     def send(
         self, source: Node, target: Node, label: str, run: Callable[[], object]
     ) -> None:
-        """Run a function at another node when a message has arrived there."""
+        """Send a message that runs a function when it arrives at another node."""
         source.observe("send", label)
         if source.alive and target.alive:
             self.deliver(source, target, label, run)
@@ -97,23 +97,23 @@
     def call(
         self, source: Node, target: Node, label: str, serve: Callable[[], object]
     ) -> Deferred:
-        """Ask another node for an answer.
+        """Send a request to another node and return its answer.
 
         Parameters
         ----------
         source, target : Node
-            Who asks, and who is asked.
+            The calling and the called node.
         label : str
             Name of the request.
         serve : callable
-            Run at the target; gives a value or a Deferred.
+            Run at the target; returns a value or a Deferred.
 
         Returns
         -------
         Deferred
-            The value, or the failure that `serve` raised, or `ConnectionLost`
-            if the target refused the connection or its process ended. Nothing
-            at all if the link is cut or the target's instance is gone.
+            The value, the failure that `serve` raised, or `ConnectionLost` if the
+            target refused the connection or its process ended. Does not fire while
+            the link is cut or if the target's instance crashed silently.
         """
         call = _Call(self, source, target, label)
         if not target.alive:
@@ -127,7 +127,7 @@
     def deliver(
         self, source: Node, target: Node, label: str, run: Callable[[], object]
     ) -> None:
-        """Plan the arrival of a message at the present incarnation of the target.
+        """Schedule a message's arrival at the target's current incarnation.
 
         Unlike with `send`, the process of the source may have ended.
         """
@@ -150,7 +150,7 @@
         plan()
 
     def _plan(self, source: Node, target: Node) -> float:
-        """Return how long a message takes now, in the order of the link."""
+        """Return a message's delay in seconds; messages of a link stay in order."""
         link = (source.name, target.name)
         delay = self.compute_delay(source, target)
         arrival = source.seconds() + delay + self._rng.random() * self._jitter
@@ -175,7 +175,7 @@
         maybeDeferred(serve).addBoth(self._reply)
 
     def fail_connection(self) -> None:
-        """Tell the caller that the connection is lost."""
+        """Report to the caller that the connection is lost."""
         failure = Failure(ConnectionLost(f"{self._target.name} is down"))
         self._network.deliver(
             self._target,
@@ -194,7 +194,7 @@
         )
 
     def _finish(self, result: object) -> None:
-        """Give the result to the caller, once, if it is still the same process."""
+        """Pass the result to the caller once, if its process is still the same."""
         self._target.crash_listeners.pop(self.fail_connection, None)
         if self._source.incarnation == self._incarnation and not self.answer.called:
             self.answer.callback(result)
--- a/beryltrack_bench/fakes/nodes.py
+++ b/beryltrack_bench/fakes/nodes.py
@@ -1,10 +1,10 @@
-"""Nodes under a shared clock, each of which can crash, freeze or run slow.
+"""Nodes on a shared simulated clock that can crash, pause or slow down.
 
-A node is the clock that one instance's tasks see. All nodes share one
-`task.Clock`, so that a run is repeated exactly by its seed, but each node's
-timers stop with it: a crashed node's timers never fire, a frozen node's fire
-when it wakes, as in a process that was paused. Each timer that fires is told
-to an observer, which is how the fault matrix finds the steps of a procedure.
+A node is the reactor clock of one instance's tasks. All nodes share one
+`task.Clock`, so that a seed reproduces a run exactly. A crashed node's timers
+never fire; a paused node's timers fire when it resumes, as in a process that was
+stopped. Each timer that fires is reported to an observer, from which the fault
+matrix gets the steps of a procedure.
 """
 
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 
 
 class Step(NamedTuple):
-    """One thing that happened at a seam, where a fault can strike.
+    """An event at which a fault can be injected.
 
     Parameters
     ----------
     node : str
-        Where it happened.
+        Name of the node.
     kind : str
         ``timer``, ``send`` or ``receive``.
     label : str
-        What it was: a function or a message.
+        Name of the timer's function or of the message.
     """
 
     node: str
@@ -39,11 +39,11 @@
 
 
 def ignore_step(step: Step) -> None:
-    """Observe nothing."""
+    """Ignore a step; the default observer."""
 
 
 def get_label(function: Callable) -> str:
-    """Return a name for a function that a timer calls."""
+    """Return the name of a timer's function."""
     return getattr(function, "__qualname__", type(function).__name__)
 
 
@@ -62,20 +62,20 @@
         return node
 
     def run_until(self, end: float) -> None:
-        """Let the time pass until `end`, seconds, firing each timer at its time."""
+        """Advance the clock to `end`, seconds, firing each timer at its time."""
         while (calls := self.clock.calls) and calls[0].getTime() <= end:
             self.clock.advance(max(0.0, calls[0].getTime() - self.clock.seconds()))
         self.clock.advance(max(0.0, end - self.clock.seconds()))
 
     def run_until_fired(self, answer: Deferred, limit: float) -> bool:
-        """Let the time pass until a Deferred has fired; return whether it has.
+        """Advance the clock until a Deferred fires; return whether it has fired.
 
         Parameters
         ----------
         answer : Deferred
-            What is waited for.
+            The Deferred to wait for.
         limit : float
-            The time at which the wait ends in any case, seconds.
+            Time on the clock at which the wait ends, seconds.
         """
         calls = self.clock.calls
         while not answer.called and calls and calls[0].getTime() <= limit:
@@ -86,7 +86,7 @@
 
 @implementer(IReactorTime)
 class Node:
-    """One instance: a view onto the site's clock that faults can stop.
+    """One instance: a view of the site's clock that faults can stop.
 
     Parameters
     ----------
@@ -111,7 +111,7 @@
 
     @property
     def frozen(self) -> bool:
-        """True while the node is paused."""
+        """Whether the node is paused."""
         return self.seconds() < self.frozen_until
 
     def seconds(self) -> float:
@@ -119,16 +119,16 @@
         return self.site.clock.seconds()
 
     def callLater(self, delay: float, function, *args, **kwargs) -> "NodeCall":  # noqa: N802
-        """Run a function later, if the node still lives then."""
+        """Schedule a function; it runs if the node's process still runs then."""
         step = Step(self.name, "timer", get_label(function))
         return NodeCall(self, delay, lambda: function(*args, **kwargs), step)
 
     def schedule(self, delay: float, run: Callable[[], object], step: Step | None):
-        """Run a function later as a step of its own, or unobserved if None."""
+        """Schedule a function that is observed as a step, or unobserved if None."""
         return NodeCall(self, delay, run, step)
 
     def observe(self, kind: str, label: str) -> None:
-        """Tell the observer of something that is not a timer."""
+        """Report a step that is not a timer to the observer."""
         self.site.observer(Step(self.name, kind, label))
 
     def getDelayedCalls(self) -> list:  # noqa: N802
@@ -136,12 +136,12 @@
         return []
 
     def crash(self, silent: bool = False) -> None:
-        """Stop for good: no timer of this incarnation fires any more.
+        """End this incarnation: none of its timers fires any more.
 
         Parameters
         ----------
         silent : bool
-            True if the whole instance is gone, so that nobody is told.
+            True if the whole instance is lost, so that its peers get no reset.
         """
         if not self.alive:
             return
@@ -152,9 +152,9 @@
             self._notify_crash_listeners()
 
     def restart(self) -> None:
-        """Live again, as a new incarnation without timers.
+        """Start a new incarnation without timers.
 
-        Whoever still believes in a connection to the old one is told now.
+        Peers that still have a connection to the old incarnation get a reset now.
         """
         if self.alive:
             return
@@ -163,11 +163,11 @@
         self._notify_crash_listeners()
 
     def freeze(self, duration: float) -> None:
-        """Pause for a time (seconds), then run on as if nothing had been."""
+        """Pause for a time in seconds, then continue with the state as it was."""
         self.frozen_until = self.seconds() + duration
 
     def _notify_crash_listeners(self) -> None:
-        """Break the connections of the incarnation that has ended."""
+        """Close the connections of the ended incarnation."""
         listeners, self.crash_listeners = list(self.crash_listeners), {}
         for listener in listeners:
             listener()
@@ -175,7 +175,7 @@
 
 @implementer(IDelayedCall)
 class NodeCall:
-    """A timer of a node; it outlasts a pause of the node and not its crash."""
+    """A timer of a node; it survives a pause of the node but not a crash."""
 
     def __init__(self, node: Node, delay: float, run: Callable, step: Step | None):
         self._node = node
@@ -199,21 +199,21 @@
         self._run()
 
     def getTime(self) -> float:  # noqa: N802
-        """Return when it fires, seconds."""
+        """Return the time at which it fires, seconds."""
         return self._call.getTime()
 
     def cancel(self) -> None:
-        """Do not fire."""
+        """Cancel the timer."""
         self._call.cancel()
 
     def delay(self, seconds: float) -> None:
-        """Fire later than said by some seconds."""
+        """Postpone the timer by some seconds."""
         self._call.delay(seconds)
 
     def reset(self, seconds: float) -> None:
-        """Fire in `seconds` from now."""
+        """Fire `seconds` from now."""
         self._call.reset(seconds)
 
     def active(self) -> bool:
-        """Return whether it is still to fire."""
+        """Return whether the timer is pending."""
         return self._call.active()
--- a/beryltrack_bench/fakes/pipe.py
+++ b/beryltrack_bench/fakes/pipe.py
@@ -1,8 +1,8 @@
 """Connections between two Twisted protocols over the fake network.
 
-Both ends are the real protocols, so what they do with late, partial or missing
-bytes is what they do in a running process. A crash of one node's process breaks
-the connection for the other end; a crash of a whole instance tells it nothing.
+Both ends are the real protocols, so they handle late, partial or missing bytes
+as in a running process. A crash of one node's process closes the connection for
+the other end; a crash of a whole instance is not visible there.
 """
 
 from collections.abc import Callable
@@ -35,9 +35,9 @@
     network : Network
         The links.
     node : Node
-        Where this end is.
+        The node of this end.
     protocol : Protocol
-        Who reads this end.
+        The protocol that receives this end's bytes.
     """
 
     def __init__(self, network: Network, node: Node, protocol: Protocol):
@@ -55,11 +55,11 @@
             self._send("data", lambda: self.peer.receive(bytes(data)))
 
     def writeSequence(self, parts) -> None:  # noqa: N802
-        """Send several pieces as one."""
+        """Send several chunks as one."""
         self.write(b"".join(parts))
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close after what was written."""
+        """Close after the written bytes are delivered."""
         self._close(ConnectionDone())
 
     def abortConnection(self) -> None:  # noqa: N802
@@ -67,12 +67,12 @@
         self._close(ConnectionAborted())
 
     def receive(self, data: bytes) -> None:
-        """Take bytes that have arrived."""
+        """Pass received bytes to the protocol."""
         if self.connected:
             self.protocol.dataReceived(data)
 
     def handle_loss(self, reason: Exception) -> None:
-        """Take the end of the connection."""
+        """Report the loss of the connection to the protocol, once."""
         if self.connected:
             self.connected = False
             self._network.pipes.pop(self, None)
@@ -80,7 +80,7 @@
             self.protocol.connectionLost(Failure(reason))
 
     def crash(self) -> None:
-        """Tell the other end that this process has ended."""
+        """Send a reset to the other end: this process has ended."""
         self.connected = False
         self._network.pipes.pop(self, None)
         self._network.deliver(
@@ -91,25 +91,25 @@
         )
 
     def registerProducer(self, producer, streaming) -> None:  # noqa: N802
-        """Take a producer, which is never paused: the answers are short."""
+        """Accept a producer and never pause it: the answers are short."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Forget the producer."""
+        """Remove the producer."""
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Go on: the pipe has no bounds."""
+        """Do nothing: the pipe's buffer is unbounded."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on."""
+        """Do nothing: producing is never paused."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Go on."""
+        """Do nothing: producing is never paused."""
 
     def setTcpNoDelay(self, enabled) -> None:  # noqa: N802
-        """Change nothing."""
+        """Do nothing: there is no socket."""
 
     def setTcpKeepAlive(self, enabled) -> None:  # noqa: N802
-        """Change nothing."""
+        """Do nothing: there is no socket."""
 
     def getPeer(self) -> IPv4Address:  # noqa: N802
         """Return an address."""
@@ -120,13 +120,13 @@
         return ADDRESS
 
     def _close(self, reason: Exception) -> None:
-        """Close this end, and the other when it hears of it."""
+        """Close this end now and the other end when the message arrives there."""
         if self.connected:
             self._send("close", lambda: self.peer.handle_loss(ConnectionDone()))
             self.node.schedule(0.0, lambda: self.handle_loss(reason), None)
 
     def _send(self, label: str, run: Callable[[], object]) -> None:
-        """Send something to the other end."""
+        """Send a message to the other end."""
         self._network.send(self.node, self.peer.node, label, run)
 
 
@@ -137,25 +137,25 @@
     protocol: Protocol,
     accept: Callable[[], Protocol],
 ) -> Deferred:
-    """Connect a protocol to one that the target makes.
+    """Connect a protocol to one that the target creates.
 
     Parameters
     ----------
     network : Network
         The links.
     source, target : Node
-        Who connects, and to whom.
+        The connecting and the accepting node.
     protocol : Protocol
         The protocol of the source.
     accept : callable
-        Makes the protocol of the target when the connection arrives there.
+        Creates the protocol of the target when the connection arrives there.
 
     Returns
     -------
     Deferred of Protocol
-        The source's protocol once it is connected. Fails with
+        The source's protocol when it is connected. Fails with
         `ConnectionRefusedError` if the target's process is down; does not fire
-        while the target cannot be reached.
+        while the target is unreachable.
     """
     if not target.alive and not target.silent:
         return fail(ConnectionRefusedError(string=f"{target.name} is down"))
--- a/beryltrack_bench/fakes/platform.py
+++ b/beryltrack_bench/fakes/platform.py
@@ -1,7 +1,7 @@
-"""A fake platform: the object API and the instance list, with outages.
+"""A fake platform: the object API and the instance list, with injected faults.
 
-Rules as in docs/DESIGN.md. Objects of the platform are kept as JSON text, so
-that nobody can change a kept value by accident.
+It follows the rules of the object API in docs/DESIGN.md. Objects are stored as
+JSON text, so that no caller can modify a stored value by reference.
 """
 
 import json
@@ -24,20 +24,20 @@
 from beryltrack_bench.history import ChangeAccepted, Event
 
 CALL_TIMEOUT = 1.0
-"""Seconds after which a client gives up on one call."""
+"""Timeout of a client's call, seconds, beyond the wait that the call asks for."""
 
 PLATFORM_NAME = "platform"
 
 
 class _StoredObject(NamedTuple):
-    """An object as it is kept; no text if it was deleted."""
+    """A stored object; its text is None if it is deleted."""
 
     version: int
     text: str | None
 
 
 class _Watch(NamedTuple):
-    """A watch that waits for a change."""
+    """A pending watch for changes after a revision."""
 
     prefix: str
     after: int
@@ -50,9 +50,9 @@
     Parameters
     ----------
     node : Node
-        Where it runs.
+        The node that it runs on.
     record : callable
-        Takes a `ChangeAccepted` for each change.
+        Called with a `ChangeAccepted` for each change.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._watches: list[_Watch] = []
 
     def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
-        """Return an object, None if there is none."""
+        """Return an object; None if it does not exist."""
         stored = self._objects.get(path)
         if stored is None or stored.text is None:
             return Success(None)
@@ -87,7 +87,7 @@
         return Success(self.instances)
 
     def watch(self, prefix: str, after: int, timeout: float) -> Deferred:
-        """Give the changes after a revision as soon as there are any."""
+        """Return the changes after a revision as soon as there are any."""
         watch = _Watch(prefix, after, Deferred())
         self._watches.append(watch)
         self.node.schedule(timeout, lambda: self._end_watch(watch), None)
@@ -97,17 +97,17 @@
     def put(
         self, path: str, value: object, if_version: int
     ) -> Result[int, PlatformError]:
-        """Write an object if its version is the expected one."""
+        """Write an object if it has the expected version."""
         return self._change(path, json.dumps(value), if_version)
 
     def delete(self, path: str, if_version: int) -> Result[int, PlatformError]:
-        """Delete an object if its version is the expected one."""
+        """Delete an object if it has the expected version."""
         return self._change(path, None, if_version)
 
     def _change(
         self, path: str, text: str | None, if_version: int
     ) -> Result[int, PlatformError]:
-        """Change an object under its condition."""
+        """Apply a conditional change; Failure with CONFLICT on another version."""
         stored = self._objects.get(path)
         present = stored.version if stored and stored.text is not None else 0
         if present != if_version:
@@ -122,7 +122,7 @@
         return Success(self._revision)
 
     def _find(self, prefix: str, after: int) -> tuple[PlatformObject, ...]:
-        """Return the objects under a prefix with a version after a revision."""
+        """Return the objects under a prefix that changed after a revision."""
         return tuple(
             _load(path, stored)
             for path, stored in self._objects.items()
@@ -130,13 +130,13 @@
         )
 
     def _notify(self) -> None:
-        """Answer the watches that have something to tell."""
+        """Answer the watches that have changes."""
         for watch in tuple(self._watches):
             if self._find(watch.prefix, watch.after):
                 self._end_watch(watch)
 
     def _end_watch(self, watch: _Watch) -> None:
-        """Answer one watch, once."""
+        """Answer one watch at most once."""
         if watch in self._watches:
             self._watches.remove(watch)
             found = self._find(watch.prefix, watch.after)
@@ -144,7 +144,7 @@
 
 
 class FakePlatformClient:
-    """One node's client of the fake platform, like `PlatformClient`.
+    """One node's client of the fake platform, in place of `PlatformClient`.
 
     Parameters
     ----------
@@ -153,7 +153,7 @@
     network : Network
         The site's links.
     node : Node
-        Who calls.
+        The calling node.
     """
 
     def __init__(self, platform: FakePlatform, network: Network, node: Node):
@@ -162,7 +162,7 @@
         self._node = node
 
     async def get(self, path: str) -> Result[PlatformObject | None, PlatformError]:
-        """Return one object, or None if there is none at this path."""
+        """Return the object at a path; None if there is none."""
         return await self._call("get", lambda: self._platform.get(path))
 
     async def list(self, prefix: str) -> Result[ObjectList, PlatformError]:
@@ -200,7 +200,7 @@
     async def _call(
         self, label: str, serve: Callable[[], object], wait: float = 0.0
     ) -> Result:
-        """Make one call; say of a failed one whether it may have taken effect."""
+        """Make one call; a lost connection or a timeout fails with kind UNKNOWN."""
         answer = self._network.call(
             self._node, self._platform.node, label, lambda: self._serve(serve)
         )
@@ -210,7 +210,7 @@
             return Failure(PlatformError(ErrorKind.UNKNOWN, str(error)))
 
     def _serve(self, serve: Callable[[], object]) -> object:
-        """Run a call at the platform as the faults of the moment allow."""
+        """Run a call at the platform under the faults in force."""
         platform = self._platform
         platform.calls += 1
         if platform.is_down:
@@ -224,20 +224,20 @@
 
 
 def _serve_later(platform: FakePlatform, serve: Callable[[], object]) -> Deferred:
-    """Run a call after the delay of a slow platform."""
+    """Run a call after the platform's injected delay."""
     answer = Deferred()
     platform.node.schedule(platform.delay, lambda: answer.callback(None), None)
     return answer.addCallback(lambda ignored: serve())
 
 
 def _load(path: str, stored: _StoredObject) -> PlatformObject:
-    """Return a kept object as the platform answers it."""
+    """Return a stored object in the form of the platform's answer."""
     value = None if stored.text is None else json.loads(stored.text)
     return PlatformObject(path, stored.version, value, stored.text is None)
 
 
 def _get_change_id(text: str | None) -> str:
-    """Return the identifier of the change that a kept value carries, if any."""
+    """Return the change identifier in a stored value; empty if there is none."""
     value = json.loads(text) if text else None
     audit = value.get("audit") if isinstance(value, dict) else None
     return audit.get("change_id", "") if isinstance(audit, dict) else ""
--- a/beryltrack_bench/fakes/sql_database.py
+++ b/beryltrack_bench/fakes/sql_database.py
@@ -1,7 +1,7 @@
-"""A fake database that speaks PostgreSQL: the stand-in's sessions and tables.
+"""A fake database that speaks PostgreSQL with the stand-in's sessions and tables.
 
-Log, replication, links and faults are those of `FakeDatabase`; statements are
-run by the stand-in database. Only rows of the table `items` count as keys.
+Log, replication, links and faults are those of `FakeDatabase`; the stand-in
+database runs the statements. Only rows of the table `items` count as keys.
 """
 
 import re
@@ -39,18 +39,18 @@
         self.engine.subscribe(self._observe_change)
 
     def start(self) -> None:
-        """Begin to serve; what a crash cut off is rolled back."""
+        """Start to serve; transactions that a crash interrupted are rolled back."""
         self.server.stop()
         self.server.drop_sessions()
         self.server = self._make_server()
         self.engine.running = True
-        # The timers that would have applied what was received ended with the
-        # process, which applies it when it starts again.
+        # The timers that apply received entries ended with the process, so the
+        # restarted process applies these entries at once.
         self.engine.set_apply_lag(0.0)
         super().start()
 
     def record_work(self) -> None:
-        """Note that the database was given something to do."""
+        """Record that the database received new work."""
         self._record(WorkStarted(self.name, self.node.seconds()))
 
     def grant(self, term: int, candidate: str, lost_after: float) -> GrantReply:
@@ -67,12 +67,12 @@
         return PromoteReply(promoted, self.get_status())
 
     def stop_writes(self, term: int) -> DatabaseStatus:
-        """Take no more writes for a while, if this is the primary of the term."""
+        """Stop writes for a limited time if this is the primary of the term."""
         self.engine.stop_writes(term)
         return self.get_status()
 
     def receive(self, primary: ReplicaLog) -> None:
-        """Take new entries from a primary and apply them a little later."""
+        """Receive new entries from a primary and schedule their application."""
         lag = self._rng.lognormvariate(0.0, self._model.apply_sigma)
         waited = self.lag_until - self.node.seconds()
         self.engine.apply_lag = max(waited, lag * self._model.apply_median)
@@ -84,7 +84,7 @@
         return tuple(key for entry in entries for key in get_entry_keys(entry))
 
     def _make_server(self) -> DatabaseServer:
-        """Return what accepts connections."""
+        """Return the server that accepts connections."""
         return _RecordingServer(self)
 
     def _observe_change(self) -> None:
@@ -101,7 +101,7 @@
 
 
 class _RecordingServer(DatabaseServer):
-    """Records when a session is given work."""
+    """A server whose sessions record new work."""
 
     def __init__(self, database: SqlDatabase):
         super().__init__(
@@ -117,7 +117,7 @@
 
 
 class _RecordingSession(Session):
-    """Says when it is given something to do that is not part of a transaction."""
+    """A session that reports each statement outside of an open transaction."""
 
     on_work = staticmethod(lambda: None)
 
@@ -129,18 +129,18 @@
 
 
 def get_entry_keys(entry: Entry) -> tuple[str, ...]:
-    """Return the keys that a commit wrote, in the order of its statements."""
+    """Return the keys written by a commit, in the order of its statements."""
     found = (get_key(statement) for statement in entry.statements)
     return tuple(key for key in found if key is not None)
 
 
 def get_key(statement: LoggedStatement) -> str | None:
-    """Return the key that a logged statement wrote, None for other statements."""
+    """Return the key inserted by a logged statement; None for other statements."""
     return _get_inserted(statement.text)
 
 
 @lru_cache(4096)
 def _get_inserted(text: str) -> str | None:
-    """Return the key in an insertion."""
+    """Return the key in an INSERT statement's text; None for other texts."""
     match = _INSERT.match(text)
     return match[1] if match else None
--- a/beryltrack_bench/history.py
+++ b/beryltrack_bench/history.py
@@ -1,8 +1,7 @@
-"""What happened in a run, as typed records that the checker reads.
+"""Typed events of a run, the input of the checker.
 
-An experiment records what callers, databases and proxies could see from
-outside. Nothing here comes from the code under test, so that a defect in it
-cannot hide itself.
+An experiment records what callers, databases and proxies observe from outside.
+No event comes from the code under test, so a defect there cannot hide itself.
 """
 
 from enum import Enum
@@ -10,7 +9,7 @@
 
 
 class Refusal(Enum):
-    """What an error told the caller of its request."""
+    """The outcome of a request that an error reports to its caller."""
 
     NOT_RUN = "not run"
     ROLLED_BACK = "rolled back"
@@ -27,9 +26,9 @@
     group : str
         The database group.
     keys : tuple of str
-        One key for each of its statements, in order; unique to the request.
+        One key for each statement, in order; unique to the request.
     at_most_once : bool
-        True if the request is marked as non-idempotent.
+        True if the request has an identifier and must run at most once.
     at : float
         When, seconds.
     """
@@ -42,7 +41,7 @@
 
 
 class WriteAcknowledged(NamedTuple):
-    """A caller was told that its write is committed.
+    """A caller received the acknowledgement of its write.
 
     Parameters
     ----------
@@ -63,7 +62,7 @@
 
 
 class WriteRefused(NamedTuple):
-    """A caller was given an error for its write.
+    """A caller received an error for its write.
 
     Parameters
     ----------
@@ -72,7 +71,7 @@
     keys : tuple of str
         The keys of the request.
     refusal : Refusal
-        What the error said.
+        The outcome that the error reports.
     at : float
         When, seconds.
     """
@@ -84,7 +83,7 @@
 
 
 class ReadAnswered(NamedTuple):
-    """A caller got the answer to a read.
+    """A caller received the answer to a read.
 
     Parameters
     ----------
@@ -112,7 +111,7 @@
     group : str
         The database group.
     keys : tuple of str
-        The statements that the commit holds.
+        The keys of the committed statements.
     at : float
         When, seconds.
     """
@@ -144,7 +143,7 @@
 
 
 class FinalLog(NamedTuple):
-    """The log of a group's last primary, after all faults are over.
+    """The log of a group's last primary after all faults have ended.
 
     Parameters
     ----------
@@ -159,14 +158,14 @@
 
 
 class RequestStarted(NamedTuple):
-    """A proxy took in a request.
+    """A proxy received a request.
 
     Parameters
     ----------
     request : str
-        The request, unique.
+        Unique name of the request.
     proxy : str
-        The proxy that took it in.
+        The receiving proxy.
     at : float
         When, seconds.
     """
@@ -177,16 +176,16 @@
 
 
 class RequestAnswered(NamedTuple):
-    """A caller got an answer, or an error that says what became of its request.
+    """A caller received an answer, or an error that reports its request's outcome.
 
     Parameters
     ----------
     request : str
-        The request that the caller had sent.
+        The request that the caller sent.
     rows : tuple of str
-        What came as the answer; each row names the request that it belongs to.
+        The rows received; each names the request that it belongs to.
     expected : tuple of str
-        The whole answer to this request; empty after an error.
+        The complete answer to this request; empty after an error.
     at : float
         When, seconds.
     """
@@ -228,7 +227,7 @@
 
 
 class TargetLeft(NamedTuple):
-    """A target said that it is leaving.
+    """A target announced that it is leaving.
 
     Parameters
     ----------
@@ -243,7 +242,7 @@
 
 
 class TargetReturned(NamedTuple):
-    """A target took back that it is leaving.
+    """A target withdrew its announcement that it is leaving.
 
     Parameters
     ----------
@@ -258,7 +257,7 @@
 
 
 class WorkStarted(NamedTuple):
-    """A target was given a request.
+    """A target received a request.
 
     Parameters
     ----------
@@ -280,11 +279,11 @@
     path : str
         The object's path.
     version : int
-        The version that it got.
+        The object's new version.
     at : float
         When, seconds.
     change_id : str
-        The identifier that the change carries; empty if it has none.
+        The identifier of the change; empty if it has none.
     """
 
     path: str
@@ -294,14 +293,14 @@
 
 
 class ChangeAnswered(NamedTuple):
-    """An operator was told what became of a change.
+    """An operator received the outcome of a change.
 
     Parameters
     ----------
     change_id : str
         The change's identifier.
     refusal : Refusal or None
-        None if it was said to be made.
+        None if the change was reported as made.
     """
 
     change_id: str
@@ -309,16 +308,16 @@
 
 
 class VersionInForce(NamedTuple):
-    """A proxy was seen to act by a version of a settings object.
+    """A proxy was observed to use a version of a settings object.
 
     Parameters
     ----------
     proxy : str
-        The proxy's process; a restarted one has another name.
+        The proxy's process; a restarted process has another name.
     path : str
         The object's path.
     version : int
-        The version in force, zero if it knows none.
+        The version in force; zero if the proxy knows none.
     at : float
         When, seconds.
     """
--- a/beryltrack_bench/main.py
+++ b/beryltrack_bench/main.py
@@ -1,9 +1,9 @@
-"""The command `beryltrack-bench`: one experiment a run, one JSON object out.
+"""The command line `beryltrack-bench`: runs experiments and prints JSON objects.
 
 An experiment is a module `beryltrack_bench/experiments/NAME.py` with a function
 ``run(deployment, seed, options) -> dict``. The dict is printed as one JSON
-object in the last line of standard output. Exit codes: 0 the invariants held, 1 wrong
-usage (an unknown experiment too), 2 an invariant was violated.
+object in the last line of standard output. Exit codes: 0 if all invariants hold, 1 for
+wrong usage (also for an unknown experiment), 2 if an invariant is violated.
 """
 
 import importlib
@@ -33,14 +33,14 @@
 
 
 def list_experiments() -> tuple[str, ...]:
-    """Return the names of all experiments, in order."""
+    """Return the names of all experiments, sorted."""
     return tuple(
         sorted(found.name for found in pkgutil.iter_modules(experiments.__path__))
     )
 
 
 def run_experiment(name: str, deployment: str, seed: int, options: Options) -> dict:
-    """Run one experiment and return the object that it prints.
+    """Run one experiment and return the object to print.
 
     Raises
     ------
@@ -61,7 +61,7 @@
     Parameters
     ----------
     experiment : str
-        Name of the experiment, which is the command's name too.
+        Name of the experiment and of the command.
     """
 
     options = [
@@ -90,7 +90,7 @@
         return EXIT_VIOLATIONS if figures.get("violations") else EXIT_HELD
 
     def _run(self) -> dict:
-        """Run the experiment with the options given."""
+        """Run the experiment with the given options."""
         started = time.monotonic()
         figures = run_experiment(
             self.name,
@@ -103,7 +103,7 @@
         return figures
 
     def _parse_options(self) -> Options:
-        """Return the typed form of the options of single experiments."""
+        """Return the typed options of the experiment."""
         numbers = {
             key: kind(self.option(key))
             for key, kind in (("nodes", int), ("runs", int), ("seconds", float))
@@ -113,7 +113,7 @@
 
 
 class AllCommand(Command):
-    """Runs all experiments, each as its own process would, and writes the report."""
+    """Runs all experiments with their default options and writes the report."""
 
     name = "all"
     description = "Run all experiments; write the table of figures and the plot."
@@ -136,22 +136,22 @@
 
     def _run_all(self) -> list[str]:
         """Run each experiment for each deployment; return the printed objects."""
-        seed, kept = int(self.option("seed")), self.option("results")
+        seed, results_path = int(self.option("seed")), self.option("results")
         lines = []
         for name, deployment in product(list_experiments(), DEPLOYMENTS):
             figures = run_experiment(name, deployment, seed, Options())
             lines.append(json.dumps(figures))
             self.line(lines[-1])
-            if kept:
-                Path(kept).write_text("\n".join(lines) + "\n")
+            if results_path:
+                Path(results_path).write_text("\n".join(lines) + "\n")
         return lines
 
 
 def silence_logs() -> None:
     """Keep the logs of the code under test off standard error.
 
-    The experiments judge by what they record; a proxy that was made to crash
-    also logs what ends with it.
+    Experiments evaluate the history that they record, not logs, and a proxy that
+    is crashed on purpose logs each operation that fails with it.
     """
     logging.getLogger("beryltrack").addHandler(logging.NullHandler())
     globalLogBeginner.beginLoggingTo([], discardBuffer=True, redirectStandardIO=False)
--- a/beryltrack_bench/options.py
+++ b/beryltrack_bench/options.py
@@ -1,21 +1,21 @@
-"""The options that single experiments read, in one typed form."""
+"""Typed options of the experiments."""
 
 from typing import NamedTuple
 
 
 class Options(NamedTuple):
-    """What a run of an experiment can be told. Zero and empty mean the default.
+    """Options of one run of an experiment. Zero or empty selects the default.
 
     Parameters
     ----------
     cell : str
-        The one cell of the fault matrix to repeat.
+        Name of the single cell of the fault matrix to run.
     nodes : int
         Number of nodes.
     runs : int
         Number of runs.
     seconds : float
-        Length of a run in its own time, seconds.
+        Length of a run on its own clock (simulated or real), seconds.
     """
 
     cell: str = ""
--- a/beryltrack_bench/report.py
+++ b/beryltrack_bench/report.py
@@ -1,7 +1,7 @@
-"""The report over all experiments: figures, bounds, a table and a plot.
+"""The report of all experiments: tables of figures, bounds and a plot.
 
-It is made from the objects that the experiments print and from nothing else, so
-that each figure in it comes from a run.
+It is made only from the objects that the experiments print, so that each figure
+in it comes from a run.
 """
 
 import json
@@ -39,12 +39,11 @@
     experiment : str
         The experiment.
     figure : str
-        Path of the figure in the printed object, with dots; ``*`` stands for
-        any text.
+        Dotted path of the figure in the printed object; ``*`` matches any text.
     deployment : str
-        The deployment that it is for; empty for all.
+        The deployment that the bound applies to; empty for all.
     at_least, at_most : float or None
-        The bound.
+        Lower and upper bound of the figure; None for no bound.
     times : str
         Path of a figure by which the bound is multiplied; empty for none.
     """
@@ -64,7 +63,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, float]]:
-    """Return the numbers of a printed object with their paths, in its order."""
+    """Return the numbers of a printed object with their dotted paths, in order."""
     match value:
         case dict():
             for key, part in value.items():
@@ -76,10 +75,10 @@
 
 
 def check_bounds(figures: dict, bounds: tuple[Bound, ...]) -> tuple[Finding, ...]:
-    """Return a finding for each figure of a printed object that breaks a bound.
+    """Return a finding for each figure of a printed object that violates a bound.
 
     A bound of the experiment that matches no figure is a finding too, so that
-    a renamed figure does not pass unseen.
+    renaming a figure does not disable its bound.
     """
     numbers = dict(flatten(figures))
     source = f"{figures['experiment']} {figures['deployment']}"
@@ -93,7 +92,7 @@
 
 
 def _check_bound(numbers: dict[str, float], bound: Bound) -> Iterator[tuple[str, str]]:
-    """Return the figures that break a bound, and how."""
+    """Return the path and a description of each figure that violates a bound."""
     found = {
         place: number
         for place, number in numbers.items()
@@ -110,7 +109,7 @@
 
 
 def format_page(runs: list[dict], findings: tuple[Finding, ...]) -> str:
-    """Return the page with one table for each experiment."""
+    """Return the report page with one table for each experiment."""
     parts = [INTRODUCTION, f"![The two measures]({PLOT})\n", "## Bounds\n"]
     parts.append(
         "\n".join(f"- {each.source}: {each.place}: {each.text}" for each in findings)
@@ -140,7 +139,7 @@
 
 
 def plot_measures(runs: list[dict], target: Path) -> None:
-    """Plot the two measures: the replica share and the failover gap."""
+    """Plot the replica share and the failover gap."""
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.2))
     _plot_bars(left, _get_shares(runs), "share of reads served by replicas")
     _plot_bars(right, _get_gaps(runs), "failover gap, p99 (s)")
@@ -160,7 +159,7 @@
 
 
 def _get_gaps(runs: list[dict]) -> dict[str, dict[str, float]]:
-    """Return the failover gaps by deployment, and the floor of each."""
+    """Return the failover gaps by deployment, with the lower bound of each."""
     return {
         run["deployment"]: {
             **{kind: gap["p99"] for kind, gap in run["gap"].items()},
@@ -172,7 +171,7 @@
 
 
 def _plot_bars(axes, groups: dict[str, dict[str, float]], title: str) -> None:
-    """Plot grouped bars."""
+    """Plot bars grouped by deployment."""
     width = 0.8 / max(1, len(groups))
     for number, (name, bars) in enumerate(groups.items()):
         places = [place + number * width for place in range(len(bars))]
@@ -184,14 +183,14 @@
 
 
 def write_report(runs: list[dict], folder: Path) -> tuple[Finding, ...]:
-    """Write the page and the plot; return the bounds that are broken.
+    """Write the page and the plot; return the violated bounds.
 
     Parameters
     ----------
     runs : list of dict
-        Objects that experiments printed.
+        Objects printed by experiments.
     folder : Path
-        Where the page and the plot go.
+        Folder of the page and the plot.
     """
     bounds = load_bounds()
     findings = tuple(each for run in runs for each in check_bounds(run, bounds))
--- a/beryltrack_bench/roam.py
+++ b/beryltrack_bench/roam.py
@@ -1,12 +1,12 @@
-"""Many sessions roam between the proxies of a local site while primaries fail.
+"""Runs sessions that switch between a local site's proxies while primaries fail.
 
 Start a local site with ``python -m beryltrack.daemon local`` and pass its ready
 line::
 
     python -m beryltrack_bench.roam --ready-file FILE --sessions 16 --rounds 8
 
-The last line of standard output is one JSON object. The exit code is 0 if every
-promise held, 2 if one did not, and 1 for wrong usage.
+The last line of standard output is one JSON object. The exit code is 0 if all
+guarantees hold, 2 if one is violated, and 1 for wrong usage.
 """
 
 import heapq
@@ -45,22 +45,25 @@
 _MAX_SHOWN_VIOLATIONS = 20
 _MAX_SHOWN_DURATIONS = 10
 _JOIN_TIMEOUT = 60.0
+"""Seconds after the faults within which all sessions must end."""
+
 _THINK_TIME = 0.01
+"""Seconds between two requests of a session."""
 
 
 class RoamOptions(NamedTuple):
-    """How to roam.
+    """Options of a run.
 
     Parameters
     ----------
     sessions : int
-        Sessions that work at the same time.
+        Number of concurrent sessions.
     rounds : int
-        How often the primary is lost.
+        Number of faults of the primary.
     steps : int
-        The least number of requests of each session.
+        Minimum number of requests of each session.
     seed : int
-        Seed of all choices.
+        Seed of all random choices.
     """
 
     sessions: int
@@ -70,20 +73,20 @@
 
 
 class RoamReport(NamedTuple):
-    """What came of a run.
+    """Results of a run.
 
     Parameters
     ----------
     counts : dict of str to int
-        Answers by kind.
+        Number of answers by kind.
     faults : list of FaultRecord
         Each fault and its gap.
     violations : list of Violation
-        All promises that did not hold.
+        All violated guarantees.
     slowest : list of Duration
         The requests that took longest.
     seconds : float
-        How long the sessions worked.
+        Length of the run, seconds.
     """
 
     counts: dict[str, int]
@@ -94,21 +97,21 @@
 
 
 def roam(site: ReadyLine, login: Login, options: RoamOptions) -> RoamReport:
-    """Let sessions roam under faults, then count in the databases.
+    """Run the sessions under faults, then verify the rows in the databases.
 
     Parameters
     ----------
     site : ReadyLine
         The local site.
     login : Login
-        Whom to log on as.
+        User and database of all connections.
     options : RoamOptions
-        How to roam.
+        Options of the run.
 
     Returns
     -------
     RoamReport
-        What was answered, and which promises did not hold.
+        Counts of answers and the violated guarantees.
     """
     clear_faults(site)
     _create_tables(site, login)
@@ -144,7 +147,7 @@
 
 
 def _create_tables(site: ReadyLine, login: Login) -> None:
-    """Create the tables through the first proxy."""
+    """Create the tables of the test through the first proxy."""
     host, _, port = site.proxies[0].rpartition(":")
     with psycopg.connect(
         host=host,
@@ -166,7 +169,7 @@
     options: RoamOptions,
     number: int,
 ) -> RoamingSession:
-    """Return one session."""
+    """Return the session with a number."""
     rng = random.Random(f"{options.seed}/{number}")
     return RoamingSession(f"{run}-{number}", site.proxies, login, records, rng)
 
@@ -174,7 +177,7 @@
 def _run_session(
     session: RoamingSession, records: Records, stopped: threading.Event, steps: int
 ) -> None:
-    """Let one session work until the faults are over."""
+    """Run one session until the faults are over and its minimum of steps is done."""
     try:
         if not session.begin():
             records.report("unexpected error", f"{session.name} could not begin")
@@ -190,7 +193,7 @@
 
 
 def _join_threads(threads: list[threading.Thread], records: Records) -> None:
-    """Wait for all sessions; one that hangs is a violation."""
+    """Wait for all sessions; one that does not end in time is a violation."""
     deadline = time.monotonic() + _JOIN_TIMEOUT
     for thread in threads:
         thread.join(max(0.0, deadline - time.monotonic()))
@@ -199,7 +202,7 @@
 
 
 class RoamCommand(Command):
-    """Lets sessions roam between proxies under faults, and checks all answers."""
+    """Command that runs the sessions under faults and checks all answers."""
 
     name = "roam"
     description = "Lets sessions roam between proxies under faults"
@@ -214,7 +217,7 @@
     ]
 
     def handle(self) -> int:
-        """Run it and print the report."""
+        """Run the sessions, print the report and return the exit code."""
         source = self.option("ready-file") or "-"
         text = sys.stdin.readline() if source == "-" else _read_line(source)
         site, findings = parse_ready_line(text, source)
