--- a/beryltrack_bench/cost/__init__.py
+++ b/beryltrack_bench/cost/__init__.py
@@ -1,1 +1,1 @@
-"""What a statement, a caller and a node cost, on real sockets."""
+"""Cost of a statement, an idle caller and a node, on real sockets."""
--- a/beryltrack_bench/limits/__init__.py
+++ b/beryltrack_bench/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Owners that limit what runs at a database, in simulated time."""
+"""Owners' concurrency limits for one database, in simulated time."""
--- a/beryltrack_bench/losses/__init__.py
+++ b/beryltrack_bench/losses/__init__.py
@@ -1,1 +1,1 @@
-"""Losses of a primary under callers that go on writing; see `failover`."""
+"""Losses of a primary while callers write; used by `failover` and `detection`."""
--- a/beryltrack_bench/losses/accrual.py
+++ b/beryltrack_bench/losses/accrual.py
@@ -1,9 +1,8 @@
-"""An accrual detector, weighed against the fixed limit; see `detection`.
+"""An accrual failure detector, compared with the fixed timeout in `detection`.
 
-It learns for each database how long its silences usually are, and counts the
-primary as lost after a silence that is so many standard deviations longer
-than the mean. The product uses the fixed limit; docs/notes/failover.md says
-why.
+It records the silences between heartbeats of each database and counts the primary
+as lost after a silence that exceeds their mean by a number of standard
+deviations. The product uses the fixed timeout; docs/notes/failover.md says why.
 """
 
 import math
@@ -13,23 +12,28 @@
 from beryltrack.groups.view import DatabaseView
 
 WINDOW = 100
+"""Silences that are kept for each database."""
+
 MIN_SAMPLES = 20
-# Limits outside these bounds, in seconds, are not believed.
+"""Silences from which a timeout is computed."""
+
+# Bounds of a computed timeout, seconds.
 MIN_TIMEOUT = 0.06
 MAX_TIMEOUT = 1.0
-# A silence has ended if the next answer tells of one that is so much shorter.
+# A silence has ended if the next status reports one that is shorter by this many
+# seconds than the silence would be by then.
 MIN_DROP = 0.002
 
 
 class AccrualDetector:
-    """Learns the limit from the silences that were seen.
+    """Computes each database's timeout from its observed silences.
 
     Parameters
     ----------
     deviations : float
-        Standard deviations over the mean at which the primary counts as lost.
+        Standard deviations above the mean at which the primary counts as lost.
     first_limit : float
-        Limit until enough was seen, seconds.
+        Timeout until `MIN_SAMPLES` silences are known, seconds.
     """
 
     def __init__(self, deviations: float, first_limit: float):
@@ -40,7 +44,7 @@
         self._timeouts: dict[str, float] = {}
 
     def observe(self, database: DatabaseView) -> None:
-        """Take in a new status; a silence counts when it has ended."""
+        """Record a new status; a silence counts when it has ended."""
         last = self._last.get(database.name)
         if last is not None and database.seen_at <= last.seen_at:
             return
@@ -58,5 +62,5 @@
             self._timeouts[name] = min(max(limit, MIN_TIMEOUT), MAX_TIMEOUT)
 
     def get_timeout(self, database: str) -> float:
-        """Return the seconds without a word after which the primary is lost."""
+        """Return the silence after which a database counts as lost, seconds."""
         return self._timeouts.get(database, self._first_limit)
--- a/beryltrack_bench/losses/caller.py
+++ b/beryltrack_bench/losses/caller.py
@@ -1,9 +1,9 @@
-"""A caller that writes through one proxy, again and again, whatever happens.
+"""A caller that writes through one proxy in a loop.
 
-It does what the request path does for a marked write: it waits while no
-primary is known, gives a sending up when the primary is replaced, and sends
-again what was not acknowledged. The fake database gives a repeat the position
-of the first commit, as the ledger does.
+It follows the request path of an at-most-once write: it waits while no primary is
+known, cancels an attempt when the primary is replaced, and repeats a write until
+it is acknowledged. The fake database answers a repeat with the position of the
+first commit, as the ledger does.
 """
 
 from collections.abc import Callable
@@ -22,6 +22,7 @@
 from beryltrack_bench.fakes.nodes import Node
 from beryltrack_bench.history import Event, WriteAcknowledged, WriteRequested
 
+# Times in seconds.
 THINK_TIME = 0.1
 RETRY_INTERVAL = 0.005
 SEND_TIMEOUT = 1.0
@@ -29,14 +30,14 @@
 
 
 class Acknowledgement(NamedTuple):
-    """One write that the caller was told has succeeded.
+    """One acknowledged write.
 
     Parameters
     ----------
     at : float
-        When the proxy knew it, seconds.
+        When the proxy confirmed it, seconds.
     term : int
-        The term that the proxy then saw.
+        The term of the proxy's view at that time.
     """
 
     at: float
@@ -55,9 +56,9 @@
     group : FakeGroup
         The group.
     setup_time : float
-        Seconds that a new connection to a database takes.
+        Time to open a connection to a database, seconds.
     record : callable
-        Takes what happens, for the history.
+        Called with each event for the history.
     """
 
     def __init__(
@@ -81,11 +82,11 @@
         task.subscribe(self._handle_view)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the loop of writes."""
         Deferred.fromCoroutine(self._run())
 
     def stop(self) -> None:
-        """Begin no further write."""
+        """Start no further write."""
         self._stopped = True
 
     async def _run(self) -> None:
@@ -96,7 +97,7 @@
             await self._sleep(THINK_TIME)
 
     async def _write(self, key: str) -> None:
-        """Send one write until it is acknowledged."""
+        """Repeat one write until it is acknowledged or the caller is stopped."""
         while not await self._send_once(key):
             if self._stopped:
                 return
@@ -107,7 +108,7 @@
         self._record(WriteAcknowledged(name, self._group.name, (key,), now))
 
     async def _send_once(self, key: str) -> bool:
-        """Return whether a sending was acknowledged."""
+        """Send a write once; return whether it is acknowledged."""
         primary = get_primary(self._task.view)
         if primary is None or not primary.reachable:
             return False
@@ -121,7 +122,7 @@
         return outcome is CommitOutcome.CONFIRMED
 
     async def _send(self, database: str, key: str) -> LogPosition | None:
-        """Return the position of the commit, or None if there is no answer."""
+        """Return the position of the commit; None if there is no answer."""
         now = self._node.seconds()
         name = self._node.name
         self._record(WriteRequested(name, self._group.name, (key,), True, now))
@@ -138,7 +139,7 @@
             self._sending = None
 
     def _handle_view(self, view: GroupView) -> None:
-        """Give a sending up whose database leads no longer."""
+        """Cancel an attempt whose database is no longer the primary."""
         if self._sending is not None and view.primary != self._sent_to:
             self._sending.cancel()
 
--- a/beryltrack_bench/losses/faults.py
+++ b/beryltrack_bench/losses/faults.py
@@ -1,4 +1,4 @@
-"""The ways in which a primary is lost, and what troubles a group without a loss."""
+"""Faults that lose a primary, and disturbances of a group without a loss."""
 
 from random import Random
 from typing import NamedTuple, Protocol
@@ -6,26 +6,28 @@
 from beryltrack_bench.fakes.group import FakeGroup
 from beryltrack_bench.fakes.nodes import Node
 
-# A primary that is slow to death answers later and later for this long.
+# Number, interval (seconds) and added delay (seconds) of the steps in which a
+# primary slows down before it crashes.
 SLOWDOWN_STEPS = 10
 SLOWDOWN_STEP_TIME = 0.1
 SLOWDOWN_STEP_DELAY = 0.01
-# A paused primary wakes after this time, and then still believes that it leads.
+# Bounds of a pause, seconds, after which the primary resumes and still acts as
+# primary.
 MIN_PAUSE = 0.8
 MAX_PAUSE = 1.4
 
 
 class FaultContext(NamedTuple):
-    """What a fault acts on.
+    """The group and proxies that a fault acts on.
 
     Parameters
     ----------
     group : FakeGroup
         The group.
     proxies : tuple of Node
-        The proxies before it.
+        The proxies of the group.
     rng : Random
-        Source of all choices.
+        Source of all random choices.
     """
 
     group: FakeGroup
@@ -34,42 +36,42 @@
 
 
 class Loss(Protocol):
-    """One way to lose a primary."""
+    """A fault that loses the primary."""
 
     name: str
     warning_time: float
 
     def begin(self, context: FaultContext) -> None:
-        """Begin the fault; the primary is lost `warning_time` seconds later."""
+        """Begin the fault; the loss follows `warning_time` seconds later."""
 
     def end(self, context: FaultContext, primary: str) -> None:
-        """Let the old primary come back."""
+        """End the fault, so that the old primary comes back."""
 
 
 class Crash:
-    """The process or the whole instance ends."""
+    """The primary's process or its whole instance ends."""
 
     name = "crash"
     warning_time = 0.0
 
     def begin(self, context: FaultContext) -> None:
-        """End it; half of the times nobody is told that its connections broke."""
+        """Crash it; in half of the runs silently, without resets of connections."""
         silent = context.rng.random() < 0.5
         context.group.crash(context.group.primary.name, silent)
 
     def end(self, context: FaultContext, primary: str) -> None:
-        """Start it again with the log that it had."""
+        """Restart it with its log."""
         context.group.restart(primary)
 
 
 class MinorityPartition:
-    """The primary is cut off from its group and believes that it leads."""
+    """The primary is partitioned from its group and still acts as primary."""
 
     name = "minority partition"
     warning_time = 0.0
 
     def begin(self, context: FaultContext) -> None:
-        """Cut it off, half of the times together with the proxies of its zone."""
+        """Partition it, in half of the runs together with its zone's proxies."""
         primary = context.group.primary
         context.group.isolate(primary.name)
         if context.rng.random() < 0.5:
@@ -77,13 +79,13 @@
                 context.group.network.cut_both(proxy, database)
 
     def end(self, context: FaultContext, primary: str) -> None:
-        """Mend all links."""
+        """Heal all links."""
         context.group.heal(primary)
         for proxy, database in self._get_cuts(context, primary):
             context.group.network.heal(proxy, database)
 
     def _get_cuts(self, context: FaultContext, primary: str) -> list[tuple[str, str]]:
-        """Return the links that a cut around the primary's zone breaks."""
+        """Return the links that a partition of the primary's zone cuts."""
         zone = context.group.databases[primary].node.zone
         return [
             (proxy.name, database)
@@ -94,28 +96,28 @@
 
 
 class Pause:
-    """The primary pauses long, and wakes as if nothing had been."""
+    """The primary pauses and resumes with its old state."""
 
     name = "pause and wake"
     warning_time = 0.0
 
     def begin(self, context: FaultContext) -> None:
-        """Pause it."""
+        """Pause the primary."""
         duration = context.rng.uniform(MIN_PAUSE, MAX_PAUSE)
         context.group.primary.node.freeze(duration)
 
     def end(self, context: FaultContext, primary: str) -> None:
-        """Do nothing; it wakes by itself."""
+        """Do nothing: the primary resumes by itself."""
 
 
 class SlowdownBeforeCrash:
-    """The primary gets slower and slower and then is gone without a word."""
+    """The primary slows down in steps and then crashes silently."""
 
     name = "slow to death"
     warning_time = SLOWDOWN_STEPS * SLOWDOWN_STEP_TIME
 
     def begin(self, context: FaultContext) -> None:
-        """Slow it down step by step."""
+        """Schedule the steps and the crash."""
         node = context.group.primary.node
         for step in range(SLOWDOWN_STEPS):
             context.group.databases[node.name].node.schedule(
@@ -124,7 +126,7 @@
         node.schedule(self.warning_time, lambda: node.crash(silent=True), None)
 
     def end(self, context: FaultContext, primary: str) -> None:
-        """Start it again, as fast as before."""
+        """Restart it without the added delay."""
         context.group.databases[primary].node.extra_delay = 0.0
         context.group.restart(primary)
 
@@ -141,12 +143,12 @@
 
 
 class Disturbance(NamedTuple):
-    """Trouble that is no loss of the primary.
+    """Faults that do not lose the primary.
 
     Parameters
     ----------
     max_pause : float
-        Most seconds for which the primary pauses.
+        Maximum pause of the primary, seconds.
     interval : float
         Seconds between two disturbances.
     """
@@ -156,14 +158,14 @@
 
 
 def disturb(context: FaultContext, disturbance: Disturbance) -> None:
-    """Cause one disturbance that ends by itself.
+    """Begin one random disturbance that ends by itself.
 
     Parameters
     ----------
-    context : Surroundings
-        What it acts on.
+    context : FaultContext
+        The group and proxies that it acts on.
     disturbance : Disturbance
-        How strong it is.
+        Its strength.
     """
     rng, group = context.rng, context.group
     primary = group.primary.node
@@ -185,7 +187,7 @@
 
 
 def _cut_for(context: FaultContext, one: Node, other: Node, seconds: float) -> None:
-    """Cut a link for a while."""
+    """Cut a link in both directions for some seconds."""
     network = context.group.network
     network.cut_both(one.name, other.name)
     clock = one.site.clock
@@ -193,7 +195,7 @@
 
 
 def _slow_for(node: Node, delay: float, seconds: float) -> None:
-    """Make a node slow for a while."""
+    """Add a delay to a node's messages for some seconds."""
 
     def end() -> None:
         node.extra_delay = 0.0
--- a/beryltrack_bench/losses/site.py
+++ b/beryltrack_bench/losses/site.py
@@ -1,4 +1,4 @@
-"""A site with one group, its proxies and a writing caller at each of them."""
+"""A simulated site with one group, its proxies and a writing caller at each."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -23,6 +23,8 @@
 from beryltrack_bench.losses.faults import FaultContext
 
 SLOW_STORE_DELAY = 0.8
+"""Delay of each call to a slow store, seconds."""
+
 NO_ENDPOINT = Endpoint("127.0.0.1", 0)
 
 
@@ -35,20 +37,20 @@
 
 
 class LossOptions(NamedTuple):
-    """What a run is made of.
+    """Options of a run.
 
     Parameters
     ----------
     deployment : Deployment
-        Places, sizes and delays.
+        Zones, sizes and delays.
     lost_after : float
-        The group's setting, seconds.
+        The group's setting `lost_after`, seconds.
     store : Store
         The state of the store.
     bad_link : bool
         True if one proxy does not reach one of the databases.
     make_detector : callable or None
-        Gives each proxy a detector; None takes the fixed limit `lost_after`.
+        Makes each proxy's detector; None selects the fixed timeout `lost_after`.
     """
 
     deployment: Deployment
@@ -59,12 +61,12 @@
 
 
 class LossSite:
-    """One group of a deployment under the product's tasks.
+    """One group of a deployment with the product's tasks on each proxy.
 
     Parameters
     ----------
     options : LossOptions
-        What it is made of.
+        Options of the run.
     rng : Random
         Source of all random numbers.
     """
@@ -105,16 +107,16 @@
 
     @property
     def context(self) -> FaultContext:
-        """What faults act on."""
+        """The group and proxies that faults act on."""
         return FaultContext(self.group, self.proxies, self._rng)
 
     @property
     def promotions(self) -> int:
-        """Changes of primary so far, the first primary not counted."""
+        """Number of changes of primary so far."""
         return sum(isinstance(event, Promoted) for event in self.history) - 1
 
     def run(self, seconds: float) -> None:
-        """Let the time pass."""
+        """Advance the clock by some seconds."""
         self.site.run_until(self.site.clock.seconds() + seconds)
 
     def reaches(self, proxy: Node, database: str) -> bool:
@@ -122,7 +124,7 @@
         return not self.network.is_cut(proxy.name, database)
 
     def finish(self) -> None:
-        """Stop all callers and note the last log."""
+        """Stop all callers, record the final log and stop the tasks."""
         for caller in self.callers.values():
             caller.stop()
         self.run(0.2)
@@ -132,7 +134,7 @@
             task.stop()
 
     def get_final_keys(self) -> tuple[str, ...]:
-        """Return the keys in the last log, each as often as it is there."""
+        """Return the keys in the final log, with duplicates."""
         last = self.history[-1]
         return tuple(chain.from_iterable(last.entries))
 
@@ -163,6 +165,6 @@
         return task
 
     def _cut_one_link(self) -> None:
-        """Let one proxy not reach one database."""
+        """Cut the link between a random proxy and a random database."""
         proxy = self._rng.choice(self.proxies).name
         self.network.cut_both(proxy, self._rng.choice(list(self.group.databases)))
--- a/beryltrack_bench/matrix/__init__.py
+++ b/beryltrack_bench/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: every fault at every step of each procedure."""
+"""The fault matrix: each fault injected at each step of each procedure."""
--- a/beryltrack_bench/matrix/caller.py
+++ b/beryltrack_bench/matrix/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the matrix: sessions that roam between the proxies."""
+"""Callers of the fault matrix: sessions that use the proxies in turn."""
 
 from itertools import cycle
 from typing import NamedTuple
@@ -22,10 +22,10 @@
 from beryltrack_bench.matrix.world import GROUP, World
 
 CALL_TIMEOUT = 3.0
-"""Seconds after which a caller gives up on an answer."""
+"""Seconds for which a caller waits for an answer."""
 
 RETRY_INTERVAL = 0.05
-"""Seconds between two attempts of a caller."""
+"""Seconds between two attempts or polls of a caller."""
 
 NEW_SESSION = "new"
 SESSION = "beryltrack.session"
@@ -34,7 +34,7 @@
 
 CANNOT_CONNECT_NOW = "57P03"
 LOST = "lost"
-"""Stands for an SQLSTATE when no answer came."""
+"""Stands for an SQLSTATE if there is no answer."""
 
 REFUSALS = {
     CANNOT_CONNECT_NOW: Refusal.NOT_RUN,
@@ -44,8 +44,8 @@
     "08007": Refusal.UNKNOWN,
     LOST: Refusal.UNKNOWN,
 }
-"""What each SQLSTATE promises. Another one is an error of the statement itself,
-which has no effect."""
+"""The outcome that each SQLSTATE guarantees. Any other one is an error of the
+statement itself, which has no effect."""
 
 
 class Answer(NamedTuple):
@@ -56,9 +56,9 @@
     rows : tuple of tuple of str
         Its rows.
     sqlstate : str
-        The error's SQLSTATE, `LOST` if no answer came, else empty.
+        The error's SQLSTATE, `LOST` if there is no answer, else empty.
     token : str
-        The session token that came with it; empty for none.
+        The session token in the answer; empty for none.
     """
 
     rows: tuple[tuple[str, ...], ...]
@@ -86,7 +86,7 @@
     name : str
         Name of the session.
     first_proxy : int
-        Which proxy it begins with; it moves on with each request.
+        Index of the first proxy; each request goes to the next one.
     """
 
     def __init__(self, world: World, name: str, first_proxy: int = 0):
@@ -98,7 +98,7 @@
         self._sent = 0
 
     async def write(self, *keys: str, at_most_once: bool = False) -> Refusal | None:
-        """Send one write once, several keys as a transaction.
+        """Send one write once; several keys form a transaction.
 
         Returns
         -------
@@ -121,14 +121,14 @@
         return refusal
 
     async def write_until_acknowledged(self, *keys: str, limit: float) -> bool:
-        """Send a marked write again, through other proxies, until it is acknowledged.
+        """Repeat an at-most-once write through the proxies until acknowledged.
 
         Parameters
         ----------
         *keys : str
             The request's statements.
         limit : float
-            The time at which the caller gives up, seconds.
+            The time at which the caller stops trying, seconds.
         """
         while self._world.now < limit:
             if await self.write(*keys, at_most_once=True) is None:
@@ -137,7 +137,7 @@
         return False
 
     async def read(self, max_age: str = "") -> bool:
-        """Read once; return whether there was an answer."""
+        """Read once; return whether there is an answer without an error."""
         world, started = self._world, self._world.now
         settings = {"beryltrack.max_age": max_age} if max_age else {}
         request = f"{self.name}/{self._sent + 1}"
@@ -145,16 +145,18 @@
         (answer,) = await self._ask("read", [text], settings)
         if answer.sqlstate:
             return False
-        whole = int(answer.rows[0][1]) if answer.rows else 0
+        row_count = int(answer.rows[0][1]) if answer.rows else 0
         rows = tuple(row[0] for row in answer.rows)
         history = world.history
-        history.append(RequestAnswered(request, rows, (request,) * whole, world.now))
+        history.append(
+            RequestAnswered(request, rows, (request,) * row_count, world.now)
+        )
         seen = frozenset(row[2] for row in answer.rows)
         history.append(ReadAnswered(self.name, GROUP, seen, started))
         return True
 
     async def read_until(self, limit: float) -> bool:
-        """Read again, through other proxies, until there is an answer."""
+        """Repeat a read through the proxies until there is an answer."""
         while self._world.now < limit:
             if await self.read():
                 return True
@@ -164,7 +166,7 @@
     async def _ask(
         self, label: str, texts: list[str], settings: dict[str, str]
     ) -> list[Answer]:
-        """Send queries one by one to the next proxy, up to the first error."""
+        """Send queries in sequence to the next proxy until one fails."""
         self._sent += 1
         proxy = self._world.proxies[next(self._proxies)]
         connection = _ProxyConnection(proxy, {SESSION: self.token, **settings})
@@ -181,7 +183,7 @@
     async def _call(
         self, connection: _ProxyConnection, label: str, text: str
     ) -> Answer:
-        """Send one query; an answer that does not come is `LOST`."""
+        """Send one query; without an answer in time the result is `LOST`."""
         caller = self._world.caller
         answer = self._world.network.call(
             caller, connection.proxy.node, label, lambda: self._serve(connection, text)
@@ -194,7 +196,7 @@
             return Answer((), LOST, "")
 
     async def _serve(self, connection: _ProxyConnection, text: str) -> bytes:
-        """Run a query at its proxy, and record its start and its answer there."""
+        """Run a query at the proxy; record its start and its answer there."""
         world, proxy = self._world, connection.proxy
         if proxy.node.incarnation != proxy.incarnation or connection.closed:
             raise ConnectionLost
@@ -207,7 +209,7 @@
         return frames
 
     def _close(self, connection: _ProxyConnection) -> None:
-        """Log off from a proxy."""
+        """Close the connection at its proxy."""
         alive = connection.proxy.node.incarnation == connection.proxy.incarnation
         if alive and connection.caller is not None and not connection.closed:
             connection.closed = True
@@ -215,18 +217,18 @@
 
 
 def _classify_answers(answers: list[Answer], expected: int) -> Refusal | None:
-    """Return what the answers to a write say of it."""
+    """Return the outcome of a write from its answers; None if acknowledged."""
     last = answers[-1]
     if not last.sqlstate:
         return None
     if len(answers) < expected and last.sqlstate == LOST:
-        # The caller never asked for a commit.
+        # The caller has not sent the COMMIT.
         return Refusal.ROLLED_BACK
     return REFUSALS.get(last.sqlstate, Refusal.ROLLED_BACK)
 
 
 def _read_answer(frames: bytes) -> Answer:
-    """Return what the frames of an answer say."""
+    """Parse the frames of an answer."""
     decoder = BackendMessageDecoder()
     decoder.phase = ConnectionPhase.SIMPLE_QUERY
     decoder.feed(frames)
--- a/beryltrack_bench/matrix/faults.py
+++ b/beryltrack_bench/matrix/faults.py
@@ -1,8 +1,8 @@
-"""The faults that the users name, each with how it strikes and how it ends.
+"""The faults that the users name: how each begins and how it ends.
 
-A fault picks its victim when it strikes: the primary of that moment, a replica,
-or the proxy that acts. It is over after `FAULT_SECONDS`, except for those that
-are moments only.
+A fault selects its target when it begins: the current primary, a replica or the
+acting proxy. It ends after `FAULT_SECONDS` unless `DURATIONS` names another
+time; a duration of zero is a momentary fault.
 """
 
 import functools
@@ -19,23 +19,23 @@
 )
 
 FAULT_SECONDS = 0.65
-"""How long a fault lasts: over twice the detection of a lost primary."""
+"""Duration of a fault, seconds: over twice the detection time of a lost primary."""
 
 SHORT_SECONDS = 0.35
-"""How long a fault lasts that costs no primary; longer than the detection."""
+"""Duration of a fault that loses no primary, seconds; above the detection time."""
 
 LOSS_SECONDS = 3.0
-"""How long a lost instance is away: longer than a proxy works on a request, so
-that no request can be waiting for its return."""
+"""Seconds for which a lost instance is away: longer than a proxy works on a request,
+so that no request can be waiting for its return."""
 
 LAG_SECONDS = 0.3
-"""How far the replicas fall behind."""
+"""Replication lag of the replicas, seconds."""
 
 SLOW_SECONDS = 0.3
-"""What a slow node or platform adds to each answer."""
+"""Delay that a slow node or platform adds to each message or call, seconds."""
 
 OTHER_MAX_AGE = 9.0
-"""The `max_age` that the other operator sets, seconds."""
+"""The `max_age` that a concurrent operator sets, seconds."""
 
 Undo = Callable[[], object]
 
@@ -48,9 +48,9 @@
     name : str
         Its name in the identifier of a cell.
     strike : callable
-        Begins the fault on a `World` and returns what ends it.
+        Begins the fault on a `World` and returns a function that ends it.
     seconds : float
-        How long it lasts.
+        Duration, seconds.
     """
 
     name: str
@@ -59,46 +59,46 @@
 
 
 def crash_primary(world: World) -> Undo:
-    """End the primary's process; its connections break."""
+    """Crash the primary's process; its connections are reset."""
     name = world.group.primary.name
     world.group.crash(name)
     return lambda: world.group.restart(name)
 
 
 def lose_primary(world: World) -> Undo:
-    """Lose the primary's instance: nobody hears anything from it."""
+    """Lose the primary's instance silently: its peers get no reset."""
     name = world.group.primary.name
     world.group.crash(name, silent=True)
     return lambda: world.group.restart(name)
 
 
 def isolate_primary(world: World) -> Undo:
-    """Cut the primary from its group; it believes that it leads."""
+    """Partition the primary from its group; it continues to act as primary."""
     name = world.group.primary.name
     world.group.isolate(name)
     return lambda: world.group.heal(name)
 
 
 def freeze_primary(world: World) -> Undo:
-    """Pause the primary; it wakes and acts as if nothing had been."""
+    """Pause the primary; it resumes with its old state."""
     world.group.primary.node.freeze(FAULT_SECONDS)
     return do_nothing
 
 
 def slow_primary(world: World) -> Undo:
-    """Let the primary answer slowly, as one that is about to die."""
+    """Slow the primary's messages down, as before a failure."""
     return _slow(world, world.group.primary.name)
 
 
 def crash_replica(world: World) -> Undo:
-    """End a replica's process."""
+    """Crash a replica's process."""
     name = _get_replica(world)
     world.group.crash(name)
     return lambda: world.group.restart(name)
 
 
 def isolate_replica(world: World) -> Undo:
-    """Cut a replica from its group; proxies still reach it."""
+    """Partition a replica from its group; proxies still reach it."""
     name = _get_replica(world)
     world.group.isolate(name)
     return lambda: world.group.heal(name)
@@ -111,34 +111,34 @@
 
 
 def lag_replicas(world: World) -> Undo:
-    """Let all databases apply what they receive much later."""
+    """Delay the application of received entries at all databases."""
     for database in world.group.databases.values():
         database.lag_until = world.now + LAG_SECONDS
     return do_nothing
 
 
 def leave_primary(world: World) -> Undo:
-    """Let the primary say that it is leaving."""
+    """Make the primary announce that it is leaving."""
     return _leave(world, world.group.primary.name)
 
 
 def leave_replica(world: World) -> Undo:
-    """Let a replica say that it is leaving."""
+    """Make a replica announce that it is leaving."""
     return _leave(world, _get_replica(world))
 
 
 def crash_proxy(world: World) -> Undo:
-    """End the acting proxy's process in the middle of what it does."""
+    """Crash the acting proxy's process in the middle of its work."""
     return _crash_proxy(world, PROXIES[0])
 
 
 def crash_other_proxy(world: World) -> Undo:
-    """End another proxy's process."""
+    """Crash another proxy's process."""
     return _crash_proxy(world, PROXIES[1])
 
 
 def freeze_proxy(world: World) -> Undo:
-    """Pause the acting proxy; it wakes and acts on what it knew."""
+    """Pause the acting proxy; it resumes with its old state."""
     world.site.nodes[PROXIES[0]].freeze(FAULT_SECONDS)
     return do_nothing
 
@@ -150,7 +150,7 @@
 
 
 def cut_proxy_from_primary(world: World) -> Undo:
-    """Cut the acting proxy's own link to the primary."""
+    """Cut the acting proxy's link to the primary."""
     return _cut(world, PROXIES[0], (world.group.primary.name,))
 
 
@@ -160,15 +160,15 @@
 
 
 def cut_answers(world: World) -> Undo:
-    """Hold up what the primary sends to the acting proxy, in that direction only."""
+    """Cut the link from the primary to the acting proxy, in that direction only."""
     source, target = world.group.primary.name, PROXIES[0]
     world.network.cut(source, target)
     return lambda: world.network.heal(source, target)
 
 
 def reset_connections(world: World) -> Undo:
-    """Break the acting proxy's connections to the primary; answers get lost."""
-    # Not within the step that is observed: what this causes are steps too.
+    """Reset the acting proxy's connections to the primary; answers are lost."""
+    # Not within the observed step: the effects of the reset are steps too.
     proxy, primary = PROXIES[0], world.group.primary.name
     reset = functools.partial(world.network.reset, proxy, primary)
     world.site.clock.callLater(0.0, reset)
@@ -176,43 +176,43 @@
 
 
 def stop_platform(world: World) -> Undo:
-    """Let the platform refuse all calls."""
+    """Make the platform refuse all calls."""
     world.platform.is_down = True
     return lambda: setattr(world.platform, "is_down", False)
 
 
 def crash_platform(world: World) -> Undo:
-    """Let the platform vanish without a word."""
+    """Pause the platform: its calls get no answer and its connections no reset."""
     world.platform.node.freeze(SHORT_SECONDS)
     return do_nothing
 
 
 def slow_platform(world: World) -> Undo:
-    """Let the platform answer slowly."""
+    """Slow the platform's answers down."""
     world.platform.delay = SLOW_SECONDS
     return lambda: setattr(world.platform, "delay", 0.0)
 
 
 def lose_platform_answers(world: World) -> Undo:
-    """Let the platform's changes take effect and their answers get lost."""
+    """Lose the platform's answers after its changes take effect."""
     world.platform.loses_answers = True
     return lambda: setattr(world.platform, "loses_answers", False)
 
 
 def race_operators(world: World) -> Undo:
-    """Let another operator change the same settings at this moment."""
-    kept = world.platform.get(SETTINGS_PATH).unwrap()
+    """Make another operator change the same settings concurrently."""
+    stored = world.platform.get(SETTINGS_PATH).unwrap()
     settings = make_settings(world.group, max_age=OTHER_MAX_AGE)["settings"]
-    change_id = f"race-{kept.version}"
+    change_id = f"race-{stored.version}"
     request = ChangeRequest(SETTINGS_PATH, settings, "other", "race", "", change_id)
-    value = build_value(request, kept.version, kept.value)
-    put = functools.partial(world.platform.put, SETTINGS_PATH, value, kept.version)
+    value = build_value(request, stored.version, stored.value)
+    put = functools.partial(world.platform.put, SETTINGS_PATH, value, stored.version)
     world.platform.node.schedule(0.0, put, None)
     return do_nothing
 
 
 def do_nothing() -> None:
-    """End a fault that ends by itself."""
+    """Do nothing: the end of a fault that ends by itself."""
 
 
 DURATIONS = {
@@ -235,7 +235,7 @@
         SHORT_SECONDS,
     ),
 }
-"""Faults that do not last `FAULT_SECONDS`."""
+"""Durations in seconds of the faults that do not last `FAULT_SECONDS`."""
 
 FAULTS = {
     function.__name__: Fault(
@@ -273,35 +273,34 @@
 
 
 def _get_replica(world: World) -> str:
-    """Return a database that does not lead."""
+    """Return the name of a database that is not the primary."""
     leading = world.group.primary.name
     return next(name for name in world.group.databases if name != leading)
 
 
 def _slow(world: World, name: str) -> Undo:
-    """Let a node's messages take longer for a while."""
+    """Add a delay to a node's messages until the end of the fault."""
     node = world.site.nodes[name]
     node.extra_delay = SLOW_SECONDS
     return lambda: setattr(node, "extra_delay", 0.0)
 
 
 def _leave(world: World, name: str) -> Undo:
-    """Let a database leave; it stays until the end of the fault."""
+    """Make a database announce that it is leaving until the end of the fault."""
     database = world.group.databases[name]
-    # Not within the step that is observed: the answers that this causes are
-    # steps of their own.
+    # Not within the observed step: the answers that this causes are steps too.
     database.node.schedule(0.0, lambda: database.set_leaving(True), None)
     return lambda: database.set_leaving(False)
 
 
 def _crash_proxy(world: World, name: str) -> Undo:
-    """End a proxy's process and start it anew after the fault."""
+    """Crash a proxy's process and restart it at the end of the fault."""
     world.crash_proxy(name)
     return lambda: world.start_proxy(name)
 
 
 def _cut(world: World, source: str, targets: tuple[str, ...]) -> Undo:
-    """Cut a node from others in both directions."""
+    """Cut a node's links to others in both directions."""
     for target in targets:
         world.network.cut_both(source, target)
 
--- a/beryltrack_bench/matrix/procedures.py
+++ b/beryltrack_bench/matrix/procedures.py
@@ -1,7 +1,7 @@
-"""The procedures whose steps the matrix strikes.
+"""The procedures at whose steps the matrix injects faults.
 
-Each is a coroutine on a `World`. Its steps are whatever the nodes send,
-receive and do by timers until it ends; none of them is listed here.
+Each is a coroutine on a `World`. Its steps are all messages that nodes send and
+receive and all timers that fire until it ends; they are observed, not listed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,13 +24,13 @@
 )
 
 PROCEDURE_TIMEOUT = 6.0
-"""Seconds after which a procedure that makes no headway is given up."""
+"""Seconds after which a procedure without progress ends."""
 
 DRAINING_TIME = 4.0
-"""Seconds of work after a target has said that it is leaving."""
+"""Seconds of work after a target announces that it is leaving."""
 
 ARRIVAL_MARGIN = 0.001
-"""Seconds after which a message that was sent has arrived."""
+"""Seconds beyond the link's delay after which a message has arrived."""
 
 NEW_PROXY = "proxy-3"
 
@@ -38,27 +38,27 @@
 
 
 async def write(world: World) -> None:
-    """Write once and read it through another proxy."""
+    """Write once, then read through another proxy."""
     session = Session(world, "writer")
     await session.write("w")
     await session.read()
 
 
 async def marked_write(world: World) -> None:
-    """Write a marked request, again through other proxies until it is acknowledged."""
+    """Repeat an at-most-once write through other proxies until acknowledged."""
     session = Session(world, "marker")
     await session.write_until_acknowledged("m", limit=world.now + PROCEDURE_TIMEOUT)
 
 
 async def read(world: World) -> None:
-    """Read what the session wrote, through another proxy, until answered."""
+    """Read the session's own write through other proxies until answered."""
     session = Session(world, "reader")
     await session.write_until_acknowledged("r", limit=world.now + PROCEDURE_TIMEOUT)
     await session.read_until(world.now + PROCEDURE_TIMEOUT)
 
 
 async def transaction(world: World) -> None:
-    """Run two transactions of several statements at the same time."""
+    """Run two transactions of several statements concurrently."""
     one, other = Session(world, "one"), Session(world, "other", first_proxy=1)
     await _gather(
         one.write("one/1", "one/2", "one/3"),
@@ -67,7 +67,7 @@
 
 
 async def failover(world: World) -> None:
-    """Lose the primary and write until a new one takes it."""
+    """Lose the primary and write until a new primary acknowledges."""
     name = world.group.primary.name
     world.group.crash(name, silent=True)
     session = Session(world, "survivor")
@@ -76,7 +76,7 @@
 
 
 async def hand_over(world: World) -> None:
-    """Let the primary leave and write until another one leads."""
+    """Make the primary leave and write until another database is primary."""
     before = world.group.primary
     before.set_leaving(True)
     limit = world.now + PROCEDURE_TIMEOUT
@@ -93,13 +93,13 @@
     """Change the group's settings and wait until they are in force everywhere."""
     await change_settings(world, "change", max_age=3.0)
     limit = world.now + PROCEDURE_TIMEOUT
-    kept = world.platform.get(SETTINGS_PATH).unwrap()
-    while world.now < limit and _is_any_older(world, kept.version):
+    stored = world.platform.get(SETTINGS_PATH).unwrap()
+    while world.now < limit and _is_any_older(world, stored.version):
         await deferLater(world.operator, RETRY_INTERVAL)
 
 
 async def draining(world: World) -> None:
-    """Let a replica leave while sessions go on; it gets no work after a while."""
+    """Make a replica leave while a session continues; it must get no new work."""
     primary = world.group.primary
     databases = world.group.databases.values()
     replica = next(each for each in databases if each is not primary)
@@ -122,10 +122,10 @@
 
 
 async def shutdown(world: World) -> None:
-    """Shut a proxy down gracefully with requests in flight."""
+    """Shut a proxy down gracefully while requests are in flight."""
     writer, reader = Session(world, "writer"), Session(world, "reader")
     work = _gather(writer.write("x"), reader.read())
-    # The requests are on their way when the shutdown begins.
+    # The requests have arrived at the proxy when the shutdown begins.
     delay = world.network.compute_delay(world.caller, world.site.nodes[PROXIES[0]])
     await deferLater(world.operator, delay + ARRIVAL_MARGIN)
     node = world.site.nodes[PROXIES[0]]
@@ -157,7 +157,7 @@
 
 
 async def change_settings(world: World, change_id: str, max_age: float) -> None:
-    """Change the group's settings as the operators' tool does, and record the word."""
+    """Change the group's settings like the operators' tool; record the outcome."""
     settings = make_settings(world.group, max_age=max_age)["settings"]
     request = ChangeRequest(
         SETTINGS_PATH, settings, "operator", "test", "2026-01-01T00:00:00Z", change_id
@@ -175,7 +175,7 @@
 
 
 def _is_any_older(world: World, version: int) -> bool:
-    """Return whether a live proxy has not a version yet."""
+    """Return whether any live proxy has an older version in force."""
     return any(
         get_version(proxy) < version
         for proxy in world.proxies.values()
--- a/beryltrack_bench/matrix/proxy.py
+++ b/beryltrack_bench/matrix/proxy.py
@@ -1,8 +1,8 @@
-"""One proxy of the matrix: the product's tasks over the fakes.
+"""One proxy of the fault matrix: the product's tasks over the fakes.
 
 Only the transport is fake. Settings, group views, confirmation, failover, pools
-of target connections, routing, the ledger and the course of each request are
-the product's own, and so is the protocol that target connections speak.
+of target connections, routing, the ledger, the execution of requests and the
+protocol of target connections are the product's own.
 """
 
 from collections.abc import Callable
@@ -32,13 +32,13 @@
 from beryltrack_bench.fakes.platform import FakePlatformClient
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds until a new connection to a target counts as failed."""
+"""Timeout of a new connection to a target, seconds."""
 
 PROBES = ProbePolicy(interval=0.15, idle_interval=0.15, suspect_interval=0.05)
-"""A slow pace, so that more cells fit into the time of a run."""
+"""Long intervals (seconds), so that more cells fit into the time of a run."""
 
 POLICY = RequestPolicy(request_timeout=2.0, target_timeout=1.5)
-"""Short times, so that a run does not last long."""
+"""Short timeouts (seconds), so that a run is short."""
 
 SEATS = 2
 """Proxies that share a database's connections."""
@@ -47,25 +47,25 @@
 
 
 class AnswerTransport:
-    """Collects what a proxy sends to a caller."""
+    """Collects the bytes that a proxy sends to a caller."""
 
     def __init__(self):
         self.sent = bytearray()
 
     def write(self, data: bytes) -> None:
-        """Take bytes."""
+        """Append sent bytes."""
         self.sent += data
 
 
 class BenchCaller(NamedTuple):
-    """A caller that is logged on, and what the proxy sends to it."""
+    """A caller that is logged on, with the transport that the proxy writes to."""
 
     caller: Caller
     transport: AnswerTransport
 
 
 class CallerRefused(Exception):
-    """The proxy takes no new callers; nothing was run."""
+    """The proxy accepts no new callers; nothing was run."""
 
 
 class BenchProxy:
@@ -74,13 +74,13 @@
     Parameters
     ----------
     node : Node
-        Where it runs.
+        The node that it runs on.
     group : FakeGroup
         The database group.
     client : FakePlatformClient
         Its client of the platform.
     fleet : callable
-        Gives the names of all live proxies.
+        Returns the names of all proxies of the site.
     rng : Random
         Source of all jitter.
     """
@@ -112,12 +112,12 @@
         )
 
     def start(self) -> None:
-        """Learn the settings; the group is watched as soon as they are known."""
+        """Start to follow the settings; they start the tasks of the group."""
         self.settings.subscribe(self._apply_settings)
         self.settings.start()
 
     async def leave(self) -> None:
-        """Shut down gracefully: take no new callers, let those here finish."""
+        """Shut down gracefully: refuse new callers and wait for the present ones."""
         self.leaving = True
         if self._callers:
             self._idle = Deferred()
@@ -132,7 +132,7 @@
             self.runtime.task.stop()
 
     def open_caller(self, settings: dict[str, str]) -> BenchCaller:
-        """Log a caller on with its session settings.
+        """Log a caller on with session settings.
 
         Raises
         ------
@@ -159,7 +159,7 @@
         return answer
 
     def close_caller(self, bench_caller: BenchCaller) -> None:
-        """Note that a caller is gone; its open transaction is rolled back."""
+        """Disconnect a caller; its open transaction is rolled back."""
         bench_caller.caller.disconnect()
         self.requests.drop_session(bench_caller.caller)
         self._callers -= 1
@@ -167,7 +167,7 @@
             self._idle.callback(None)
 
     def _apply_settings(self, site: SiteSettings) -> None:
-        """Watch the group by the settings in force."""
+        """Apply new settings to the group's tasks, which the first ones start."""
         name = self._group.name
         found = next((each for each in site.groups if each.name == name), None)
         if found is None:
@@ -220,5 +220,5 @@
 
 @lru_cache(1)
 def _get_metrics() -> InstanceMetrics:
-    """Return one set of metrics for all proxies; nobody reads them here."""
+    """Return one set of metrics for all proxies; the matrix does not read them."""
     return InstanceMetrics("bench")
--- a/beryltrack_bench/matrix/run.py
+++ b/beryltrack_bench/matrix/run.py
@@ -1,4 +1,4 @@
-"""Runs one cell of the matrix: a procedure with faults at some of its steps."""
+"""Runs one cell of the fault matrix: a procedure with faults at chosen steps."""
 
 import gc
 import logging
@@ -22,24 +22,24 @@
 """Seconds after the last fault within which a write must succeed again."""
 
 REQUEST_LIMIT = POLICY.request_timeout + FAULT_SECONDS
-"""Seconds within which a proxy must answer a request, also if it is paused."""
+"""Seconds within which a proxy must answer a request, including a pause."""
 
 RUN_LIMIT = 4 * PROCEDURE_TIMEOUT
 """Seconds after which a procedure counts as stuck."""
 
 SETTLE_TIME = 0.1
-"""Seconds for replicas to catch up before the last log is read."""
+"""Seconds for replicas to catch up before the final log is recorded."""
 
 
 class Strike(NamedTuple):
-    """A fault at a step.
+    """A fault injected at a step.
 
     Parameters
     ----------
     fault : str
         Name of the fault.
     step : int
-        Number of the step, from zero, just before which it strikes.
+        Number of the step, from zero, just before which the fault begins.
     """
 
     fault: str
@@ -62,14 +62,14 @@
 
 
 class CellResult(NamedTuple):
-    """What a run of a cell gave.
+    """The result of a run of a cell.
 
     Parameters
     ----------
     steps : tuple of Step
         The procedure's steps, in order.
     violations : tuple of Violation
-        What did not hold.
+        All violations of invariants.
     """
 
     steps: tuple[Step, ...]
@@ -77,18 +77,18 @@
 
 
 def format_cell(cell: Cell) -> str:
-    """Return the text that names a cell, for example ``write:crash_primary@7``."""
+    """Return the identifier of a cell, for example ``write:crash_primary@7``."""
     strikes = "+".join(f"{strike.fault}@{strike.step}" for strike in cell.strikes)
     return f"{cell.procedure}:{strikes}"
 
 
 def parse_cell(text: str) -> Cell:
-    """Return the cell that a text names.
+    """Return the cell that an identifier names.
 
     Raises
     ------
     ValueError
-        If there is no such procedure or fault, or the form is another.
+        If the procedure or fault is unknown or the identifier is malformed.
     """
     procedure, _, strikes = text.partition(":")
     parts = [part.partition("@") for part in strikes.split("+") if part]
@@ -105,7 +105,7 @@
     Parameters
     ----------
     deployment : Deployment
-        Where it runs.
+        The deployment to model.
     seed : int
         Seed of all random numbers.
     cell : Cell
@@ -114,8 +114,8 @@
     injector = _Injector(cell.strikes)
     world = World(deployment, seed, injector.observe)
     errors: list[str] = []
-    # Coroutines of a crashed proxy end when they are collected. Outside of the
-    # capture that is no error of the code under test.
+    # Coroutines of a crashed proxy end when they are garbage-collected. Outside
+    # of the capture that does not count as an error of the code under test.
     gc.disable()
     with _ErrorCapture(errors):
         stuck = _run(world, injector, PROCEDURES[cell.procedure])
@@ -132,7 +132,7 @@
 
 
 def _run(world: World, injector: "_Injector", procedure) -> list[str]:
-    """Run the procedure with its faults, then let everything recover."""
+    """Run the procedure with its faults and the recovery; return what got stuck."""
     stuck = []
     world.start()
     injector.begin(world)
@@ -154,11 +154,11 @@
 
 
 def find_overdue_requests(world: World) -> Iterator[str]:
-    """Return the requests that a proxy kept for longer than it may.
+    """Yield the requests that a proxy held for longer than `REQUEST_LIMIT`.
 
-    Nothing that the procedures ask for takes long, so a request that is kept
-    waits for something that may never come. The time in which the proxy was
-    paused does not count, nor do requests that ended with its process.
+    All requests of the procedures are short, so a request held for longer waits
+    for an event that may never come. The limit allows for a pause of the proxy;
+    requests that ended with a proxy's process do not count.
     """
     started = {}
     for event in world.history:
@@ -176,7 +176,7 @@
 
 
 def _recover(world: World) -> bool:
-    """Write and read once more through each proxy; return whether that worked."""
+    """Write once more and read through each proxy; return whether both succeed."""
     limit = world.now + RECOVERY_LIMIT
     session = Session(world, "last")
     answered = Deferred.fromCoroutine(_use_all_proxies(world, session, limit))
@@ -187,13 +187,13 @@
 
 
 async def _use_all_proxies(world: World, session: Session, limit: float) -> bool:
-    """Write and read through all proxies in turn."""
+    """Write once and read through all proxies in turn."""
     written = await session.write_until_acknowledged("last", limit=limit)
     return written and all([await session.read_until(limit) for _ in world.proxies])
 
 
 class _Injector:
-    """Counts the steps of a procedure and strikes at the chosen ones."""
+    """Counts the steps of a procedure and injects the faults at the chosen ones."""
 
     def __init__(self, strikes: tuple[Strike, ...]):
         self.steps: list[Step] = []
@@ -202,7 +202,7 @@
         self._world: World | None = None
 
     def observe(self, step: Step) -> None:
-        """Count a step, and strike before it if a fault is due."""
+        """Count a step and inject the faults that are due before it."""
         world = self._world
         if world is None:
             return
@@ -213,15 +213,15 @@
                 self._strike(world, strike)
 
     def begin(self, world: World) -> None:
-        """Count from now on."""
+        """Start counting."""
         self._world = world
 
     def end(self) -> None:
-        """Count no more."""
+        """Stop counting."""
         self._world = None
 
     def _strike(self, world: World, strike: Strike) -> None:
-        """Begin a fault and plan its end."""
+        """Begin a fault and schedule its end."""
         fault = FAULTS[strike.fault]
         undo = fault.strike(world)
         self.faults_end_at = max(self.faults_end_at, world.now + fault.seconds)
@@ -245,10 +245,10 @@
         logging.getLogger("beryltrack").removeHandler(self)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take an error that was logged."""
+        """Record a logged error."""
         self._errors.append(record.getMessage())
 
     def _observe(self, event: dict) -> None:
-        """Take a failure that nobody handled."""
+        """Record an unhandled failure of a Deferred."""
         if "log_failure" in event:
             self._errors.append(repr(event["log_failure"].value))
--- a/beryltrack_bench/matrix/world.py
+++ b/beryltrack_bench/matrix/world.py
@@ -1,4 +1,4 @@
-"""The site on which the matrix runs: one group, a platform, proxies and callers."""
+"""The simulated site of the matrix: one group, a platform, proxies and callers."""
 
 from random import Random
 
@@ -31,11 +31,11 @@
 SETTINGS_PATH = f"settings/shop/groups/{GROUP}"
 PROXIES = ("proxy-1", "proxy-2")
 LOST_AFTER = 0.3
-"""Seconds without a word after which a primary counts as lost."""
+"""Seconds without a heartbeat after which a primary counts as lost."""
 
 HEARTBEAT = 0.1
-"""Seconds between two words of an idle primary; a third of `LOST_AFTER`, so that
-more cells fit into the time of a run."""
+"""Seconds between two heartbeats of an idle primary; as long as a third of
+`LOST_AFTER`, so that more cells fit into the time of a run."""
 
 WARM_UP = 0.1
 """Seconds from the start until all proxies know the group."""
@@ -47,11 +47,11 @@
     Parameters
     ----------
     deployment : Deployment
-        Zones, delays and the pace of replication.
+        Zones, delays and replication speed.
     seed : int
         Seed of all random numbers of the run.
     observer : callable
-        Takes each step.
+        Called with each step.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
 
     @property
     def now(self) -> float:
-        """The time, seconds."""
+        """The time of the site's clock, seconds."""
         return self.site.clock.seconds()
 
     def start(self) -> None:
-        """Start everything and let the proxies learn the group."""
+        """Start all nodes and wait until the proxies know the group."""
         self.platform.put(SETTINGS_PATH, make_settings(self.group), 0)
         self.group.start()
         self.group.primary.engine.append((LoggedStatement(CREATE_ITEMS, (), 0.0),))
@@ -94,7 +94,7 @@
         self.site.run_until(WARM_UP)
 
     def start_proxy(self, name: str, index: int = 0) -> None:
-        """Start a proxy's process, on a new node if the name is new."""
+        """Start a proxy's process, on a new node for a new name."""
         node = self.site.nodes.get(name) or self._add_node(name, index)
         if node.alive and name in self.proxies:
             return
@@ -106,7 +106,7 @@
         proxy.start()
 
     def crash_proxy(self, name: str) -> None:
-        """End a proxy's process without a shutdown."""
+        """Crash a proxy's process."""
         if self.site.nodes[name].alive:
             self._record(ProxyCrashed(self.proxies[name].name, self.now))
             self.site.nodes[name].crash()
@@ -127,7 +127,7 @@
         return FakePlatformClient(self.platform, self.network, node)
 
     def record_settings(self) -> None:
-        """Record which version of the group's settings each live proxy acts by."""
+        """Record the version of the group's settings in force at each live proxy."""
         for proxy in self.proxies.values():
             if proxy.node.alive and not proxy.node.frozen and not proxy.leaving:
                 self._record_version(proxy)
@@ -135,8 +135,8 @@
     def record_final_log(self) -> None:
         """Record the log of the last primary."""
         entries = self.group.primary.log.entries
-        kept = tuple(filter(None, map(get_entry_keys, entries)))
-        self._record(FinalLog(GROUP, kept))
+        keys = tuple(filter(None, map(get_entry_keys, entries)))
+        self._record(FinalLog(GROUP, keys))
 
     def _record_version(self, proxy: BenchProxy) -> None:
         version = get_version(proxy)
@@ -150,7 +150,7 @@
 
 
 def get_version(proxy: BenchProxy) -> int:
-    """Return the version of the group's settings that a proxy acts by."""
+    """Return the version of the group's settings in force at a proxy."""
     objects = proxy.settings.get_objects()
     return max(
         (item.version for item in objects if item.path == SETTINGS_PATH), default=0
@@ -167,7 +167,7 @@
     draining : str
         The database that an operator drains; empty for none.
     max_age : float
-        Staleness that reads accept, seconds.
+        Maximum staleness that reads accept, seconds.
     """
     databases = [
         {
