--- a/beryltrack_bench/checker.py
+++ b/beryltrack_bench/checker.py
@@ -93,8 +93,8 @@
     logs = _get_final_keys(history)
     promotions = list(_select(history, Promoted))
     for write in _select(history, WriteAcknowledged):
-        kept = logs.get(write.group)
-        if kept is not None and not kept.issuperset(write.keys):
+        final_keys = logs.get(write.group)
+        if final_keys is not None and not final_keys.issuperset(write.keys):
             yield f"{write.keys} was acknowledged and is not in the last log"
         led = [each for each in promotions if each.group == write.group]
         term = max((each.term for each in led if each.at <= write.at), default=0)
@@ -132,17 +132,19 @@
     """
     requests = list(_select(history, WriteRequested))
     commits = list(_select(history, Executed))
-    kept = _get_final_keys(history)
+    final_keys = _get_final_keys(history)
     for refused in _select(history, WriteRefused):
         same = [each for each in requests if each.keys == refused.keys]
         until = min((each.at for each in same if each.at >= refused.at), default=inf)
         since = max((each.at for each in same if each.at < refused.at), default=-inf)
         runs = [each.at for each in commits if each.keys == refused.keys]
         ran = any(since <= at < until for at in runs)
-        is_kept = bool(kept.get(refused.group, set()) & set(refused.keys))
+        is_in_final_log = bool(final_keys.get(refused.group, set()) & set(refused.keys))
         # An effect of an earlier attempt remains and does not belong to this one.
-        lasts = until == inf and is_kept and not any(at < since for at in runs)
-        untrue = {Refusal.NOT_RUN: ran or lasts, Refusal.ROLLED_BACK: lasts}
+        persists = (
+            until == inf and is_in_final_log and not any(at < since for at in runs)
+        )
+        untrue = {Refusal.NOT_RUN: ran or persists, Refusal.ROLLED_BACK: persists}
         if untrue.get(refused.refusal):
             yield f"{refused.keys} was said to be {refused.refusal.value}"
     made = {change.change_id for change in _select(history, ChangeAccepted)}
--- a/beryltrack_bench/cost/control.py
+++ b/beryltrack_bench/cost/control.py
@@ -1,4 +1,4 @@
-"""What a node spends on control: on its peers, and on watching a group."""
+"""Control-plane cost of a node: gossip with its peers, and probing a group."""
 
 import gc
 import time
@@ -18,26 +18,26 @@
 JOIN_TIMEOUT = 20.0
 SETTLE_TIME = 1.0
 FIRST_SETTLE_TIME = 2.2
-# Links that a grown fleet does not want are closed after three seconds.
+# Seconds to wait: surplus links of a grown fleet are closed after three seconds.
 PRUNING_TIME = 3.2
-# In a fleet of this size all nodes want links to all others.
+# Up to this fleet size each node keeps links to all others.
 MAX_FULL_MESH_NODES = 4
 GROUP_KIND = "group"
 
 
 class ControlCost(NamedTuple):
-    """What a node of a fleet costs while nothing happens.
+    """Cost of a node in an idle fleet.
 
     Parameters
     ----------
     nodes : int
         Nodes in the fleet.
     groups : int
-        Groups whose views all nodes know.
+        Number of groups whose views all nodes know.
     rates : Rates
         Traffic of a node and calls of the fleet.
     resident_bytes : float
-        Growth of the process's memory for each node.
+        Growth of the process's resident memory per node, bytes.
     """
 
     nodes: int
@@ -54,7 +54,7 @@
     at_zero : float
         Its value at zero.
     slope : float
-        Its growth for each unit.
+        Its growth per unit.
     """
 
     at_zero: float
@@ -64,20 +64,20 @@
 async def measure_fleets(
     reactor, sizes: Sequence[int], groups: int, seed: int, seconds: float
 ) -> list[ControlCost]:
-    """Measure a fleet of real nodes at rest, at each of its sizes as it grows.
+    """Measure an idle fleet of real nodes at each of its sizes as it grows.
 
     Parameters
     ----------
     reactor : reactor
         The reactor of all nodes.
     sizes : sequence of int
-        Numbers of nodes, rising.
+        Numbers of nodes, ascending.
     groups : int
-        Number of group views that are told to all.
+        Number of group views that are published to all nodes.
     seed : int
-        Of jitter.
+        Seed of jitter.
     seconds : float
-        How long to count at each size.
+        Measured time at each size, seconds.
 
     Returns
     -------
@@ -112,9 +112,9 @@
 
 
 async def measure_watch(reactor, proxies: int, seconds: float) -> float:
-    """Return the share of a core that whole proxies take at rest, with one group.
+    """Return the share of a core that idle proxies use for one group.
 
-    The stand-in's side of each proxy's control connections is in it.
+    It includes the stand-in's side of each proxy's control connections.
     """
     local = LocalProxies(reactor, LocalSite(reactor, SiteOptions()), proxies)
     await local.start()
@@ -127,6 +127,6 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """Return the line that fits some points best."""
+    """Return the least-squares line through some points."""
     slope, at_zero = linear_regression(*zip(*points, strict=True))
     return Line(at_zero, slope)
--- a/beryltrack_bench/cost/data_path.py
+++ b/beryltrack_bench/cost/data_path.py
@@ -1,7 +1,7 @@
-"""The data path's cost: the same client through a proxy and straight to a target.
+"""Cost of the data path: the same client through a proxy and directly to a target.
 
-Client, proxy and stand-in share one process, so the processor time of a proxy
-is the difference between the two ways, measured in turns in one run.
+Client, proxy and stand-in share one process, so a proxy's processor time is the
+difference between the two paths, measured in the same run.
 """
 
 import time
@@ -25,14 +25,14 @@
 
 
 class Path(NamedTuple):
-    """A way to a database.
+    """A path to a database.
 
     Parameters
     ----------
     name : str
-        Name of the way in the figures.
+        Name of the path in the figures.
     endpoint : Endpoint
-        Where the client connects.
+        The address that the client connects to.
     settings : tuple of str
         Statements to run first on each connection.
     """
@@ -43,14 +43,14 @@
 
 
 class LoopCost(NamedTuple):
-    """What a closed loop of clients measured.
+    """Result of a closed loop of clients.
 
     Parameters
     ----------
     statements_per_s : float
-        Statements a second.
+        Statements per second.
     cpu_per_statement : float
-        Processor time of the whole process for each, seconds.
+        Processor time of the whole process per statement, seconds.
     """
 
     statements_per_s: float
@@ -58,20 +58,20 @@
 
 
 class _DiscardingSink:
-    """Reads answers and forgets them."""
+    """Discards answers."""
 
     def write(self, data: bytes) -> None:
-        """Forget some bytes."""
+        """Discard some bytes."""
 
     def attach(self, producer: object) -> None:
-        """Need no back-pressure."""
+        """Do nothing: there is no back-pressure."""
 
     def detach(self) -> None:
-        """Need no back-pressure."""
+        """Do nothing: there is no back-pressure."""
 
 
 class StatementFailed(Exception):
-    """Raised when a statement of the measurement ended in an error."""
+    """Raised when a statement of the measurement ends in an error."""
 
 
 async def open_clients(reactor, path: Path, count: int) -> list[TargetConnection]:
@@ -88,7 +88,7 @@
 
 
 async def run_statement(client: TargetConnection, text: str) -> None:
-    """Run one statement; raises `StatementFailed` on an error."""
+    """Run one statement; raise `StatementFailed` on an error."""
     end = await client.run(Query(text).to_wire(), _DiscardingSink())
     if end.error is not None:
         raise StatementFailed(f"{text}: {end.error}")
@@ -113,18 +113,18 @@
     reactor : reactor
         The reactor.
     path : Path
-        The way to the database.
+        The path to the database.
     text : str
         The statement.
     clients : int
         Connections, each with one statement in flight.
     seconds : float
-        How long.
+        Measured time, seconds.
 
     Returns
     -------
     LoopCost
-        Rate and processor time.
+        Rate and processor time of the statements.
     """
     opened = await open_clients(reactor, path, clients)
     wire = Query(text).to_wire()
@@ -143,7 +143,7 @@
 ) -> dict[str, float]:
     """Return the median time of a statement over each path, seconds.
 
-    One statement is in flight at a time, over the paths in turn.
+    One statement is in flight at a time; each round uses all paths in turn.
     """
     clients = [(await open_clients(reactor, path, 1))[0] for path in paths]
     times: dict[str, list[float]] = {path.name: [] for path in paths}
@@ -158,7 +158,7 @@
 
 
 async def _run_loop(client: TargetConnection, wire: bytes, stop_at: float) -> int:
-    """Run one client's loop and return its number of statements."""
+    """Run one client's loop until a time and return its number of statements."""
     sink, done = _DiscardingSink(), 0
     while time.perf_counter() < stop_at:
         end = await client.run(wire, sink)
@@ -169,11 +169,11 @@
 
 
 def make_paths(local: LocalProxies) -> tuple[Path, tuple[Path, ...]]:
-    """Return the way straight to the primary, and the ways through a proxy.
+    """Return the direct path to the primary, and the paths through a proxy.
 
-    A read of a known session that accepts an age is served from what is known.
-    One that accepts none needs a position that is sampled after it arrived,
-    and so does each read of a session of which nothing is known.
+    A read of a known session that accepts stale data (``aged``) uses known positions.
+    A read that accepts none (``fresh``) needs a position sampled after its arrival, as
+    does each read of an unknown session.
     """
     servers = local.site.servers.values()
     primary = next(s for s in servers if s.database.status.role == "primary")
--- a/beryltrack_bench/cost/gates.py
+++ b/beryltrack_bench/cost/gates.py
@@ -1,4 +1,4 @@
-"""What a decision under load costs an owner, by how many accounts wait for it."""
+"""Cost of a gate's decision at an owner, by the number of waiting accounts."""
 
 import random
 import time
@@ -12,38 +12,39 @@
 from beryltrack.load.policy import LoadPolicy
 
 SIZES = (8, 74, 195, 520)
-"""Instances of the users' fleets, and of the size to design for."""
+"""Instances of the users' fleets, and of the largest fleet to design for."""
 
 ACCOUNTS_PER_INSTANCE = 4
-"""Accounts that wait at the owner for each instance of the fleet (an assumption)."""
+"""Accounts that wait at the owner per instance of the fleet (an assumption)."""
 
 STATEMENT_TIME = 0.0001
-"""Seconds of a statement: short enough that the queue is done in time."""
+"""Seconds per statement: short enough that all queued statements end in time."""
 
 CAPACITY = SharedCapacity(slots=3, owners=1, connections=9)
 TARGET_LATENCY, DEADLINE = 0.5, 2.0
 OPERATIONS = 20_000
 WARM_UP = 500
-"""Operations by which a gate learns how long statements take."""
+"""Operations from which a gate learns the statements' time."""
 
 ROUNDS = 3
 
 
 def measure_gates(sizes: Sequence[int] = SIZES) -> dict[str, float]:
-    """Return the microseconds of processor time of an operation, by instances."""
+    """Return an operation's processor time in microseconds, by instances."""
     return {str(size): round(measure_gate(size) * 1e6, 2) for size in sizes}
 
 
 def measure_gate(instances: int, operations: int = OPERATIONS) -> float:
     """Return the processor time of an arrival and an end, in seconds.
 
-    One operation of each account waits all the time; the least of some turns counts.
+    One operation of each account waits all the time. The result is the minimum over
+    `ROUNDS`.
     """
     return min(_measure_round(instances, operations) for _ in range(ROUNDS))
 
 
 def _measure_round(instances: int, operations: int) -> float:
-    """Return the mean time of an arrival and an end in one turn."""
+    """Return the mean time of an arrival and an end in one round, seconds."""
     gate = GateDecider(LoadPolicy(), random.Random(1), 1)
     gate.set_capacity(CAPACITY, 0.0)
     waiting = instances * ACCOUNTS_PER_INSTANCE
@@ -69,11 +70,11 @@
 
 
 def _make_demand(number: int) -> Demand:
-    """Return what the operations of one account ask for."""
+    """Return the demand of one account's operations."""
     priority = number % (LOWEST_PRIORITY + 1)
     return Demand(priority, TARGET_LATENCY, DEADLINE, f"account-{number}")
 
 
 def _append_running(running: deque, actions: list) -> None:
-    """Note what was let run."""
+    """Append the operations that the gate admitted."""
     running.extend(each.operation for each in actions if isinstance(each, Run))
--- a/beryltrack_bench/cost/memory.py
+++ b/beryltrack_bench/cost/memory.py
@@ -1,4 +1,4 @@
-"""The memory that idle callers cost a proxy."""
+"""Memory use of idle callers at a proxy."""
 
 import gc
 import os
@@ -32,15 +32,15 @@
 ) -> float:
     """Return the memory of an idle caller's connection at a proxy, bytes.
 
-    The clients are bare sockets that log on and then keep still, so that
-    nearly all of the memory is the proxy's.
+    The clients are plain sockets that log on and then stay idle, so that nearly all
+    of the memory belongs to the proxy.
 
     Parameters
     ----------
     reactor : reactor
         The reactor in which the proxy runs.
     endpoint : Endpoint
-        Where the proxy listens; it must trust the user.
+        The proxy's address; the proxy must trust the user.
     parameters : dict of str to str
         Start-up parameters.
     count : int
@@ -51,7 +51,7 @@
     Returns
     -------
     float
-        Bytes a connection, without what the kernel holds.
+        Bytes per connection, without the kernel's memory.
     """
     gc.collect()
     before = read_memory()
@@ -69,7 +69,7 @@
 
 
 async def _open_batch(reactor, endpoint: Endpoint, wire: bytes) -> list[socket.socket]:
-    """Open some connections, no more than a listening socket's queue takes."""
+    """Open a batch of connections that fits into a listening socket's backlog."""
     sockets = [_connect(endpoint) for _ in range(BATCH)]
     await deferLater(reactor, BATCH_TIME, int)
     for each in sockets:
@@ -78,7 +78,7 @@
 
 
 def _connect(endpoint: Endpoint) -> socket.socket:
-    """Return a socket that connects without waiting."""
+    """Return a non-blocking socket that is connecting."""
     opened = socket.socket()
     opened.setblocking(False)
     opened.connect_ex(endpoint)
--- a/beryltrack_bench/experiments/ablate.py
+++ b/beryltrack_bench/experiments/ablate.py
@@ -1,9 +1,9 @@
-"""What each mechanism of waiting, rejecting and repeating is worth under overload.
+"""`ablate`: the effect of each queueing, refusal and retry mechanism under overload.
 
-The real pools, admission and retry budgets of `overload` run with the figures of an
+The real pools, admission and retry budgets of `overload` run with the sizes of an
 instance on the users' platform, once with all mechanisms and once without each, over
-several seeds. Callers have patience of two lengths, so that the order in which they
-wait shows. Mechanisms of routing and of changes of primary are not exercised here.
+several seeds. Callers have one of two timeouts, so that the order of the queue has an
+effect. Mechanisms of routing and of changes of primary are not exercised here.
 """
 
 from statistics import mean
@@ -26,10 +26,10 @@
 ALL_ON = "all"
 DEFAULT_RUNS = 1
 MEASURED = 2.0
-"""Seconds of callers in each run, twice their longest patience: what a queue holds at
-the end weighs less."""
+"""Measured seconds of each run, twice the longest timeout, so that requests queued at
+the end have less weight."""
 CALLER_TIMEOUTS = (0.3, 1.0)
-"""Seconds that callers wait at the most, half of them each."""
+"""Timeouts of callers in seconds; each applies to half of the callers."""
 
 MECHANISMS = (
     Mechanism.DEADLINE_ORDER,
@@ -46,15 +46,15 @@
 
     Parameters
     ----------
-    times : float
-        Times what the connections carry.
+    load_factor : float
+        Offered load as a multiple of the connections' capacity.
     storming : bool
-        True if callers try again at once after each refusal.
+        True if callers retry at once after each refusal.
     outage : bool
-        True if all databases were away just before, and all callers return.
+        True if all databases were down just before, so that all callers return.
     """
 
-    times: float
+    load_factor: float
     storming: bool = False
     outage: bool = False
 
@@ -69,20 +69,21 @@
 
 
 class RunFigures(NamedTuple):
-    """What one run came to.
+    """Figures of one run.
 
     Parameters
     ----------
     goodput : float
-        Requests done in time, of those offered.
+        Share of the offered requests that were done in time.
     p99 : float
-        99th percentile of the time that a request that was done took, seconds.
+        99th percentile of the latency of done requests, seconds.
     late : int
         Requests that were done after their deadline.
     refused : float
-        Requests that were refused, of those offered.
+        Share of the offered requests that were refused.
     violations : int
-        Refusals that were not true, and connections beyond a limit.
+        Refused requests that ran, and databases with more connections than their
+        limit.
     """
 
     goodput: float
@@ -107,7 +108,7 @@
     Returns
     -------
     dict
-        For each load and each mechanism that is off the means, and the spread of the
+        The means for each load and each disabled mechanism, with the spread of the
         goodput.
     """
     seeds = range(seed, seed + (options.runs or DEFAULT_RUNS))
@@ -143,8 +144,8 @@
     policies: NodePolicies,
     seconds: float,
 ) -> RunFigures:
-    """Return what one run came to."""
-    rate = load.times * compute_capacity(deployment)
+    """Run one load with some policies and return its figures."""
+    rate = load.load_factor * compute_capacity(deployment)
     offer = Offer("a", rate, load.storming, patience=CALLER_TIMEOUTS)
     options = SiteOptions(pool=policies.pools, retries=policies.retries)
     result = run_scenario(deployment, seed, [offer], seconds, options, load.outage)
--- a/beryltrack_bench/experiments/cost.py
+++ b/beryltrack_bench/experiments/cost.py
@@ -1,10 +1,10 @@
-"""What a statement, an idle caller and a node cost, with real sockets.
+"""`cost`: the cost of a statement, an idle caller and a node, with real sockets.
 
 Client, proxy, stand-ins and platform run in one process on loopback. A proxy's
 processor time for a statement is the difference between the same client's
-loops through the proxy and straight to the target, run in turns. The figures
-are for docs/CAPACITY.md, which works out the fleet from their slopes. What a gate
-takes for an operation is measured without sockets.
+loops through the proxy and directly to the target. docs/CAPACITY.md computes the
+size of a fleet from the slopes of these figures. The cost of an operation at a gate
+is measured without sockets.
 """
 
 from collections.abc import Sequence
@@ -46,7 +46,8 @@
 WATCH_SECONDS = 0.8
 FLEET_SIZES = (4, 8, 16, 32, 64)
 FLEET_GROUPS = (30, 400)
-# With more groups the smallest fleet is enough to tell the difference.
+# Number of fleet sizes to measure. With more groups the smallest fleet is enough to
+# show the difference.
 FLEET_SIZES_BY_GROUPS = {30: 5, 400: 1}
 FLEET_SECONDS = 1.0
 MICROSECONDS = 1e6
@@ -58,9 +59,9 @@
     Parameters
     ----------
     deployment : Deployment
-        Not used: all runs on loopback without delays.
+        Not used: all nodes run on loopback without delays.
     seed : int
-        Of jitter; times are those of the machine.
+        Seed of jitter; times are those of the machine.
     options : Options
         `seconds` is the length of each loop, `nodes` the largest fleet.
 
@@ -74,14 +75,14 @@
 
 
 async def measure(reactor, seed: int, options: Options) -> dict:
-    """Measure all figures in a reactor that runs.
+    """Measure all figures in a running reactor.
 
     Parameters
     ----------
     reactor : reactor
         The reactor.
     seed : int
-        Of the nodes' jitter.
+        Seed of the nodes' jitter.
     options : Options
         `seconds` is the length of each loop, `nodes` the largest fleet.
 
@@ -110,7 +111,7 @@
     site = LocalSite(reactor, SiteOptions(database=database))
     local = LocalProxies(reactor, site, 1)
     await local.start()
-    # Before all else: memory that loops have freed would hide the callers'.
+    # Measured first: memory that the loops have freed would hide the callers'.
     parameters = {"user": USER, "database": GROUP}
     endpoint = local.proxies[0].endpoint
     idle = await measure_idle_memory(reactor, endpoint, parameters, IDLE_CALLERS)
@@ -121,7 +122,7 @@
 
 
 async def measure_watching(reactor) -> dict:
-    """Measure what a proxy at rest takes to watch one group of three databases."""
+    """Measure an idle proxy's CPU for probing one group of three databases."""
     points = [
         (count, await measure_watch(reactor, count, WATCH_SECONDS))
         for count in WATCHING_PROXIES
@@ -170,7 +171,7 @@
 async def measure_rounds(
     reactor, path: Path, text: str, seconds: float, rounds: int
 ) -> LoopCost:
-    """Return the medians over several turns of a loop."""
+    """Return the medians over several rounds of a loop."""
     costs = [
         await measure_loop(reactor, path, text, CLIENTS, seconds) for _ in range(rounds)
     ]
@@ -178,7 +179,7 @@
 
 
 def describe_loop(cost: LoopCost, direct: LoopCost | None = None) -> dict:
-    """Return the printed figures of a loop, and of the proxy's part in it."""
+    """Return the printed figures of a loop, and the proxy's share of its cost."""
     figures = {
         "statements_per_s": round(cost.statements_per_s, 1),
         "cpu_us": round(cost.cpu_per_statement * MICROSECONDS, 1),
@@ -194,7 +195,7 @@
 
 
 def describe_control(costs: Sequence[ControlCost]) -> dict:
-    """Return the printed figures of fleets, and the slopes over their sizes."""
+    """Return the printed figures of fleets and the lines fitted over their sizes."""
     sizes = [cost for cost in costs if cost.groups == FLEET_GROUPS[0]]
     lines = {
         name: fit_line([(cost.nodes, getattr(cost.rates, name)) for cost in sizes])
--- a/beryltrack_bench/experiments/detection.py
+++ b/beryltrack_bench/experiments/detection.py
@@ -1,7 +1,7 @@
-"""`detection`: the gap after a loss against the needless failovers, by detector.
+"""`detection`: the failover gap against needless failovers, by detector.
 
-Each row is one detector at one setting. Its gaps come from crashes, its needless
-failovers from a group whose primary pauses now and then, without being lost,
+Each row is one detector with one setting. Its gaps come from crashes of a primary,
+its needless failovers from a group whose primary is never lost but pauses at random
 for up to `MAX_PAUSE` seconds.
 """
 
@@ -29,14 +29,14 @@
 
 
 class Row(NamedTuple):
-    """A detector at one setting.
+    """A detector with one setting.
 
     Parameters
     ----------
     detector : str
         ``fixed`` or ``accrual``.
     setting : float
-        Seconds of silence, or standard deviations over the mean.
+        Seconds of silence, or standard deviations above the mean.
     """
 
     detector: str
@@ -67,12 +67,12 @@
     seed : int
         Seed of all random numbers, the same for each row.
     options : Options
-        `runs`: crashes for each row. `seconds`: length of its calm run.
+        `runs`: crashes for each row. `seconds`: length of its run without a loss.
 
     Returns
     -------
     dict
-        ``rows``: gaps in seconds, and needless failovers in an hour.
+        ``rows``: gaps in seconds, and needless failovers per hour.
     """
     small = deployment._replace(proxies=PROXIES)
     measure = partial(
@@ -93,7 +93,7 @@
 def measure_row(
     deployment: Deployment, seed: int, runs: int, seconds: float, row: Row
 ) -> dict:
-    """Return the figures of one detector at one setting."""
+    """Return the figures of one detector with one setting."""
     rng = Random(f"{deployment.name}/{seed}")
     lost_after = row.setting if row.detector == "fixed" else 0.3
     options = LossOptions(deployment, lost_after, make_detector=row.make)
--- a/beryltrack_bench/experiments/explore.py
+++ b/beryltrack_bench/experiments/explore.py
@@ -1,9 +1,9 @@
-"""Random schedules of several faults over the whole stack.
+"""`explore`: random schedules of several faults over the whole stack.
 
-Where the matrix strikes once or twice, this strikes up to `MAX_STRIKES` times
-at random steps. A schedule that violates an invariant is made as short as it
-can be while it still does, and is printed as a cell of the matrix, so that it
-can be repeated and turned into a test.
+The matrix injects one or two faults; a schedule has up to `MAX_STRIKES` at random
+steps. A schedule that violates an invariant is shrunk to fewer faults that still
+violate one, and printed as a cell of the matrix, so that it can be repeated and
+turned into a test.
 """
 
 from collections.abc import Callable, Iterator
@@ -21,14 +21,14 @@
 from beryltrack_bench.options import Options
 
 DEFAULT_SCHEDULES = 300
-"""Schedules in a run, unless told otherwise."""
+"""Default number of schedules in a run."""
 
 MAX_STRIKES = 5
-"""Most faults in one schedule."""
+"""Maximum number of faults in one schedule."""
 
 STEP_RANGE_FACTOR = 2.0
-"""How far beyond a procedure's own steps a fault may strike, as a factor: a run
-with faults has more steps than one without."""
+"""Range of a fault's step, as a multiple of the steps of a run without faults: a run
+with faults has more steps."""
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
@@ -37,9 +37,9 @@
     Returns
     -------
     dict
-        ``schedules``, ``strikes`` (faults in all of them), ``violations`` (the
-        schedules that violate an invariant), and for each of these the
-        shortest form found with its first violation.
+        ``schedules``, ``strikes`` (faults in all schedules), ``violations`` (number
+        of schedules that violate an invariant), and ``failed``: the shortest form
+        found of each of these, with its first violation.
     """
     clean = {name: run_cell(deployment, seed, Cell(name)) for name in PROCEDURES}
     cells = list(_draw_cells(seed, options.runs or DEFAULT_SCHEDULES, clean))
@@ -57,7 +57,7 @@
 
 
 def shrink(cell: Cell, fails: Callable[[Cell], bool]) -> Cell:
-    """Return a cell with as few faults as possible that still fails.
+    """Remove faults from a failing cell one by one while it still fails.
 
     Parameters
     ----------
@@ -88,7 +88,7 @@
 
 
 def _describe(deployment: Deployment, seed: int, cell: Cell) -> dict:
-    """Return what is printed of a schedule that fails."""
+    """Return the printed form of a failing schedule."""
     violations = run_cell(deployment, seed, cell).violations
     return {
         "cell": format_cell(cell),
--- a/beryltrack_bench/experiments/failover.py
+++ b/beryltrack_bench/experiments/failover.py
@@ -1,9 +1,9 @@
 """`failover`: the time from a primary's loss until writes succeed again.
 
-The product's `GroupTask` runs on every proxy of the deployment, over fakes,
-and a caller writes through each of them. Every run loses one primary; its old
-primary comes back before the run ends. Beside them calm runs with trouble that
-is no loss show failovers that were needless.
+The product's `GroupTask` runs on each proxy of the deployment, over fakes, and a
+caller writes through each proxy. Each run loses one primary, which comes back
+before the run ends. Another run has disturbances without a loss and shows needless
+failovers.
 """
 
 from collections import Counter
@@ -31,7 +31,8 @@
 SETTLE_TIME = 0.6
 # A primary that pauses longer than this may be replaced; see docs/notes/failover.md.
 MAX_PAUSE = 0.15
-# Round trips and one-way delays between the loss and the first acknowledgement.
+# One-way delays between the detection and the first acknowledgement; see
+# `compute_floor`.
 ONE_WAY_DELAYS = 9
 _MICROSECONDS = 1e6
 _MAX_RECORDED_US = 60_000_000
@@ -39,25 +40,27 @@
 
 
 class LossResult(NamedTuple):
-    """What one loss led to.
+    """Result of one run.
 
     Parameters
     ----------
     kind : str
-        How the primary was lost.
+        The fault that lost the primary.
     store : str
         The state of the store.
     gaps : tuple of float
-        for each caller whose proxy reaches all other databases: seconds from the
+        For each caller whose proxy reaches all other databases: seconds from the
         loss until a write of the new term was acknowledged to it.
     unserved : int
-        Callers to whom none was acknowledged before the run's end.
+        Such callers without an acknowledged write of the new term.
     needless : int
-        Changes of primary beyond the one that was due.
-    lost, doubled : int
-        Acknowledged writes that the last log lacks, or has twice.
+        Changes of primary beyond the necessary one.
+    lost : int
+        Acknowledged writes that are missing from the final log.
+    doubled : int
+        Writes that are in the final log more than once.
     violations : dict of str to int
-        Breaches of each invariant.
+        Violations of each invariant.
     """
 
     kind: str
@@ -85,9 +88,9 @@
     seed : int
         Seed of all random numbers.
     options : Options
-        `runs`: losses of each kind. `seconds`: length of the calm run.
+        `runs`: losses of each kind. `seconds`: length of the run without a loss.
     lost_after : float
-        The group's setting, seconds.
+        The group's setting `lost_after`, seconds.
 
     Returns
     -------
@@ -117,22 +120,24 @@
 def run_loss(
     options: LossOptions, loss: Loss, rng: Random, warm_up: float = WARM_UP
 ) -> LossResult:
-    """Lose one primary after `warm_up` seconds and return what it led to."""
+    """Lose one primary after `warm_up` seconds and return the result."""
     site = LossSite(options, rng)
     site.run(warm_up + rng.uniform(0.0, 0.1))
     old, before = site.group.primary, site.promotions
     loss.begin(site.context)
     site.run(loss.warning_time)
     lost_at, old_term = site.site.clock.seconds(), old.log.term
-    early = site.promotions
+    early_promotions = site.promotions
     site.run(RESTORE_AFTER)
-    reaching = [proxy for proxy in site.proxies if _can_serve(site, proxy, old.name)]
+    serving_proxies = [
+        proxy for proxy in site.proxies if _can_serve(site, proxy, old.name)
+    ]
     loss.end(site.context, old.name)
     site.run(SETTLE_TIME)
     gaps = [
         _get_gap(site, proxy.name, lost_at, old_term)
-        for proxy in reaching
-        if early == before
+        for proxy in serving_proxies
+        if early_promotions == before
     ]
     site.finish()
     served = tuple(gap for gap in gaps if gap is not None)
@@ -150,7 +155,7 @@
 def run_without_loss(
     options: LossOptions, disturbance: Disturbance, seconds: float, rng: Random
 ) -> LossResult:
-    """Trouble a group that loses no primary."""
+    """Disturb a group without losing its primary and return the result."""
     site = LossSite(options, rng)
     site.run(WARM_UP)
     for _ in range(int(seconds / disturbance.interval)):
@@ -170,15 +175,15 @@
 
 
 def compute_floor(deployment: Deployment, lost_after: float) -> float:
-    """Return the least gap that detection, delays and set-up allow, seconds.
-
-    The replicas last heard the primary at most one heartbeat before the loss
-    (if nothing was written since) plus one delay d, so they count it as lost at
-    the earliest ``lost_after - heartbeat + d`` after the loss. From there: the
-    status that says so reaches the proxy (d), the grant (2 d), the promotion
-    (2 d), the new connection (its set-up time), the write's way there (d), its
-    way to a replica (d) and the replica's word of it to the proxy (d). That is
-    9 d in all; the proxy itself is taken to need no time.
+    """Return the minimum gap that detection, delays and set-up allow, seconds.
+
+    The primary sent its last heartbeat at most one interval before the loss (if
+    nothing was written since), and it arrives after one delay d. So the replicas
+    count it as lost at the earliest ``lost_after - heartbeat + d`` after the loss.
+    Then follow: their status to the proxy (d), the grant (2 d), the promotion
+    (2 d), the new connection (its set-up time), the write to the primary (d), its
+    replication (d) and the replica's status to the proxy (d). That is 9 d in all;
+    the proxy is assumed to need no time.
     """
     return (
         lost_after
@@ -194,7 +199,7 @@
     results: list[LossResult],
     calm: LossResult,
 ) -> dict:
-    """Return the object that is printed."""
+    """Return the printed object."""
     all_results = [*results, calm]
     breaches = Counter()
     for result in all_results:
@@ -237,8 +242,8 @@
 def _can_serve(site: LossSite, proxy: Node, old: str) -> bool:
     """Return whether a proxy reaches a majority without the old primary.
 
-    With three databases that is both others: a commit needs the word of each,
-    and no proxy can confirm one that does not hear them.
+    With three databases the majority is both others: a commit needs both, and a
+    proxy that does not reach both cannot confirm it.
     """
     others = [name for name in site.group.databases if name != old]
     return all(site.reaches(proxy, name) for name in others)
@@ -257,7 +262,7 @@
 
 
 def _count_keys(site: LossSite) -> tuple[int, int]:
-    """Return how many acknowledged writes were lost, and how many doubled."""
+    """Return the number of lost acknowledged writes and of duplicated writes."""
     found = Counter(site.get_final_keys())
     acknowledged = {
         key
@@ -270,7 +275,7 @@
 
 
 def _count_violations(site: LossSite) -> dict[str, int]:
-    """Return the breaches of each invariant, and databases that do not follow."""
+    """Return violations by invariant, and databases that do not follow the primary."""
     history: History = tuple(site.history)
     return {
         **count_violations(check_history(history)),
@@ -279,6 +284,6 @@
 
 
 def _count_not_following(site: LossSite) -> int:
-    """Return how many databases do not follow the last primary in the end."""
+    """Return the number of databases whose term is not the last primary's."""
     primary = site.group.primary.log
     return sum(item.log.term != primary.term for item in site.group.databases.values())
--- a/beryltrack_bench/experiments/faults.py
+++ b/beryltrack_bench/experiments/faults.py
@@ -1,11 +1,11 @@
-"""The fault matrix: every fault at every step of each procedure, and pairs.
+"""`faults`: the fault matrix, each fault at each step of each procedure, and pairs.
 
 The steps of a procedure are those of a run without faults: each message that
-is sent or received and each timer that fires. A full matrix has some
-ten thousand cells, so a run takes a seeded sample of the steps for each
-procedure and fault; ``--runs N`` says how many, and a number beyond the steps
-takes all. A pair strikes a second time at a later step of a cell's own run, so
-that what happens only after a fault is struck too.
+is sent or received and each timer that fires. A full matrix has about ten thousand
+cells, so a run takes a seeded sample of the steps for each procedure and fault.
+``--runs N`` sets its size; a number above that of the steps takes all. A pair has a
+second fault at a later step of a cell's own run, so that the steps that occur only
+after a fault are covered too.
 """
 
 import gc
@@ -28,26 +28,26 @@
 from beryltrack_bench.options import Options
 
 DEFAULT_STEPS = 4
-"""Steps that are struck for each procedure and fault, unless told otherwise."""
+"""Default number of steps for each procedure and fault."""
 
 DEFAULT_STEPS_LONG = 1
-"""The same for the procedures whose runs are long."""
+"""Default number of steps for procedures with long runs."""
 
 LONG_PROCEDURES = frozenset({"draining"})
 
 PAIR_SHARE = 0.15
-"""Pairs that are run, as a share of the cells."""
+"""Number of pairs as a share of the cells with one fault."""
 
 
 class Outcome(NamedTuple):
-    """A cell that was run."""
+    """A cell and the result of its run."""
 
     cell: Cell
     result: CellResult
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
-    """Run a sample of the matrix, or the one cell of the options.
+    """Run a sample of the matrix, or the single cell of the options.
 
     Returns
     -------
@@ -76,11 +76,11 @@
     Parameters
     ----------
     deployment : Deployment
-        Where they run.
+        The deployment to model.
     seed : int
         Seed of the sample and of each run.
     steps_per_fault : int
-        Steps that are struck for each procedure and fault; zero for a few.
+        Number of steps for each procedure and fault; zero for the default.
     procedures : tuple of str
         Names of the procedures.
     faults : tuple of str
@@ -106,7 +106,7 @@
 
 
 def _run(deployment: Deployment, seed: int, cell: Cell) -> Outcome:
-    """Run one cell, and clear away what it leaves."""
+    """Run one cell and collect its garbage."""
     outcome = Outcome(cell, run_cell(deployment, seed, cell))
     gc.collect(0)
     return outcome
@@ -115,7 +115,7 @@
 def _choose_cells(
     clean: Outcome, faults: tuple[str, ...], steps_per_fault: int, rng: Random
 ) -> Iterator[Cell]:
-    """Return cells with one fault at steps of a run without faults."""
+    """Yield cells with one fault at sampled steps of a run without faults."""
     procedure = clean.cell.procedure
     steps = range(len(clean.result.steps))
     default = DEFAULT_STEPS_LONG if procedure in LONG_PROCEDURES else DEFAULT_STEPS
@@ -126,7 +126,7 @@
 
 
 def _choose_pairs(struck: list[Outcome], number: int, rng: Random) -> Iterator[Cell]:
-    """Return cells with a second fault at a later step of a struck run."""
+    """Yield cells with a second fault at a later step of a run with one fault."""
     for _ in range(number):
         cell, result = rng.choice(struck)
         (first,) = cell.strikes
@@ -136,7 +136,7 @@
 
 
 def _report(deployment: Deployment, seed: int, outcomes: list[Outcome]) -> dict:
-    """Return what is printed of the cells that were run."""
+    """Return the printed object of some outcomes."""
     failed = [outcome for outcome in outcomes if outcome.result.violations]
     strikes = Counter(len(outcome.cell.strikes) for outcome in outcomes)
     found = Counter(
@@ -161,7 +161,7 @@
 
 
 def _describe(deployment: Deployment, seed: int, failed: Outcome) -> dict:
-    """Return what is printed of a failed cell."""
+    """Return the printed form of a failed cell."""
     cell = format_cell(failed.cell)
     first = failed.result.violations[0]
     return {
--- a/beryltrack_bench/experiments/fleet.py
+++ b/beryltrack_bench/experiments/fleet.py
@@ -1,10 +1,10 @@
-"""`fleet`: many real nodes on loopback in one process, and what they tell each other.
+"""`fleet`: many real nodes on loopback in one process, and their gossip.
 
-Each node is the control part of a proxy: its settings, its peers and its client
-of the platform, over real sockets. Measured are the time for a change of the
-settings to be in force everywhere (with the store up, down from the acceptance
-on, and while nodes are replaced), the time for a death and a leaving to be known,
-the traffic of a node and the calls to the platform.
+Each node is the control plane of a proxy: its settings, its peers and its client
+of the platform, over real sockets. The experiment measures the time until a change of
+the settings is in force on all nodes (with the store up, down from the acceptance on,
+and while nodes are replaced), the time until all nodes know of a crash and of a
+graceful leave, the traffic of a node and the calls to the platform.
 """
 
 from beryltrack_bench.deployment import Deployment
@@ -14,7 +14,7 @@
 
 MAX_NODES = 64
 TARGETS = ((8, 2.0), (64, 5.0))
-"""Nodes, and the longest p99 for settings to be in force, seconds."""
+"""Number of nodes, and the maximum p99 until settings are in force, seconds."""
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
@@ -56,7 +56,7 @@
 
 
 def find_violations(nodes: int, result: CourseResult) -> dict[str, int]:
-    """Return what must not happen and did: reverts, misses, late settings."""
+    """Return the nonzero counts of reverted, missed and late settings."""
     limit = next((limit for size, limit in TARGETS if nodes <= size), 0.0)
     counts = {
         "reverted": result.reverted,
--- a/beryltrack_bench/experiments/limits.py
+++ b/beryltrack_bench/experiments/limits.py
@@ -1,7 +1,7 @@
-"""Limits of what runs at a database: three ways, in simulated time.
+"""`limits`: three policies that limit concurrency at a database, in simulated time.
 
-For each load and way: the part of each priority's operations that was done in time, was
-refused and was late, and the most that ran or waited at the database at once.
+For each load and policy: the shares of each priority's operations that were done in
+time, refused and late, and the maximum number of operations at the database.
 """
 
 from beryltrack.load.policy import LoadPolicy
@@ -11,9 +11,10 @@
 
 SECONDS = 20.0
 CONNECTIONS = 10
-"""Connections of an owner, as `relay/owners.py` gives the least."""
+"""Connections of an owner: the minimum that `relay/owners.py` assigns."""
 
-EVEN_PART = 3
+EVEN_SHARE = 3
+"""Connections of an owner under the fixed limit: an even share."""
 
 LOADS = {
     "180/s": Load(180.0),
@@ -28,23 +29,23 @@
 
 LIMIT_POLICIES = {
     "no limit": (LoadPolicy(is_limited=False), CONNECTIONS),
-    "fixed": (LoadPolicy(is_limited=False), EVEN_PART),
+    "fixed": (LoadPolicy(is_limited=False), EVEN_SHARE),
     "adaptive": (LoadPolicy(), CONNECTIONS),
 }
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
-    """Play each way under each load."""
+    """Run each policy under each load."""
     figures = {
-        load: {way: measure(way, load, seed) for way in LIMIT_POLICIES}
+        load: {name: measure(name, load, seed) for name in LIMIT_POLICIES}
         for load in LOADS
     }
     return {"loads": figures, "violations": []}
 
 
-def measure(way: str, load: str, seed: int, seconds: float = SECONDS) -> dict:
-    """Return the figures of one way under one load."""
-    policy, connections = LIMIT_POLICIES[way]
+def measure(name: str, load: str, seed: int, seconds: float = SECONDS) -> dict:
+    """Return the figures of one policy under one load."""
+    policy, connections = LIMIT_POLICIES[name]
     site = Site(policy, connections, LOADS[load], seed)
     site.run(seconds)
     return {
@@ -54,7 +55,7 @@
 
 
 def _show(served: OperationCounts) -> dict:
-    """Return the printed form of what became of a priority's operations."""
+    """Return the printed shares of a priority's operations."""
     offered = max(1, served.offered)
     return {
         "in_time": round(served.in_time / offered, 3),
--- a/beryltrack_bench/experiments/overload.py
+++ b/beryltrack_bench/experiments/overload.py
@@ -1,10 +1,10 @@
-"""Goodput, refusals and limits when callers offer more than can be carried.
+"""`overload`: goodput, refusals and limits when the offered load exceeds capacity.
 
 Real pools, budgets, admission and retry budgets run over small fakes of the
-databases, the peer link and the store, under one clock. One group of databases
-is loaded at multiples of what its connections carry; then a storm of callers
-that retry at once, the return after a failover, a flood by one team beside
-another, and an uneven balancer with borrowed and with fixed shares.
+databases, the peer link and the store, on one simulated clock. The scenarios are: one
+group of databases at multiples of its connections' capacity, a retry storm, a
+thundering herd after an outage, a flood by one team beside another, and an uneven load
+balancer with borrowed and with fixed shares.
 """
 
 import random
@@ -21,14 +21,19 @@
 from beryltrack_bench.overload.workload import compute_capacity
 
 LOADS = (0.5, 1.0, 2.0, 5.0)
+"""Offered loads as multiples of the capacity."""
+
+# Times of a scenario, seconds.
 WARM_UP = 0.5
 MEASURED_TIME = 0.8
 DRAIN_TIME = 1.2
 OUTAGE_TIME = 0.4
-# The control connections see a target's return within a heartbeat.
+# Seconds until a pool learns of a target's return: the control connections see it
+# within a heartbeat.
 DETECTION_DELAY = 0.05
 RETURN_TIME = 1.5
 MAX_TEAM_REQUESTS = 48
+# Loads as multiples of the capacity, and the weight of a proxy with a trickle.
 SMALL_LOAD = 0.3
 TRICKLE_WEIGHT = 0.02
 UNEVEN_LOAD = 1.3
@@ -43,9 +48,9 @@
     site : OverloadSite
         The site after the run.
     tally : Tally
-        What became of the requests.
+        Outcomes of the requests.
     callers : Callers
-        Who offered them.
+        The callers that sent them.
     """
 
     site: OverloadSite
@@ -61,7 +66,7 @@
     deployment : Deployment
         The sizes.
     seed : int
-        Of all random numbers.
+        Seed of all random numbers.
     options : Options
         `seconds` is the measured time of each load; 0.8 by default.
 
@@ -113,16 +118,16 @@
     deployment : Deployment
         The sizes.
     seed : int
-        Of all random numbers.
+        Seed of all random numbers.
     offers : sequence of Offer
-        What callers offer.
+        The load that callers offer.
     seconds : float
-        Measured time.
+        Measured time, seconds.
     options : SiteOptions
-        What the scenario varies.
+        Options of the site.
     outage : bool
-        True if all databases go down in the warm-up and come back, with no
-        connection left, when the measured time begins.
+        True if all databases go down in the warm-up and come back, without open
+        connections, when the measured time begins.
 
     Returns
     -------
@@ -151,7 +156,7 @@
 def run_thundering_herd(
     deployment: Deployment, seed: int, capacity: float, seconds: float = RETURN_TIME
 ) -> RunResult:
-    """Have all callers of an outage return at once, and try again when refused."""
+    """Run a herd of callers that return at once after an outage and retry."""
     offers = [Offer("a", capacity, storming=True)]
     return run_scenario(deployment, seed, offers, seconds, outage=True)
 
@@ -202,9 +207,9 @@
 def measure_shares(
     deployment: Deployment, seed: int, capacity: float, seconds: float
 ) -> dict:
-    """Compare borrowed with fixed shares when two proxies get most callers.
+    """Compare borrowed with fixed shares when two proxies get most of the load.
 
-    The others get nothing, or a trickle for which each keeps a connection.
+    The other proxies get no load, or a trickle for which each holds a connection.
     """
     return {
         f"{name}_{shares}": describe_shares(
@@ -228,12 +233,12 @@
 
 
 def get_weights(deployment: Deployment, rest: float) -> tuple[float, ...]:
-    """Return the weights of the proxies: two get 1, the others `rest`."""
+    """Return the proxies' load-balancing weights: 1 for two, `rest` for the others."""
     return tuple(1.0 if n < 2 else rest for n in range(deployment.proxies))
 
 
 def describe_shares(result: RunResult) -> dict:
-    """Return the printed figures of a run with an uneven balancer."""
+    """Return the printed figures of a run with an uneven load balancer."""
     site = result.site
     return {
         "goodput_per_s": round(result.tally.get_goodput(), 1),
@@ -244,7 +249,10 @@
 
 
 def compute_recovery(result: RunResult, best: float) -> float | None:
-    """Return after how many seconds a tenth of a second again had 0.9 of the best."""
+    """Return the end of the first 0.1 s interval with 0.9 of the best goodput.
+
+    In seconds from the start of the measured time; None if there is none.
+    """
     step = 0.1
     tally = result.tally
     steps = round((tally.end - tally.start) / step)
@@ -257,22 +265,22 @@
 
 
 def compute_mean(samples: Sequence[float]) -> float | None:
-    """Return the mean of some samples, or None if there are none."""
+    """Return the mean of the samples; None without samples."""
     return round(sum(samples) / len(samples), 4) if samples else None
 
 
 def count_untrue(result: RunResult) -> int:
-    """Return how many requests ran although a refusal said they had not."""
+    """Return the number of refused requests that ran nevertheless."""
     ran = set().union(*(each.ran for each in result.site.all_databases))
     return sum(number in ran for number in result.tally.refused_numbers)
 
 
 def count_over_limit(result: RunResult) -> int:
-    """Return how many databases had more connections than their limit."""
+    """Return the number of databases that exceeded their connection limit."""
     databases = result.site.all_databases
     return sum(each.most_open > each.max_connections for each in databases)
 
 
 def count_violations(result: RunResult) -> int:
-    """Return all violations of a run."""
+    """Return the number of all violations of a run."""
     return count_untrue(result) + count_over_limit(result)
--- a/beryltrack_bench/experiments/quota.py
+++ b/beryltrack_bench/experiments/quota.py
@@ -1,8 +1,8 @@
-"""Limits of accounts: three ways to hold them, in simulated time.
+"""`quota`: three ways to enforce the rate limits of accounts, in simulated time.
 
-For each way: the part of operations within an account's limit that was refused (in a
-calm fleet, a split one, and after an owner was lost without a sign), the most that an
-account ran in a window by what it may, and messages a second.
+For each way: the share of operations within an account's limit that was refused (in a
+healthy fleet, a partitioned one, and after the silent loss of an owner), the maximum
+rate of an account in a window relative to its limit, and messages per second.
 """
 
 from beryltrack_bench.deployment import Deployment
@@ -15,7 +15,7 @@
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
-    """Play each way at each size; the standing one must hold all limits."""
+    """Run each way at each size; the product's (`lent`) must hold all limits."""
     sizes = (options.nodes,) if options.nodes else SIZES
     figures = {
         str(count): {name: _show(run_way(name, count, seed)) for name in WAYS}
@@ -30,7 +30,7 @@
 
 
 def _show(figures: Figures) -> dict:
-    """Return the printed form of a way's figures."""
+    """Return the printed figures of one way."""
     refused = {
         phase.name: round(phase.refused / max(1, phase.asked), 4)
         for phase in figures.phases
--- a/beryltrack_bench/experiments/steady.py
+++ b/beryltrack_bench/experiments/steady.py
@@ -1,9 +1,9 @@
-"""`steady`: the share of reads that replicas serve, against an oracle.
+"""`steady`: the share of reads that replicas serve, compared with an oracle.
 
-The product's `GroupTask` and `choose_target` run under the deployment's
-workload, one group at a time. Beside them stand an oracle that knows every
-position, and two baselines over the same visits: every read to the primary,
-and a session's reads to the primary for a fixed time after its write.
+The product's `GroupTask` and `choose_target` run under the deployment's workload, one
+group at a time. They are compared with an oracle that knows all positions and with two
+baselines over the same visits: all reads at the primary, and a session's reads at
+the primary for a fixed time after its write (sticky).
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
 from beryltrack_bench.steady.site import RunSettings, SteadySite
 
 DEFAULT_SECONDS = 12.0
-"""Length of the run of one group."""
+"""Length of the run of one group, seconds."""
 
 STICKY_PERCENTILE = 0.999
 _MICROSECONDS = 1e6
@@ -68,7 +68,7 @@
     Returns
     -------
     dict
-        The figures. Latencies are those that callers see, milliseconds.
+        The figures. Latencies are those of callers, in milliseconds.
     """
     product = _run_groups(deployment, seed, options, ProductRouter(policy))
     primary = _run_groups(deployment, seed, options, PrimaryRouter())
@@ -99,7 +99,7 @@
 def _run_groups(
     deployment: Deployment, seed: int, options: Options, router: Router
 ) -> Outcome:
-    """Run each group by itself with one router."""
+    """Run each group separately with one router."""
     seconds = options.seconds or DEFAULT_SECONDS
     groups = deployment.groups[: options.runs or None]
     return Outcome(
@@ -111,14 +111,14 @@
 
 
 def _compute_share(outcome: Outcome) -> float:
-    """Return the share of the reads that replicas served; refusals count too."""
+    """Return the share of all reads, refused ones included, served by replicas."""
     reads = [read for record in outcome.records for read in record.reads]
     refused = sum(len(record.refused) for record in outcome.records)
     return round(sum(read.is_replica for read in reads) / (len(reads) + refused), 4)
 
 
 def _compute_ceiling(outcome: Outcome, oracles: list[Oracle], wait: float) -> float:
-    """Return the oracle's share over all groups, each by its number of reads."""
+    """Return the oracle's share over all groups, weighted by their reads."""
     counts = [len(record.reads) for record in outcome.records]
     shares = [oracle.compute_ceiling(wait) for oracle in oracles]
     served = sum(share * count for share, count in zip(shares, counts, strict=True))
@@ -126,13 +126,13 @@
 
 
 def _compute_window(outcome: Outcome) -> float:
-    """Return the time after which a write is applied, at the sticky percentile."""
+    """Return the `STICKY_PERCENTILE` of the time until a write is applied, seconds."""
     lags = sorted(lag for record in outcome.records for lag in record.lags)
     return lags[ceil(STICKY_PERCENTILE * len(lags)) - 1]
 
 
 def _compute_latency(outcome: Outcome) -> dict[str, float]:
-    """Return percentiles of the time that callers waited for reads."""
+    """Return percentiles of the callers' read latency, milliseconds."""
     histogram = HdrHistogram(1, _MAX_RECORDED_US, _DIGITS)
     for record in outcome.records:
         for read in record.reads:
--- a/beryltrack_bench/experiments/wire.py
+++ b/beryltrack_bench/experiments/wire.py
@@ -1,9 +1,9 @@
-"""Cost of the protocol on both sides of the proxy, without sockets.
+"""`wire`: the cost of the protocol on both sides of the proxy, without sockets.
 
-A caller's connection and a target's connection are joined by a handler that
-decides nothing, and fed with bytes made beforehand. What remains is the work
-of this package between the two sockets: microseconds by the processor's clock,
-and calls of functions, which are the same in each run.
+A caller's connection and a target's connection are joined by a handler without any
+decisions and fed with prepared bytes. The figures are the cost of this package's code
+between the two sockets: microseconds of processor time, and the number of function
+calls, which is the same in each run.
 """
 
 import sys
@@ -48,14 +48,14 @@
 
 
 class Exchange(NamedTuple):
-    """What a caller sends and what a target answers.
+    """A caller's request and the target's answer.
 
     Parameters
     ----------
     request : bytes
-        One unit of the caller.
+        One protocol unit of the caller.
     answer : bytes
-        The target's whole answer.
+        The target's complete answer.
     """
 
     request: bytes
@@ -63,10 +63,10 @@
 
 
 class MemoryTransport(StringTransport):
-    """A transport that drops what is written to it."""
+    """A transport that discards written bytes."""
 
     def write(self, data: bytes) -> None:
-        """Drop bytes."""
+        """Discard bytes."""
 
     def pauseProducing(self) -> None:  # noqa: N802
         """Do nothing."""
@@ -82,10 +82,10 @@
         self._target = target
 
     def check_session(self, caller) -> None:
-        """Let each caller in."""
+        """Accept each caller."""
 
     def drop_session(self, caller) -> None:
-        """Keep nothing."""
+        """Do nothing: there is no state to drop."""
 
     def handle(self, unit, caller) -> Deferred:
         """Run a unit."""
@@ -122,7 +122,7 @@
         self.caller.dataReceived(start.to_wire())
 
     def run(self, exchange: Exchange, number: int) -> None:
-        """Run one exchange so many times."""
+        """Run one exchange a number of times."""
         for _ in repeat(None, number):
             self.caller.dataReceived(exchange.request)
             self.target.dataReceived(exchange.answer)
@@ -134,7 +134,7 @@
 
 
 def make_exchanges() -> dict[str, Exchange]:
-    """Return the exchanges to measure, by name."""
+    """Return the measured exchanges by name."""
     row = (m.RowDescription([_FIELD]), _ROW)
     parse = m.Parse("", _TEXT, [_TEXT_TYPE])
     return {
@@ -161,7 +161,7 @@
 
 
 def measure_time(exchange: Exchange, number: int) -> float:
-    """Return the processor's microseconds for one exchange."""
+    """Return the processor time of one exchange, microseconds."""
     path = make_path()
     path.run(exchange, number // 10)
     started = time.process_time()
@@ -170,7 +170,7 @@
 
 
 def count_calls(exchange: Exchange, number: int = COUNTED) -> float:
-    """Return how many functions are called for one exchange."""
+    """Return the number of function calls for one exchange."""
     path = make_path()
     path.run(exchange, number)
     calls = count()
@@ -188,7 +188,7 @@
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
-    """Measure each exchange; the deployment and the seed do not matter."""
+    """Measure each exchange; the deployment and the seed are not used."""
     number = options.runs or STATEMENTS
     exchanges = make_exchanges()
     numbers = {name: number for name in exchanges} | {"rows": max(1, number // 100)}
--- a/beryltrack_bench/limits/site.py
+++ b/beryltrack_bench/limits/site.py
@@ -1,7 +1,7 @@
 """One database, its owners' gates and their callers, in simulated time.
 
-The deciders are the product's; there are no sockets, no transactions and no connections
-that have to be opened, and who is refused does not come back.
+The deciders are the product's. There are no sockets, no transactions and no connections
+to open, and callers do not retry refused operations.
 """
 
 import heapq
@@ -18,38 +18,39 @@
 
 SLOTS = 4
 QUEUE = 32
-"""Statements that the database lets wait for a slot."""
+"""Maximum number of statements that wait for a slot at the database."""
 
 STATEMENT_TIMES = (0.004, 0.008, 0.04)
-"""Seconds that statements of each kind take; 231 a second fill the slots."""
+"""Seconds per statement of each kind; 231 statements per second fill the slots."""
 
 REFUSAL_TIME = 0.002
-"""Seconds until a full database says so."""
+"""Seconds until a full database refuses a statement."""
 
 ACCOUNTS = 20
 PRIORITY_WEIGHTS = (2, 3, 3, 2)
-"""How many operations have each priority, in proportion."""
+"""Relative number of operations of each priority."""
 
 TARGET_LATENCIES = (0.15, 0.25, 0.4, 0.6)
 DEADLINES = (0.6, 1.0, 2.0, 4.0)
 """Target latency and deadline by priority, seconds."""
 
 TICK = 0.05
+"""Interval of the gates' timers, seconds."""
 
 
 class Load(NamedTuple):
-    """What callers ask for.
+    """The load that callers offer.
 
     Parameters
     ----------
     rate : float
-        Operations a second.
+        Operations per second.
     owner_weights : tuple of float
-        Proportions in which they come to the owners.
+        Relative share of the operations of each owner.
     slow_from, slow_until : float
-        When the database is slower, seconds.
+        Interval in which the database is slower, seconds.
     slowdown_factor : float
-        Factor on the times of its statements then.
+        Factor on its statements' times in this interval.
     """
 
     rate: float
@@ -60,14 +61,14 @@
 
 
 class OperationCounts:
-    """What became of the operations of one priority."""
+    """Counts of one priority's operations by outcome."""
 
     def __init__(self):
         self.offered = self.in_time = self.late = self.refused = 0
 
 
 class _Operation(NamedTuple):
-    """One operation on its way."""
+    """An operation in progress, with its time of latest completion (seconds)."""
 
     owner: int
     priority: int
@@ -75,18 +76,18 @@
 
 
 class Site:
-    """Owners before one database.
+    """Owners of one database.
 
     Parameters
     ----------
     policy : LoadPolicy
-        Steers the gates.
+        Policy of the gates.
     connections : int
         Connections of each owner.
     load : Load
-        What callers ask for.
+        The load that callers offer.
     seed : int
-        Of all that is drawn.
+        Seed of all random numbers.
     """
 
     def __init__(self, policy: LoadPolicy, connections: int, load: Load, seed: int):
@@ -112,7 +113,7 @@
         self._order = count()
 
     def run(self, seconds: float) -> None:
-        """Let callers come for some seconds, and serve all."""
+        """Run arrivals for some seconds and serve all operations to their end."""
         self._call(0.0, lambda: self._arrive(seconds))
         self._call(0.0, lambda: self._tick(seconds + max(DEADLINES)))
         while self._due:
@@ -123,7 +124,7 @@
         heapq.heappush(self._due, (self.now + delay, next(self._order), callback))
 
     def _arrive(self, until: float) -> None:
-        """Let one operation come, and the next one later."""
+        """Submit one operation to a gate and schedule the next arrival."""
         gap = self._rng.expovariate(self._load.rate)
         if self.now + gap < until:
             self._call(gap, lambda: self._arrive(until))
@@ -139,14 +140,14 @@
         self._apply_actions(self._gates[owner].submit(number, demand, self.now))
 
     def _tick(self, until: float) -> None:
-        """Call the gates' timers."""
+        """Run the gates' timers and schedule the next tick."""
         for gate in self._gates:
             self._apply_actions(gate.tick(self.now))
         if self.now < until:
             self._call(TICK, lambda: self._tick(until))
 
     def _apply_actions(self, actions: list[GateAction]) -> None:
-        """Carry out what a gate decided."""
+        """Apply a gate's actions: send or refuse operations."""
         for action in actions:
             if isinstance(action, Run):
                 self._send(action.operation)
@@ -155,7 +156,7 @@
                 self.served[operation.priority].refused += 1
 
     def _send(self, number: int) -> None:
-        """Send a statement to the database."""
+        """Send a statement to the database: run, queue or refuse it there."""
         self._sent[number] = self.now
         if self._running < SLOTS:
             self._start(number)
@@ -178,14 +179,14 @@
         self._call(seconds, lambda: self._finish(number))
 
     def _finish(self, number: int) -> None:
-        """End a statement, and run the next one that waits at the database."""
+        """End a statement and start the next one in the database's queue."""
         self._running -= 1
         if self._queue:
             self._start(self._queue.popleft())
         self._end(number, Outcome.ANSWERED)
 
     def _end(self, number: int, outcome: Outcome) -> None:
-        """Tell the owner how a statement ended."""
+        """Count a statement's outcome and report it to the owner's gate."""
         operation = self._operations.pop(number)
         served = self.served[operation.priority]
         seconds = self.now - self._sent.pop(number)
--- a/beryltrack_bench/roaming/__init__.py
+++ b/beryltrack_bench/roaming/__init__.py
@@ -1,1 +1,1 @@
-"""A psycopg program that roams between proxies under faults and checks all answers."""
+"""psycopg sessions that switch between proxies under faults and check all answers."""
--- a/beryltrack_bench/roaming/audit.py
+++ b/beryltrack_bench/roaming/audit.py
@@ -1,4 +1,4 @@
-"""The count in the databases after a run: nothing lost, nothing doubled."""
+"""Verifies the rows in the databases after a run: none lost, none duplicated."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,23 +18,23 @@
 def count_effects(
     site: ReadyLine, login: Login, run: str, records: Records
 ) -> list[Violation]:
-    """Compare what the sessions were told with what each database holds.
+    """Compare the outcomes reported to the sessions with each database's rows.
 
     Parameters
     ----------
     site : ReadyLine
         The local site, with all faults ended.
     login : Login
-        Whom to log on as.
+        User and database of the connections.
     run : str
         The prefix of all keys of this run.
     records : Records
-        What the sessions were told.
+        The outcomes reported to the sessions.
 
     Returns
     -------
     list of Violation
-        What was lost, doubled, torn or run against a refusal.
+        Lost, duplicated or partial writes, and writes that ran despite a refusal.
     """
     if not wait_for_agreement(site, _AGREEMENT_TIMEOUT):
         return [Violation("unexpected error", "the databases do not agree in the end")]
@@ -71,7 +71,7 @@
 
 
 def check_counts(effects: list[Effect], rows: Counter[str]) -> Iterator[Violation]:
-    """Compare the outcomes that were told with the rows that are there.
+    """Compare reported outcomes with the existing rows.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
     Yields
     ------
     Violation
-        One for each key that does not fit.
+        One for each key whose rows contradict its outcome.
     """
     known = {effect.key for effect in effects}
     for effect in effects:
--- a/beryltrack_bench/roaming/faults.py
+++ b/beryltrack_bench/roaming/faults.py
@@ -1,4 +1,4 @@
-"""Faults put in force one after the other while the sessions work."""
+"""Faults injected one after the other while the sessions work."""
 
 import random
 import time
@@ -12,29 +12,30 @@
 )
 from beryltrack_bench.roaming.records import Records
 
-# Each way to lose the primary, with the fault that brings it back.
+# Each fault that loses the primary, with the one that ends it.
 PRIMARY_FAULTS = (("stop", "start"), ("isolate", "heal"), ("freeze", "thaw"))
 HAND_OVER = "leave"
 _PLATFORM_FAULTS = (None, ("down", None), ("slow", 0.3), ("lose_answers", 5))
+# Times in seconds.
 _LAG = 0.5
 _TIMEOUT = 20.0
 _PAUSE = 0.4
 
 
 class FaultRecord(NamedTuple):
-    """One fault and how the site got over it.
+    """One fault and the recovery from it.
 
     Parameters
     ----------
     fault : str
         The fault of the primary.
     platform : str
-        The platform's fault at the time; empty for none.
+        The platform's fault at that time; empty for none.
     gap : float or None
-        Seconds from the fault until a write that began after it was
-        acknowledged; None if none was in time.
+        Seconds from the fault until the acknowledgement of a write that began
+        after it; None if there was none in time.
     replaced : bool
-        True if another primary took over in time.
+        True if there was a primary of a later term in time.
     """
 
     fault: str
@@ -56,16 +57,16 @@
 def run_faults(
     site: ReadyLine, records: Records, rounds: int, rng: random.Random
 ) -> list[FaultRecord]:
-    """Lose the primary again and again, each time in the next of all ways.
+    """Lose the primary repeatedly, with each kind of fault in turn.
 
     Parameters
     ----------
     site : ReadyLine
         The local site.
     records : Records
-        Tells when writes succeed again.
+        Reports when writes succeed again.
     rounds : int
-        How often to lose the primary.
+        Number of faults of the primary.
     rng : random.Random
         Source of pauses and of the platform's faults.
 
@@ -86,7 +87,7 @@
 def _run_round(
     site: ReadyLine, records: Records, fault: str, end: str, rng: random.Random
 ) -> FaultRecord:
-    """Lose the primary once, wait until writes succeed, and bring it back."""
+    """Lose the primary once, wait until writes succeed, and end the fault."""
     platform_fault = rng.choice(_PLATFORM_FAULTS)
     if platform_fault is not None:
         set_fault(site, PLATFORM, *platform_fault)
@@ -99,8 +100,8 @@
     set_fault(site, primary.name, fault)
     written_at = records.wait_for_write(lost_at, _TIMEOUT)
     replaced = wait_for_primary(site, primary.term, _TIMEOUT) is not None
-    # A planned hand-over lets writes go on at the old primary first, so the
-    # gap of a hand-over is the wait of the first write only.
+    # In a planned hand-over the old primary accepts writes at first, so its gap is
+    # only the latency of the first write.
     time.sleep(_PAUSE)
     set_fault(site, primary.name, end, False if end == HAND_OVER else None)
     set_fault(site, lagging, "lag", 0.0)
--- a/beryltrack_bench/roaming/local_site.py
+++ b/beryltrack_bench/roaming/local_site.py
@@ -1,4 +1,4 @@
-"""The running local site as a client sees it: its ready line and its controls."""
+"""Client of a running local site: its ready line and its control endpoint."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 
 
 class ReadyLine(NamedTuple):
-    """What a local site prints when it is ready.
+    """The line that a local site prints when it is ready.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
 
 
 class DatabaseState(NamedTuple):
-    """What the control endpoint tells of one database.
+    """State of one database as reported by the control endpoint.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
     received, applied : str
         Its positions, ``TERM/OFFSET``.
     peak_connections : int
-        The most connections that were open at once.
+        The maximum number of connections open at once.
     """
 
     name: str
@@ -56,21 +56,21 @@
 
 
 def parse_ready_line(text: str, source: str) -> tuple[ReadyLine | None, list[Finding]]:
-    """Read the ready line of a local site.
+    """Parse the ready line of a local site.
 
     Parameters
     ----------
     text : str
         The line.
     source : str
-        Where it came from, for findings.
+        Name of its source, used in findings.
 
     Returns
     -------
     ready : ReadyLine or None
         The addresses; None if there are findings.
     findings : list of Finding
-        What is missing or malformed.
+        Missing or malformed fields.
     """
     try:
         body = json.loads(text)
@@ -90,7 +90,7 @@
 
 
 def set_fault(site: ReadyLine, target: str, fault: str, value: object = None) -> None:
-    """Put a fault in force; raises OSError if the control endpoint refuses it."""
+    """Inject a fault; raise OSError if the control endpoint refuses it."""
     body = json.dumps({"target": target, "fault": fault, "value": value}).encode()
     request = urllib.request.Request(f"{site.control}/faults", body, method="POST")
     with urllib.request.urlopen(request, timeout=_HTTP_TIMEOUT):
@@ -116,7 +116,7 @@
 
 
 def find_primary(site: ReadyLine) -> DatabaseState | None:
-    """Return the primary of the highest term; None while there is none."""
+    """Return the primary of the highest term; None if there is none."""
     states = get_states(site)
     primaries = (state for state in states if state.role == "primary")
     return max(primaries, key=lambda state: state.term, default=None)
@@ -125,7 +125,7 @@
 def wait_for_primary(
     site: ReadyLine, after_term: int, timeout: float
 ) -> DatabaseState | None:
-    """Wait for a primary of a later term; return None if none came in time."""
+    """Wait for a primary of a later term; return None after the timeout."""
     found = None
 
     def is_found() -> bool:
@@ -142,13 +142,13 @@
 
 
 def _is_agreed(states: tuple[DatabaseState, ...]) -> bool:
-    """Return whether all databases stand at one position."""
+    """Return whether all databases have received and applied the same position."""
     positions = {state.received for state in states}
     return len(positions | {state.applied for state in states}) == 1
 
 
 def _poll(condition, timeout: float) -> bool:
-    """Poll a condition until it holds; return False if it does not in time."""
+    """Poll a condition until it holds; return False after the timeout."""
     deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
--- a/beryltrack_bench/roaming/records.py
+++ b/beryltrack_bench/roaming/records.py
@@ -1,4 +1,4 @@
-"""What each session did and was told, and what was found wrong on the way."""
+"""Records of the sessions' requests, their outcomes and violations."""
 
 import enum
 import itertools
@@ -14,7 +14,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller knows of a request after its answer, or without one."""
+    """What a caller knows of a request's execution, with or without an answer."""
 
     ACKNOWLEDGED = "acknowledged"
     NOT_RUN = "not run"
@@ -24,18 +24,18 @@
 
 
 class Effect(NamedTuple):
-    """One write, and what the caller knows of it in the end.
+    """One write and its final outcome.
 
     Parameters
     ----------
     key : str
         The key of the row that it writes.
     outcome : Outcome
-        What the caller knows.
+        Its outcome as known to the caller.
     started_at : float
-        When the last try began, seconds of the monotonic clock.
+        Start of the last attempt, seconds of the monotonic clock.
     ended_at : float
-        When its answer came.
+        End of the last attempt, seconds of the monotonic clock.
     """
 
     key: str
@@ -45,18 +45,18 @@
 
 
 class Duration(NamedTuple):
-    """How long one try of a request took.
+    """Duration of one attempt of a request.
 
     Parameters
     ----------
     seconds : float
-        The time from drawing a proxy to its answer.
+        Time from the choice of a proxy to its answer, seconds.
     action : str
-        What was asked.
+        Name of the action.
     outcome : str
-        What the caller knew then.
+        Outcome of the attempt.
     started_at : float
-        When it began, seconds of the monotonic clock.
+        Its start, seconds of the monotonic clock.
     """
 
     seconds: float
@@ -66,7 +66,7 @@
 
 
 class Violation(NamedTuple):
-    """A promise that did not hold.
+    """A violated guarantee.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
         ``stale``, ``lost``, ``doubled``, ``untrue refusal``, ``mixed``,
         ``torn transaction`` or ``unexpected error``.
     text : str
-        What was seen.
+        What was observed.
     """
 
     promise: str
@@ -82,7 +82,7 @@
 
 
 class Records:
-    """Everything that the sessions note; safe to use from all their threads."""
+    """Records of all sessions; safe for use from all their threads."""
 
     def __init__(self):
         self.counts: Counter[str] = Counter()
@@ -99,30 +99,30 @@
             self.counts[name] += 1
 
     def report(self, promise: str, text: str) -> None:
-        """Note a promise that did not hold."""
+        """Record a violated guarantee."""
         with self._changed:
             self.violations.append(Violation(promise, text))
 
     def record_acknowledged(self, effect: Effect) -> None:
-        """Note the time of an acknowledged write, for the failover gap."""
+        """Record an acknowledged write, for the failover gap."""
         with self._changed:
             self._acknowledged.append(effect)
             self._changed.notify_all()
 
     def wait_for_write(self, after: float, timeout: float) -> float | None:
-        """Wait for a write that began after a time and was acknowledged.
+        """Wait for an acknowledged write that began after a time.
 
         Parameters
         ----------
         after : float
             A time of the monotonic clock, seconds.
         timeout : float
-            The longest wait, seconds.
+            Maximum wait, seconds.
 
         Returns
         -------
         float or None
-            When the first such write was acknowledged; None if none was.
+            Time of the first such acknowledgement; None after the timeout.
         """
         with self._changed:
             found = self._changed.wait_for(
@@ -140,12 +140,12 @@
 
 
 def classify_error(error: psycopg.Error, is_sent: bool) -> Outcome:
-    """Return what an error tells of the request.
+    """Return the outcome of a request that an error reports.
 
     Parameters
     ----------
     error : psycopg.Error
-        The error; without a SQLSTATE the connection was lost.
+        The error; without an SQLSTATE the connection was lost.
     is_sent : bool
         False if the connection failed before the request was sent.
     """
--- a/beryltrack_bench/roaming/session.py
+++ b/beryltrack_bench/roaming/session.py
@@ -1,7 +1,7 @@
-"""One session that roams: each request goes through a proxy drawn at random.
+"""A session that sends each request through a proxy drawn at random.
 
-The session carries its token from answer to request, as an application behind a
-balancer does, and checks each answer against what it knows to be acknowledged.
+The session passes its token from each answer to the next request, as an application
+behind a load balancer does, and checks each answer against its acknowledged writes.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 
 class Login(NamedTuple):
-    """Whom the sessions log on as.
+    """User and database of the sessions' connections.
 
     Parameters
     ----------
@@ -50,12 +50,12 @@
 
 
 class RequestOption(NamedTuple):
-    """A setting of the session that marks a request.
+    """A session setting that carries a request option.
 
     Parameters
     ----------
     name, value : str
-        The setting.
+        Name and value of the setting.
     """
 
     name: str
@@ -63,14 +63,14 @@
 
 
 class Result(NamedTuple):
-    """What came of one try of a request.
+    """Result of one attempt of a request.
 
     Parameters
     ----------
     outcome : Outcome
-        What the caller knows.
+        Its outcome as known to the caller.
     answer : object
-        What the work returned; None if it failed.
+        The return value of the work; None if it failed.
     """
 
     outcome: Outcome
@@ -94,7 +94,7 @@
         self._end = end
 
     def run(self, connection: psycopg.Connection) -> int:
-        """Run it and return how many of its own rows it saw."""
+        """Run the transaction; return how many of its own rows it read."""
         connection.execute("BEGIN")
         for table in ("roam_left", "roam_right"):
             connection.execute(f"INSERT INTO {table} VALUES (%s)", (self.key,))
@@ -115,11 +115,11 @@
     proxies : tuple of str
         Addresses of the proxies.
     login : Login
-        Whom to log on as.
+        User and database of the connections.
     records : Records
-        Takes what is done and found.
+        Collects requests, outcomes and violations.
     rng : random.Random
-        Source of choices.
+        Source of random choices.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
         self._unknown: set[int] = set()
 
     def begin(self) -> bool:
-        """Write the session's row; return False if that never succeeded."""
+        """Insert the session's row; return whether that was acknowledged."""
         query = "INSERT INTO roam_register (session, value) VALUES (%s, 0)"
         effect = self._write_at_most_once(
             query, (self.name,), f"{self.name}-begin", False
@@ -172,7 +172,7 @@
             self._drop(proxy)
 
     def _write_register(self) -> None:
-        """Raise the number in the session's row; a lower one never replaces it."""
+        """Increase the value in the session's row; a lower one never replaces it."""
         self._value += 1
         value = self._value
         query = "UPDATE roam_register SET value = %s WHERE session = %s AND value < %s"
@@ -186,7 +186,7 @@
             self._unknown.add(value)
 
     def _read_register(self) -> None:
-        """Read the session's row, and check that it shows the last write."""
+        """Read the session's row and check that it shows the last write."""
         query = "SELECT session, value FROM roam_register WHERE session = %s"
         result = self._ask(
             lambda connection: connection.execute(query, (self.name,)).fetchall()
@@ -195,7 +195,7 @@
             self._check_register(result.answer)
 
     def _read_register_without_token(self) -> None:
-        """Read as a session that lost its token: that must not read less."""
+        """Read without the session token; the read must not be staler."""
         token, self._token = self._token, ""
         for proxy in [*self._connections]:
             self._drop(proxy)
@@ -203,7 +203,7 @@
         self._token = token
 
     def _check_register(self, rows: list[tuple[str, int]]) -> None:
-        """Check what was read of the session's row."""
+        """Check a read of the session's row against its acknowledged writes."""
         if [row[0] for row in rows] != [self.name]:
             return self._records.report("mixed", f"{self.name} read {rows}")
         value = rows[0][1]
@@ -215,7 +215,7 @@
             self._records.report("untrue refusal", text)
 
     def _write_effect(self) -> None:
-        """Write one row at most once, repeated while its outcome is unknown."""
+        """Write one row with an at-most-once request and record its outcome."""
         self._requests += 1
         key = f"{self.name}-{self._requests}"
         query = "INSERT INTO roam_effects (request_id, session) VALUES (%s, %s)"
@@ -226,8 +226,8 @@
     def _write_at_most_once(
         self, query: str, parameters: tuple[str, ...], key: str, may_give_up: bool
     ) -> Effect:
-        """Send a marked write until its outcome is known."""
-        # Half of the requests carry their marks in settings, half in a tag.
+        """Repeat an at-most-once write until its outcome is known."""
+        # Half of the requests carry their options in settings, half in a comment tag.
         settings = _make_option_settings(key) if self._rng.random() < 0.5 else ()
         text = query if settings else f"{query} {_make_option_tag(key)}"
         outcome = Outcome.NOT_RUN
@@ -246,7 +246,7 @@
         return Effect(key, outcome, started_at, time.monotonic())
 
     def _write_pair(self) -> None:
-        """Write two rows in one transaction, which must last or vanish together."""
+        """Write two rows in one transaction, which must be atomic."""
         self._requests += 1
         pair = PairTransaction(
             f"{self.name}-{self._requests}",
@@ -267,7 +267,7 @@
         self._records.pairs.append(effect)
 
     def _read_own_question(self) -> None:
-        """Read back something that only this request asks."""
+        """Read back a random value that is unique to this request."""
         question = f"{self.name}-{self._rng.getrandbits(64)}"
         result = self._ask(
             lambda connection: connection.execute(
@@ -279,7 +279,7 @@
             self._records.report("mixed", f"{question} was answered {result.answer}")
 
     def _read_large_result(self) -> None:
-        """Read many rows, and check that none is missing."""
+        """Read many rows and check that none is missing."""
         query = "SELECT g, repeat('x', 500) FROM generate_series(1, %s) AS g"
         result = self._ask(
             lambda connection: connection.execute(query, (LARGE_ROWS,)).fetchall()
@@ -291,12 +291,12 @@
             self._records.report("mixed", text)
 
     def _record_write(self, key: str, started_at: float) -> None:
-        """Note an acknowledged write."""
+        """Record an acknowledged write."""
         effect = Effect(key, Outcome.ACKNOWLEDGED, started_at, time.monotonic())
         self._records.record_acknowledged(effect)
 
     def _ask(self, work: Work, settings: Sequence[RequestOption] = ()) -> Result:
-        """Do some work through a proxy drawn at random, and note how long it took."""
+        """Do some work through a proxy drawn at random and record its duration."""
         started_at = time.monotonic()
         result = self._send_once(work, settings)
         seconds = time.monotonic() - started_at
@@ -306,7 +306,7 @@
         return result
 
     def _send_once(self, work: Work, settings: Sequence[RequestOption]) -> Result:
-        """Do some work through a proxy drawn at random; keep the token it gives."""
+        """Do some work through a proxy drawn at random; keep the answer's token."""
         proxy = self._rng.choice(self._proxies)
         is_sent = False
         try:
@@ -328,7 +328,7 @@
         connection: psycopg.Connection,
         settings: Sequence[RequestOption],
     ) -> None:
-        """Take back marks, and now and then go on with a new connection."""
+        """Reset the request options and drop the connection at random."""
         try:
             for setting in settings:
                 connection.execute(f"RESET {setting.name}")
@@ -338,7 +338,7 @@
             self._drop(proxy)
 
     def _handle_error(self, proxy: str, error: psycopg.Error, is_sent: bool) -> Result:
-        """Note a failed request."""
+        """Record a failed request and close its connection."""
         self._drop(proxy)
         outcome = classify_error(error, is_sent)
         self._records.count(f"{outcome.value} {error.sqlstate}")
@@ -347,7 +347,7 @@
         return Result(outcome, None)
 
     def _connect(self, proxy: str) -> psycopg.Connection:
-        """Return a connection to a proxy that knows the session's token."""
+        """Return a connection to a proxy with the session's token set."""
         connection = self._connections.get(proxy)
         if connection is not None:
             if self._token:
@@ -376,7 +376,7 @@
 
 
 def _make_option_settings(key: str) -> tuple[RequestOption, ...]:
-    """Return the settings that mark a request to run at most once."""
+    """Return the settings of a request that runs at most once."""
     return (
         RequestOption("beryltrack.request_id", key),
         RequestOption("beryltrack.idempotent", "off"),
@@ -384,14 +384,14 @@
 
 
 def _make_option_tag(key: str) -> str:
-    """Return the comment that marks a request to run at most once."""
+    """Return the SQL comment tag of a request that runs at most once."""
     return f"/*beryltrack_request_id='{key}',beryltrack_idempotent='off'*/"
 
 
 def _combine(before: Outcome, latest: Outcome) -> Outcome:
-    """Return what is known after one more try of the same request.
+    """Return the outcome of a request after one more attempt.
 
-    An answer speaks of its own try only: once a try may have run, only an
+    An answer reports only its own attempt: once an attempt may have run, only an
     acknowledgement settles the request.
     """
     if latest is Outcome.ACKNOWLEDGED or before in (
