--- a/beryltrack_bench/cost/control.py
+++ b/beryltrack_bench/cost/control.py
@@ -15,10 +15,11 @@
 from beryltrack_bench.fleet.fleet import Fleet
 from beryltrack_standins.site import LocalSite, SiteOptions
 
+# Times in seconds.
 JOIN_TIMEOUT = 20.0
 SETTLE_TIME = 1.0
 FIRST_SETTLE_TIME = 2.2
-# Seconds to wait: surplus links of a grown fleet are closed after three seconds.
+# Surplus links of a grown fleet are closed after three seconds.
 PRUNING_TIME = 3.2
 # Up to this fleet size each node keeps links to all others.
 MAX_FULL_MESH_NODES = 4
--- a/beryltrack_bench/cost/data_path.py
+++ b/beryltrack_bench/cost/data_path.py
@@ -16,6 +16,8 @@
 from beryltrack.settings.messages import Endpoint
 
 CONNECT_TIMEOUT = 10.0
+"""Timeout of a new connection, seconds."""
+
 READ = "SELECT note FROM cost WHERE id = 1"
 WRITE = "UPDATE cost SET note = 'b' WHERE id = 1"
 SETUP = (
--- a/beryltrack_bench/cost/gates.py
+++ b/beryltrack_bench/cost/gates.py
@@ -12,7 +12,7 @@
 from beryltrack.load.policy import LoadPolicy
 
 SIZES = (8, 74, 195, 520)
-"""Instances of the users' fleets, and of the largest fleet to design for."""
+"""Instances of the users' fleets, and of the fleet size to design for."""
 
 ACCOUNTS_PER_INSTANCE = 4
 """Accounts that wait at the owner per instance of the fleet (an assumption)."""
--- a/beryltrack_bench/cost/memory.py
+++ b/beryltrack_bench/cost/memory.py
@@ -12,8 +12,12 @@
 from beryltrack.settings.messages import Endpoint
 
 SETTLE_TIME = 0.5
+"""Seconds to wait after the last connection is opened."""
+
 BATCH = 25
 BATCH_TIME = 0.05
+"""Connections that are opened at once, and seconds until they are connected."""
+
 _PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
--- a/beryltrack_bench/experiments/cost.py
+++ b/beryltrack_bench/experiments/cost.py
@@ -36,6 +36,7 @@
 from beryltrack_standins.database.server import DatabaseOptions
 from beryltrack_standins.site import LocalSite, SiteOptions
 
+# Lengths of measurements in seconds, numbers of clients and nodes.
 LOOP_SECONDS = 0.5
 LOOP_ROUNDS = 1
 CLIENTS = 32
@@ -106,7 +107,7 @@
 
 
 async def measure_proxy(reactor, seconds: float) -> dict:
-    """Measure one proxy before three databases."""
+    """Measure one proxy in front of three databases."""
     database = DatabaseOptions(max_connections=MANY_CONNECTIONS)
     site = LocalSite(reactor, SiteOptions(database=database))
     local = LocalProxies(reactor, site, 1)
--- a/beryltrack_bench/experiments/detection.py
+++ b/beryltrack_bench/experiments/detection.py
@@ -18,12 +18,17 @@
 from beryltrack_bench.losses.site import LossOptions
 from beryltrack_bench.options import Options
 
+# Timeouts (seconds) and standard deviations of the rows.
 FIXED_LIMITS = (0.1, 0.15, 0.2, 0.25, 0.3, 0.5)
 DEVIATIONS = (4.0, 8.0, 12.0, 16.0, 24.0)
 MAX_PAUSE = 0.25
+"""Maximum pause of the primary in the run without a loss, seconds."""
+
 PROXIES = 3
 DEFAULT_RUNS = 2
 DEFAULT_SECONDS = 15.0
+"""Length of the run without a loss, seconds."""
+
 # An accrual detector has to learn before its primary is lost, seconds.
 WARM_UP = 3.0
 
@@ -101,18 +106,18 @@
         run_loss(options, Crash(), Random(rng.getrandbits(64)), WARM_UP)
         for _ in range(runs)
     ]
-    calm = run_without_loss(
+    without_loss = run_without_loss(
         options, Disturbance(MAX_PAUSE), seconds, Random(rng.getrandbits(64))
     )
     gaps = sorted(chain.from_iterable(loss.gaps for loss in losses))
-    results = [*losses, calm]
+    results = [*losses, without_loss]
     return {
         "detector": row.detector,
         "setting": row.setting,
         "gap_p50": round(gaps[len(gaps) // 2], 3) if gaps else None,
         "gap_max": round(gaps[-1], 3) if gaps else None,
-        "needless": calm.needless,
-        "needless_per_hour": round(calm.needless * 3600 / seconds),
+        "needless": without_loss.needless,
+        "needless_per_hour": round(without_loss.needless * 3600 / seconds),
         "needless_in_losses": sum(loss.needless for loss in losses),
         "violations": sum(sum(result.violations.values()) for result in results),
     }
--- a/beryltrack_bench/experiments/failover.py
+++ b/beryltrack_bench/experiments/failover.py
@@ -22,14 +22,19 @@
 from beryltrack_bench.options import Options
 
 DEFAULT_LOST_AFTER = 0.3
+"""The group's setting `lost_after`, seconds."""
+
 DEFAULT_RUNS = 12
 """Losses of each kind."""
 
-DEFAULT_CALM_SECONDS = 15.0
+DEFAULT_NO_LOSS_SECONDS = 15.0
+"""Length of the run without a loss, seconds."""
+
+# Times before the loss, until the old primary comes back, and after that, seconds.
 WARM_UP = 0.6
 RESTORE_AFTER = 1.2
 SETTLE_TIME = 0.6
-# A primary that pauses longer than this may be replaced; see docs/notes/failover.md.
+# Seconds; a primary that pauses longer may be replaced, see docs/notes/failover.md.
 MAX_PAUSE = 0.15
 # One-way delays between the detection and the first acknowledgement; see
 # `compute_floor`.
@@ -108,13 +113,13 @@
         for loss in LOSSES
         for _, store in zip(range(runs), cycle(Store))
     ]
-    calm = run_without_loss(
+    without_loss = run_without_loss(
         LossOptions(deployment, lost_after),
         Disturbance(MAX_PAUSE),
-        options.seconds or DEFAULT_CALM_SECONDS,
+        options.seconds or DEFAULT_NO_LOSS_SECONDS,
         Random(rng.getrandbits(64)),
     )
-    return make_figures(deployment, lost_after, results, calm)
+    return make_figures(deployment, lost_after, results, without_loss)
 
 
 def run_loss(
@@ -197,10 +202,10 @@
     deployment: Deployment,
     lost_after: float,
     results: list[LossResult],
-    calm: LossResult,
+    without_loss: LossResult,
 ) -> dict:
     """Return the printed object."""
-    all_results = [*results, calm]
+    all_results = [*results, without_loss]
     breaches = Counter()
     for result in all_results:
         breaches.update(result.violations)
--- a/beryltrack_bench/experiments/limits.py
+++ b/beryltrack_bench/experiments/limits.py
@@ -10,6 +10,8 @@
 from beryltrack_bench.options import Options
 
 SECONDS = 20.0
+"""Length of a run in simulated time."""
+
 CONNECTIONS = 10
 """Connections of an owner: the minimum that `relay/owners.py` assigns."""
 
--- a/beryltrack_bench/experiments/quota.py
+++ b/beryltrack_bench/experiments/quota.py
@@ -11,7 +11,7 @@
 from beryltrack_bench.quota.ways import WAYS, run_way
 
 SIZES = (8, 67, 195, 520)
-"""Instances of the users' fleets, and of the size to design for."""
+"""Instances of the users' fleets, and of the fleet size to design for."""
 
 
 def run(deployment: Deployment, seed: int, options: Options) -> dict:
--- a/beryltrack_bench/experiments/wire.py
+++ b/beryltrack_bench/experiments/wire.py
@@ -33,6 +33,7 @@
 STATEMENTS = 20_000
 COUNTED = 200
 ROWS = 1000
+"""Timed exchanges, exchanges whose calls are counted, and rows of a large answer."""
 
 _GROUP = GroupSettings("main", "team", (), "proxy", "", 0.0, 1.0)
 _USER = UserSettings("app", "team", "")
--- a/beryltrack_bench/limits/site.py
+++ b/beryltrack_bench/limits/site.py
@@ -17,6 +17,8 @@
 from beryltrack.load.policy import LoadPolicy
 
 SLOTS = 4
+"""Statements that the database runs concurrently."""
+
 QUEUE = 32
 """Maximum number of statements that wait for a slot at the database."""
 
--- a/beryltrack_bench/matrix/procedures.py
+++ b/beryltrack_bench/matrix/procedures.py
@@ -90,7 +90,7 @@
 
 
 async def settings_change(world: World) -> None:
-    """Change the group's settings and wait until they are in force everywhere."""
+    """Change the group's settings and wait until all proxies use them."""
     await change_settings(world, "change", max_age=3.0)
     limit = world.now + PROCEDURE_TIMEOUT
     stored = world.platform.get(SETTINGS_PATH).unwrap()
--- a/beryltrack_bench/roaming/audit.py
+++ b/beryltrack_bench/roaming/audit.py
@@ -11,6 +11,7 @@
 
 # Control connections do not count against a stand-in's connection limit.
 _APPLICATION = "beryltrack-control"
+# Seconds until all databases must have applied the same position.
 _AGREEMENT_TIMEOUT = 20.0
 _ABSENT = (Outcome.NOT_RUN, Outcome.ROLLED_BACK)
 
--- a/beryltrack_bench/roaming/local_site.py
+++ b/beryltrack_bench/roaming/local_site.py
@@ -8,6 +8,7 @@
 from beryltrack.findings import Finding
 
 PLATFORM = "platform"
+# Times in seconds.
 _HTTP_TIMEOUT = 10.0
 _POLL_INTERVAL = 0.01
 
--- a/beryltrack_bench/roaming/session.py
+++ b/beryltrack_bench/roaming/session.py
@@ -24,6 +24,7 @@
 LARGE_ROWS = 600
 COMMIT = "COMMIT"
 ROLLBACK = "ROLLBACK"
+# Times in seconds, shares as probabilities.
 _CONNECT_TIMEOUT = 10
 _COMMIT_SHARE = 0.75
 _NEW_CONNECTION_SHARE = 0.3
