--- a/beryltrack_bench/experiments/detection.py
+++ b/beryltrack_bench/experiments/detection.py
@@ -1,7 +1,7 @@
-"""`detection`: the gap after a loss against the needless failovers, by detector.
+"""`detection`: the failover gap against needless failovers, by detector.
 
-Each row is one detector at one setting. Its gaps come from crashes, its needless
-failovers from a group whose primary pauses now and then, without being lost,
+Each row is one detector with one setting. Its gaps come from crashes of a primary,
+its needless failovers from a group whose primary is never lost but pauses at random
 for up to `MAX_PAUSE` seconds.
 """
 
@@ -18,25 +18,30 @@
 from beryltrack_bench.losses.site import LossOptions
 from beryltrack_bench.options import Options
 
+# Timeouts (seconds) and standard deviations of the rows.
 FIXED_LIMITS = (0.1, 0.15, 0.2, 0.25, 0.3, 0.5)
 DEVIATIONS = (4.0, 8.0, 12.0, 16.0, 24.0)
 MAX_PAUSE = 0.25
+"""Maximum pause of the primary in the run without a loss, seconds."""
+
 PROXIES = 3
 DEFAULT_RUNS = 2
 DEFAULT_SECONDS = 15.0
+"""Length of the run without a loss, seconds."""
+
 # An accrual detector has to learn before its primary is lost, seconds.
 WARM_UP = 3.0
 
 
 class Row(NamedTuple):
-    """A detector at one setting.
+    """A detector with one setting.
 
     Parameters
     ----------
     detector : str
         ``fixed`` or ``accrual``.
     setting : float
-        Seconds of silence, or standard deviations over the mean.
+        Seconds of silence, or standard deviations above the mean.
     """
 
     detector: str
@@ -67,12 +72,12 @@
     seed : int
         Seed of all random numbers, the same for each row.
     options : Options
-        `runs`: crashes for each row. `seconds`: length of its calm run.
+        `runs`: crashes for each row. `seconds`: length of its run without a loss.
 
     Returns
     -------
     dict
-        ``rows``: gaps in seconds, and needless failovers in an hour.
+        ``rows``: gaps in seconds, and needless failovers per hour.
     """
     small = deployment._replace(proxies=PROXIES)
     measure = partial(
@@ -93,7 +98,7 @@
 def measure_row(
     deployment: Deployment, seed: int, runs: int, seconds: float, row: Row
 ) -> dict:
-    """Return the figures of one detector at one setting."""
+    """Return the figures of one detector with one setting."""
     rng = Random(f"{deployment.name}/{seed}")
     lost_after = row.setting if row.detector == "fixed" else 0.3
     options = LossOptions(deployment, lost_after, make_detector=row.make)
@@ -101,18 +106,18 @@
         run_loss(options, Crash(), Random(rng.getrandbits(64)), WARM_UP)
         for _ in range(runs)
     ]
-    calm = run_without_loss(
+    without_loss = run_without_loss(
         options, Disturbance(MAX_PAUSE), seconds, Random(rng.getrandbits(64))
     )
     gaps = sorted(chain.from_iterable(loss.gaps for loss in losses))
-    results = [*losses, calm]
+    results = [*losses, without_loss]
     return {
         "detector": row.detector,
         "setting": row.setting,
         "gap_p50": round(gaps[len(gaps) // 2], 3) if gaps else None,
         "gap_max": round(gaps[-1], 3) if gaps else None,
-        "needless": calm.needless,
-        "needless_per_hour": round(calm.needless * 3600 / seconds),
+        "needless": without_loss.needless,
+        "needless_per_hour": round(without_loss.needless * 3600 / seconds),
         "needless_in_losses": sum(loss.needless for loss in losses),
         "violations": sum(sum(result.violations.values()) for result in results),
     }
