--- a/tests/requests/test_course.py
+++ b/tests/requests/test_flow.py
@@ -159,7 +159,7 @@
 
 
 def test_all_kinds_of_retries_draw_on_one_budget(monkeypatch):
-    monkeypatch.setattr("tests.requests.test_course.DEFAULT_RETRIES", RetryPolicy())
+    monkeypatch.setattr("tests.requests.test_flow.DEFAULT_RETRIES", RetryPolicy())
     lagging = refuse(CANNOT_CONNECT_NOW, 0.3)
     sent, tries = run_through(monkeypatch, "owner", True, lagging)
     assert len(tries) == 1 and sent.count("Try again in 0.30 seconds.") == 1
