--- a/beryltrack/accounts/link.py
+++ b/beryltrack/accounts/link.py
@@ -72,7 +72,7 @@
     Attributes
     ----------
     answered_at : float or None
-        When it last answered, by the node's monotonic clock; None before.
+        When it last answered, by the instance's monotonic clock; None before.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -109,7 +109,7 @@
     shares : QuotaShareLedger
         Holds their loans.
     seconds : callable
-        The node's monotonic clock.
+        The instance's monotonic clock.
     """
 
     noisy = False
@@ -132,7 +132,7 @@
             link.transport.loseConnection()
 
     def accept_offer(self, link: LoanBorrower, frame: OfferFrame) -> float:
-        """Apply an offer; return the time of the answer by the node's clock."""
+        """Apply an offer; return the time of the answer by the instance's clock."""
         now = self._seconds()
         if self._is_leaving:
             link.transport.loseConnection()
--- a/beryltrack/accounts/task.py
+++ b/beryltrack/accounts/task.py
@@ -68,7 +68,7 @@
     get_endpoint : callable
         Returns the endpoint where an instance accepts links, None if it accepts none.
     seconds : callable
-        The node's monotonic clock.
+        The instance's monotonic clock.
     rng : random.Random
         Source of jitter.
     on_owner_lost : callable
--- a/beryltrack/clock.py
+++ b/beryltrack/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic time of a node, in seconds.
+"""The monotonic time of an instance, in seconds.
 
 Ages, timeouts and leases are measured by it, so it must not follow corrections of the
 wall clock, as the reactor's own `seconds` does.
@@ -11,7 +11,7 @@
 
 
 def get_monotonic_clock(reactor: object) -> Callable[[], float]:
-    """Return the function that returns the node's monotonic time in seconds.
+    """Return the function that returns the instance's monotonic time in seconds.
 
     Parameters
     ----------
--- a/beryltrack/connections/budget.py
+++ b/beryltrack/connections/budget.py
@@ -108,11 +108,11 @@
         return self._seats.is_settled
 
     def get_limit(self, key: str, now: float) -> int:
-        """Return the most connections to a database for new requests."""
+        """Return how many connections to a database new requests may use."""
         return self._books[key].get_limit(now)
 
     def get_hard_limit(self, key: str, now: float) -> int:
-        """Return the most connections to a database that may exist."""
+        """Return how many connections to a database may exist."""
         return self._books[key].get_hard_limit(now)
 
     def get_owners(self, group: str) -> tuple[str, ...]:
--- a/beryltrack/connections/budget_messages.py
+++ b/beryltrack/connections/budget_messages.py
@@ -20,7 +20,7 @@
     group : str
         Its group, which determines the seats that own it.
     total : int
-        Most connections over all proxies, control connections included.
+        Maximum number of connections over all proxies, including control connections.
     """
 
     key: str
@@ -36,7 +36,7 @@
     seats : int
         Number of seats in the fleet; the holder of a seat has its shares.
     max_owners : int
-        Most seats among which the connections of one database are divided.
+        Maximum number of seats among which the connections of one database are divided.
     """
 
     seats: int
@@ -209,9 +209,10 @@
     database : str
         The database's key.
     limit : int
-        Most connections for new requests.
+        Maximum number of connections for new requests.
     hard_limit : int
-        Most connections that may exist; a surplus is closed at once, even in use.
+        Maximum number of connections that may exist; a surplus is closed at once,
+        even in use.
     """
 
     database: str
--- a/beryltrack/connections/budget_service.py
+++ b/beryltrack/connections/budget_service.py
@@ -22,7 +22,7 @@
 """Seconds within which seats are released; the longest loan ends within them."""
 
 MAX_OWNERS = 8
-"""Most seats among which a database's connections are divided."""
+"""Maximum number of seats among which a database's connections are divided."""
 
 
 def make_plan(seats: int) -> BudgetPlan:
--- a/beryltrack/connections/exclusive.py
+++ b/beryltrack/connections/exclusive.py
@@ -30,7 +30,7 @@
     limits : SocketLimits
         TCP timeouts after which a silent target counts as lost.
     seconds : callable
-        The node's clock.
+        The instance's clock.
     account : str
         Account to which the connection belongs.
     """
--- a/beryltrack/connections/idle_ranking.py
+++ b/beryltrack/connections/idle_ranking.py
@@ -93,7 +93,7 @@
         policy : PoolPolicy
             Limits and timeouts of the pool.
         limit : int
-            Most connections of the pool.
+            Maximum number of connections of the pool.
         now : float
             The current time, seconds.
         """
--- a/beryltrack/connections/loan_policy.py
+++ b/beryltrack/connections/loan_policy.py
@@ -25,7 +25,7 @@
     first_backoff, max_backoff : float
         Bounds of the exponential back-off after a lender's refusal.
     max_asked_lenders : int
-        Most lenders to ask at the same time.
+        Maximum number of lenders to ask at the same time.
     """
 
     duration: float = 2.0
--- a/beryltrack/connections/loans.py
+++ b/beryltrack/connections/loans.py
@@ -90,12 +90,12 @@
         )
 
     def get_limit(self, now: float) -> int:
-        """Return the most connections for new requests."""
+        """Return the maximum number of connections for new requests."""
         kept = self._usable - self.lent_count - self._lender.promised_count
         return max(0, kept + self._borrower.compute_usable(now))
 
     def get_hard_limit(self, now: float) -> int:
-        """Return the most connections that may exist; it falls as loans expire."""
+        """Return how many connections may exist; this falls as loans expire."""
         return max(0, self._own - self.lent_count + self._borrower.compute_held(now))
 
     def get_wakeup(self, now: float) -> float | None:
--- a/beryltrack/connections/messages.py
+++ b/beryltrack/connections/messages.py
@@ -18,10 +18,10 @@
 class PooledConnection(Protocol):
     """A connection to a target, as pools use it.
 
-    `run_since` is when the request that runs was sent, in seconds of the node's clock;
-    None if none runs. `run_until` is when that request counts as overdue. `via` is the
-    owner through which the connection goes; empty if it is direct. `observer`, if set,
-    is notified of each statement.
+    `run_since` is when the request that runs was sent, in seconds of the instance's
+    clock; None if none runs. `run_until` is when that request counts as overdue. `via`
+    is the owner through which the connection goes; empty if it is direct. `observer`,
+    if set, is notified of each statement.
     """
 
     run_since: float | None
@@ -196,7 +196,7 @@
     Parameters
     ----------
     limit : int
-        Most connections that the pool may have open now.
+        Maximum number of connections that the pool may have open now.
     open : int
         Connections that the target may still count, closing ones included.
     in_use : int
--- a/beryltrack/connections/pool.py
+++ b/beryltrack/connections/pool.py
@@ -66,7 +66,7 @@
     policy : PoolPolicy
         Limits and timeouts.
     limit : int
-        Most connections that it may have open.
+        Maximum number of connections that it may have open.
     rng : random.Random
         For the jitter of back-offs.
     """
@@ -88,7 +88,7 @@
 
     @property
     def limit(self) -> int:
-        """Most connections that the pool may have open."""
+        """Maximum number of connections that the pool may have open."""
         return self._limit
 
     @property
--- a/beryltrack/connections/pool_policy.py
+++ b/beryltrack/connections/pool_policy.py
@@ -9,7 +9,7 @@
     Parameters
     ----------
     queue_limit : int
-        Most requests in the queue.
+        Maximum number of requests in the queue.
     max_wait : float
         Longest expected wait for other requests, seconds. A longer queue would serve
         no more requests and only delay them.
@@ -26,7 +26,7 @@
         Seconds that a request waits for a connection in use before another one is
         opened for it.
     max_opening : int
-        Most connections to open at the same time.
+        Maximum number of connections to open at the same time.
     first_backoff, max_backoff : float
         First and longest back-off after a failed opening, seconds.
     deviations : float
--- a/beryltrack/connections/target_capacity.py
+++ b/beryltrack/connections/target_capacity.py
@@ -7,8 +7,9 @@
 import random
 
 FULL_PERIOD = 0.3
-"""Most seconds after a refusal for which no more connections are opened than the target
-has accepted. A refused attempt costs it no slot, but seldom finds free capacity."""
+"""Maximum seconds after a refusal for which no more connections are opened than the
+target has accepted. A refused attempt costs it no slot, but seldom finds free
+capacity."""
 
 PROBE_PERIOD = 1.0
 """Seconds after that in which one connection is opened at a time."""
--- a/beryltrack/connections/task.py
+++ b/beryltrack/connections/task.py
@@ -51,8 +51,8 @@
     policy : PoolPolicy
         Limits and timeouts of the pool.
     limit : int or None
-        Most connections; by default the database's `max_connections`. A budget changes
-        it by `set_limit`.
+        Maximum number of connections; by default the database's `max_connections`. A
+        budget changes it by `set_limit`.
     rng : random.Random or None
         For the jitter of back-offs.
     """
@@ -99,7 +99,7 @@
 
     @property
     def limit(self) -> int:
-        """Most connections that may be open."""
+        """Maximum number of connections that may be open."""
         return self._decider.limit
 
     @property
--- a/beryltrack/daemon/node_options.py
+++ b/beryltrack/daemon/node_options.py
@@ -82,7 +82,7 @@
 # open one counts against the database's limit for 3 s after its instance loses power:
 # surplus ones are closed soon. Callers wait 1 s or more for an answer, so that a queue
 # of 0.6 s is served in time after a restart, when each instance has one connection. A
-# queue of 0.25 s earned callers up to 0.04 less of their entitlement, and never more.
+# queue of 0.25 s gave callers up to 0.04 less of their entitlement, and never more.
 POOLS = PoolPolicy(max_wait=0.6, idle_timeout=0.5, max_opening=2, open_delay=0.03)
 
 # Accounts outnumber the connections, and opening one costs as much as a statement: an
@@ -145,8 +145,8 @@
 0.5 s, 72 healthy instances logged 2,327 such refusals in ten seconds."""
 
 MAX_RELAY_SESSIONS = 16
-"""Most sessions of an instance at the owners of each database. They occupy no slot of
-the database; instances of the largest site use about 10 at once."""
+"""Maximum sessions of an instance at the owners of each database. They occupy no slot
+of the database; instances of the largest site use about 10 at once."""
 
 RELAY_STALL_LIMIT = 10.0
 """Seconds that another instance may leave an answer unread."""
@@ -179,7 +179,7 @@
 """Seconds that a caller may leave an answer unread."""
 
 MAX_PIPELINED_STATEMENTS = 64
-"""Most statements that a caller may pipeline; known callers send one at a time."""
+"""Maximum statements that a caller may pipeline; known callers send one at a time."""
 
 
 def make_request_policy(route: RouteSettings) -> RequestPolicy:
--- a/beryltrack/daemon/node_site.py
+++ b/beryltrack/daemon/node_site.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     seconds : callable
-        The node's time.
+        The instance's time.
     """
 
     def __init__(self, seconds: Callable[[], float]):
--- a/beryltrack/events/log.py
+++ b/beryltrack/events/log.py
@@ -87,7 +87,7 @@
     write : callable
         Writes one line, given with its newline.
     seconds : callable
-        The node's monotonic clock, for the budget.
+        The instance's monotonic clock, for the budget.
     get_wall_time : callable
         Returns seconds since the epoch, for the timestamps.
     """
--- a/beryltrack/failover/authority.py
+++ b/beryltrack/failover/authority.py
@@ -4,7 +4,7 @@
 Databases that arbitrate by terms themselves need none. Where an external service
 carries out promotions, it refuses a call whose token is lower than one it has seen, so
 that a delayed call cannot undo a newer promotion. An instance takes the permit in
-advance and it does not expire: it passes on when another instance takes it with the
+advance, and it does not expire: it is valid until another instance takes it with the
 next token. It thus costs no calls while nothing changes, and a primary can be replaced
 while the store is down. For a service that checks no tokens see
 `failover.unfenced_authority`.
--- a/beryltrack/groups/adapter.py
+++ b/beryltrack/groups/adapter.py
@@ -13,7 +13,7 @@
 from beryltrack.settings.messages import DatabaseSettings
 
 NO_WAIT = -1
-"""Offset in a `StatusWait` that stands for no condition."""
+"""Offset in a `StatusWait` that means no condition."""
 
 
 class StatusWait(NamedTuple):
--- a/beryltrack/groups/decider.py
+++ b/beryltrack/groups/decider.py
@@ -165,7 +165,7 @@
         self._update_fresh_at(status.name)
         self._view = None
         # A database that leads while most others are held for a later term does not
-        # count as primary: the instance that holds them may be gone, and then the
+        # count as primary: the instance that holds them may have failed, and then the
         # group needs another primary.
         if status.role == PRIMARY and status.name == self.view.primary:
             self.observe_primary_heard(now)
--- a/beryltrack/groups/task.py
+++ b/beryltrack/groups/task.py
@@ -445,7 +445,7 @@
         sent_at = self.get_time()
         self._watches.record_sent(database, sent_at)
         if not self.view.primary:
-            # The instance that was to elect a new primary may itself be gone.
+            # The instance that was to elect a new primary may have failed itself.
             self._decider.observe_primary_asked(sent_at)
         if database == self.view.primary:
             self._decider.observe_primary_asked(sent_at)
--- a/beryltrack/groups/watches.py
+++ b/beryltrack/groups/watches.py
@@ -47,7 +47,7 @@
             watch.stop()
 
     def set_databases(self, names: tuple[str, ...]) -> None:
-        """Replace the members; the watches of those that remain go on."""
+        """Replace the members; the watches of those that remain continue."""
         self._sent_at = {name: self._sent_at.get(name, 0.0) for name in names}
         for name in self._watches.keys() - set(names):
             self._watches.pop(name).stop()
--- a/beryltrack/load/gate.py
+++ b/beryltrack/load/gate.py
@@ -31,10 +31,10 @@
 """Seconds that an operation is assumed to take before the first one has ended."""
 
 MIN_RETRY_AFTER = 0.05
-"""Least time to retry that is given to a caller, seconds: over one round trip."""
+"""Minimum time to retry given to a caller, seconds: longer than one round trip."""
 
 MAX_RETRY_AFTER = 5.0
-"""Longest time to retry, seconds: longer than callers' deadlines."""
+"""Maximum time to retry, seconds: longer than callers' deadlines."""
 
 RETRY_SPREAD = (1.0, 1.5)
 """Bounds of the random factor on the time to retry, so that callers that were refused
@@ -301,7 +301,7 @@
     ) -> list[GateAction]:
         """Evict an operation if the queue takes too long to drain with one more.
 
-        The new operation itself is refused if it is to go.
+        The new operation itself is refused if no other one may be evicted for it.
         """
         is_full = (len(self._queue) + 1) * interval > MAX_DRAIN_TIME
         if not (self._policy.refuses_early and is_full and self._queue):
--- a/beryltrack/load/ingress_admission.py
+++ b/beryltrack/load/ingress_admission.py
@@ -21,14 +21,14 @@
 RETRY_INTERVAL = 0.1
 """Seconds between two due retries that are passed on to a full owner, once more than
 `MAX_RETRY_BURST` have arrived together. If all were, each caller would ask the owner: a
-simulated retry storm sent it 18,200 requests so, 6,900 with this limit and 23,700
+simulated retry storm sent it 18,200 requests then, 6,900 with this limit and 23,700
 without any ingress admission."""
 
 MAX_RETRY_BURST = 3
 """Due retries that an instance passes on to a full owner together."""
 
 PROBE_INTERVAL = 0.2
-"""Least seconds between two operations that an instance passes on as probes to a full
+"""Minimum seconds between two operations that an instance passes on as probes to a full
 owner, which answers with its load. 70 instances send at most 350 of them a second."""
 
 PROBE_SPREAD = 2.0
@@ -78,7 +78,7 @@
         demand : Demand
             Its demand now.
         now : float
-            The node's time, seconds.
+            The instance's time, seconds.
 
         Returns
         -------
--- a/beryltrack/load/limit.py
+++ b/beryltrack/load/limit.py
@@ -23,7 +23,7 @@
 from beryltrack.load.estimate import MIN_SAMPLES, BoundedEstimate
 
 MIN_LIMIT = 2
-"""Least limit, in statements, at a database that answers: with one, a long statement
+"""Minimum limit, in statements, at a database that answers: with one, a long statement
 would hold up all others."""
 
 PROBE_LIMIT = 1
@@ -221,8 +221,8 @@
         if ratio > self._per_slot * SLOW_TOLERANCE:
             self._decrease(SLOW_FACTOR, started_at, now)
         elif has_waiting and ratio < self._per_slot * FAST_FRACTION:
-            # Without a baseline from before the load, an owner can't tell whether the
-            # database has spare capacity.
+            # Without a baseline from before the load, an owner does not know whether
+            # the database has spare capacity.
             bound = math.inf if is_known else max(self._limit, self._even_share)
             self._set_limit(min(bound, self._limit + GROWTH / self._limit))
 
--- a/beryltrack/load/owner_loads.py
+++ b/beryltrack/load/owner_loads.py
@@ -57,7 +57,7 @@
     Parameters
     ----------
     seconds : callable
-        Returns the node's time, seconds.
+        Returns the instance's time, seconds.
     get_own : callable
         Returns this instance's own report on a database, None without one.
     """
--- a/beryltrack/objects/eras.py
+++ b/beryltrack/objects/eras.py
@@ -43,7 +43,7 @@
 
 
 def get_revision(version: int) -> int:
-    """Return the store's revision that a version stands for in its era."""
+    """Return the store's revision that a version contains."""
     return version % REVISIONS_PER_ERA
 
 
--- a/beryltrack/pause_aware_clock.py
+++ b/beryltrack/pause_aware_clock.py
@@ -5,8 +5,8 @@
 event loop reads any input, so that peers that answered during the pause would be taken
 for silent. Code that concludes a failure from missing answers uses this clock.
 
-Promises to others (leases, permits, proofs of freshness) end by the node's monotonic
-time, `clock.get_monotonic_clock`: a pause does not extend them.
+Promises to others (leases, permits, proofs of freshness) end by the instance's
+monotonic time, `clock.get_monotonic_clock`: a pause does not extend them.
 """
 
 import math
@@ -43,7 +43,7 @@
     Parameters
     ----------
     resumed_at : float
-        When the pause was detected, by the node's monotonic time in seconds.
+        When the pause was detected, by the instance's monotonic time in seconds.
     length : float
         Seconds that do not count as running time.
     ran_for : float
@@ -191,7 +191,7 @@
         Parameters
         ----------
         since : float
-            A monotonic time of the node, in seconds.
+            A monotonic time of the instance, in seconds.
         """
         self.record_tick()
         return sum(each.length for each in self._pauses if each.resumed_at > since)
--- a/beryltrack/peers/decider.py
+++ b/beryltrack/peers/decider.py
@@ -296,12 +296,12 @@
         return observation
 
     def _is_present(self, name: str) -> bool:
-        """Return whether a member has announced itself and has not gone."""
+        """Return whether a member has announced itself and not left or died."""
         member = self._membership.get_member(name)
         return member is not None and member.state in PRESENT_STATES
 
     def _store_member(self, item: GossipItem, member: Member) -> bool:
-        """Store a member's state; for one that has gone, drop all its other items."""
+        """Store a member's state; drop the other items of one that left or died."""
         gone = member.state in GONE_STATES
         if gone:
             self._store.remove_member(member.name)
@@ -319,7 +319,7 @@
         return few and (about_members or not self._sync.is_warming_up(now))
 
     def _suspect(self, peer: str, cause: str, now: float) -> list[Action]:
-        """Suspect a peer and announce it, unless it is suspected or gone already."""
+        """Suspect a peer and announce it; do nothing if it is suspected or gone."""
         suspected = self._membership.suspect(peer, now)
         if suspected:
             log.info("peers: peer %s is suspected to be dead: it %s", peer, cause)
@@ -370,7 +370,7 @@
         return [*closing, *chain.from_iterable(suspicions)]
 
     def _expire_members(self, now: float) -> list[Action]:
-        """Announce members that count as dead now, and drop those gone long ago."""
+        """Announce members that count as dead now, and drop those gone for long."""
         changes = self._membership.handle_timeouts(now)
         for name in changes.expired:
             self._store.remove_member(name)
@@ -394,7 +394,7 @@
         """Return whether this proxy has too few links to wait for the next tick.
 
         Computing the neighbours at each change would be expensive in a large fleet
-        when many members come and go at once.
+        when many members join and leave at once.
         """
         opened_here = sum(link.opened_here for link in self._links.values())
         return opened_here < RING_COUNT
--- a/beryltrack/peers/membership.py
+++ b/beryltrack/peers/membership.py
@@ -39,7 +39,7 @@
 """Seconds by which the instance list may lag."""
 
 REFUTATION_PERIOD = 0.25
-"""Least seconds between two refutations of this proxy."""
+"""Minimum seconds between two refutations of this proxy."""
 
 STATES_BY_RANK = {rank: state for state, rank in STATE_RANKS.items()}
 
@@ -78,7 +78,7 @@
         Members that count as dead now, as they did not refute in time, and this
         proxy itself if a refutation is due.
     expired : tuple of str
-        Names of members that were dropped `GONE_MEMBER_EXPIRY` after they went.
+        Names of members that were dropped `GONE_MEMBER_EXPIRY` after they left or died.
     """
 
     changed: tuple[Member, ...]
@@ -260,8 +260,8 @@
         Returns
         -------
         tuple of Member
-            The suspected member, to be announced; empty if it is unknown, suspected
-            already or gone.
+            The suspected member, to be announced; empty if it is unknown, already
+            suspected, or has left or died.
         """
         record = self._records.get(name)
         if record is None or record.member.state not in (JOINED, LEAVING):
@@ -269,7 +269,7 @@
         return (self._set_state(name, SUSPECTED, now),)
 
     def handle_timeouts(self, now: float) -> TimeoutChanges:
-        """Declare unrefuted members dead, and drop members gone long ago."""
+        """Declare unrefuted members dead, and drop those that left or died long ago."""
         unrefuted = [
             name
             for name, record in self._records.items()
--- a/beryltrack/peers/placement.py
+++ b/beryltrack/peers/placement.py
@@ -30,7 +30,7 @@
 
     The members form `ring_count` rings, each in its own hashed order, and a member
     opens a link to its successor in each ring. Such a graph is connected, its
-    diameter grows with the logarithm of its size, and a member that joins or goes
+    diameter grows with the logarithm of its size, and a member that joins or leaves
     changes only the links of its neighbours.
 
     Parameters
--- a/beryltrack/relay/access.py
+++ b/beryltrack/relay/access.py
@@ -103,7 +103,7 @@
         Returns the expected load of the database through an instance; empty for this
         one.
     seconds : callable
-        The node's time.
+        The instance's time.
     may_retry : callable
         Draws on the retry budget; returns False if an operation whose instance could
         not be reached is not to try another one at once.
@@ -308,7 +308,7 @@
         """Refuse new work; the result fires when all connections are closed."""
         self._is_drained = True
         draining = gatherResults([pool.drain() for pool in self._pools])
-        # Operations that wait at the gate go on to the pool, which refuses them.
+        # Operations that wait at the gate pass on to the pool, which refuses them.
         self._gated.admit_waiting()
         return draining
 
@@ -423,7 +423,7 @@
         demand: Demand,
         asked_at: float,
     ) -> RelayedConnection:
-        """Set what the next statement tells the owner of its operation."""
+        """Set the options of the operation that its first statement passes on."""
         connection.is_counted = is_counted
         # The wait for the session has used a part of the operation's time.
         connection.demand = demand.after(self._seconds() - asked_at)
--- a/beryltrack/relay/avoided.py
+++ b/beryltrack/relay/avoided.py
@@ -49,7 +49,7 @@
     def add(self, name: str, now: float, min_time: float = MIN_PROBE_INTERVAL) -> bool:
         """Avoid an instance for at least `min_time` seconds; return if that is new.
 
-        Further failures do not postpone the next probe, as they may go on without end.
+        Further failures do not postpone the next probe, as they may never cease.
         """
         known = self._avoided.get(name)
         if known is None:
--- a/beryltrack/relay/directory.py
+++ b/beryltrack/relay/directory.py
@@ -46,7 +46,7 @@
     own : Peer
         This instance.
     seconds : callable
-        The node's time.
+        The instance's time.
     assumed_instances : int
         Number of instances to assume until the members are known.
     slot_policy : SlotOwnerPolicy
@@ -60,7 +60,7 @@
         own: Peer,
         seconds: Callable[[], float],
         assumed_instances: int,
-        slot_policy: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 - it keeps nothing
+        slot_policy: SlotOwnerPolicy = FleetOwners(),  # noqa: B008 - stateless
         choose_owners: ChooseOwners = choose_owners,
     ):
         self._choose_owners = choose_owners
--- a/beryltrack/relay/load_reporter.py
+++ b/beryltrack/relay/load_reporter.py
@@ -37,7 +37,7 @@
     Parameters
     ----------
     seconds : callable
-        The node's time.
+        The instance's time.
     is_enabled : bool
         False if no reports are sent.
     """
--- a/beryltrack/relay/relayed_connections.py
+++ b/beryltrack/relay/relayed_connections.py
@@ -19,7 +19,7 @@
 class RelayedConnection(PooledConnection, Protocol):
     """A connection to a database, direct or relayed by another instance.
 
-    `last_received_at` is when bytes last arrived, in seconds of the node's clock;
+    `last_received_at` is when bytes last arrived, in seconds of the instance's clock;
     `busy` is True while a statement runs. The relaying instance counts the next
     operation unless `is_counted` is True, and is sent its `demand`. `incarnation` is
     the number of that instance's process, zero for an earlier release.
--- a/beryltrack/relay/slot_owners.py
+++ b/beryltrack/relay/slot_owners.py
@@ -17,7 +17,7 @@
 
 REFUSAL_RETENTION = 0.2
 """Seconds for which an owner that refused an account's operation as over its limit is
-asked last. In that time an account of 10 operations a second earns a third of a token
+tried last. In that time an account of 10 operations a second earns a third of a token
 in a zone."""
 
 MAX_REFUSED_ACCOUNTS = 1024
@@ -100,7 +100,7 @@
     Parameters
     ----------
     seconds : callable
-        The node's time.
+        The instance's time.
     """
 
     def __init__(self, seconds: Callable[[], float]):
--- a/beryltrack/relay/wire_format.py
+++ b/beryltrack/relay/wire_format.py
@@ -159,13 +159,13 @@
     return demand, rest
 
 
-def format_report(told: TimedReport) -> bytes:
+def format_report(timed_report: TimedReport) -> bytes:
     """Return a LOAD message; times in milliseconds, the work in microseconds."""
-    report = told.report
+    report = timed_report.report
     waits = b",".join(_format_time(wait) for wait in report.waits) or _UNKNOWN
     return b"%s %d %d %d %d %s\r\n" % (
         LOAD,
-        told.reported_at * 1e3,
+        timed_report.reported_at * 1e3,
         report.limit,
         report.running,
         report.service_time * 1e6,
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -87,7 +87,7 @@
             self._waiting = None
 
     def evict(self, error: SqlError) -> None:
-        """End the request's wait with an error; a running request goes on."""
+        """End the request's wait with an error; a running request continues."""
         self._error = error
         if self._waiting is not None:
             self._waiting.cancel()
@@ -144,7 +144,7 @@
         team : str
             The team that it belongs to.
         deadline : float
-            Time, by the node's clock, by which it must be done.
+            Time, by the instance's clock, by which it must be done.
 
         Returns
         -------
--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -73,11 +73,11 @@
     plan : UnitPlan
         Its plan.
     arrived_at : float
-        Time of its arrival by the node's clock, seconds.
+        Time of its arrival by the instance's clock, seconds.
     ticket : Ticket
         Its admission ticket.
     settings_version : int
-        Version of the settings that its plan rests on.
+        Version of the settings with which its plan was made.
     opened_by : str
         Identifier of the request that opened its transaction; its own outside of one.
     """
@@ -123,17 +123,17 @@
 
     @property
     def deadline(self) -> float:
-        """Time by which its commit must be confirmed, by the node's clock."""
+        """Time by which its commit must be confirmed, by the instance's clock."""
         return self.arrived_at + self.policy.request_timeout
 
     @property
     def give_up_at(self) -> float:
-        """Time at which it is refused if it has no target yet, by the node's clock."""
+        """Time, by the instance's clock, at which it is refused if it has no target."""
         return self.arrived_at + self.policy.target_timeout
 
     @property
     def wait_until(self) -> float:
-        """Time until which it waits for a usable database, by the node's clock."""
+        """Time until which it waits for a usable database, by the instance's clock."""
         policy, has_group_owners = self.policy, self.services.has_group_owners()
         wait = compute_target_wait(
             policy.target_timeout, policy.target_latency, has_group_owners
--- a/beryltrack/requests/losses.py
+++ b/beryltrack/requests/losses.py
@@ -61,7 +61,7 @@
     view : GroupView
         The group's view.
     now : float
-        The node's time, seconds.
+        The instance's time, seconds.
     policy : LossPolicy
         Times without an answer after which a database counts as lost.
     get_paused_time : callable
--- a/beryltrack/requests/services.py
+++ b/beryltrack/requests/services.py
@@ -54,7 +54,7 @@
     reactor : IReactorTime
         Source of timers, and the clock of the pools' deadlines.
     seconds : callable
-        The node's time.
+        The instance's time.
     zone : str
         Availability zone of this instance.
     metrics : RequestMetrics
--- a/beryltrack/requests/session.py
+++ b/beryltrack/requests/session.py
@@ -58,13 +58,13 @@
     has_written : bool
         True if the open transaction may have changed data.
     written_at : float
-        Time of the session's last confirmed commit, by the node's clock.
+        Time of the session's last confirmed commit, by the instance's clock.
     opened_by : str
         Identifier of the last request that began outside of a transaction, thus of the
         one that opened the present transaction.
     retry_at : float
-        Time from which the caller may retry its refused request, by the node's clock;
-        infinite if its last request was not refused.
+        Time from which the caller may retry its refused request, by the instance's
+        clock; infinite if its last request was not refused.
     """
 
     token: SessionToken = UNKNOWN_TOKEN
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -83,15 +83,16 @@
     ticket : Ticket
         Ticket of the request, which may be evicted while it waits.
     give_up_at : float
-        Time, by the node's clock, at which the request is refused.
+        Time, by the instance's clock, at which the request is refused.
     deadline : float or None
-        Time, by the node's clock, by which a request with its own policy must be
+        Time, by the instance's clock, by which a request with its own policy must be
         done; None for `give_up_at`.
     demand : Demand
         Its demand on a database, with times counted from its arrival.
     wait_until : float
-        Time, by the node's clock, until which it waits for a change of the group while
-        no database can take it. For a proof that one can, it waits until `give_up_at`.
+        Time, by the instance's clock, until which it waits for a change of the group
+        while no database can take it. For a proof that one can, it waits until
+        `give_up_at`.
     """
 
     services: RequestServices
--- a/beryltrack/routing/decider.py
+++ b/beryltrack/routing/decider.py
@@ -65,9 +65,9 @@
     request : ReadRequest or WriteRequest
         The request.
     loads : tuple of TargetLoad
-        This node's requests at each database; none at one that is not listed.
+        This instance's requests at each database; none at one that is not listed.
     now : float
-        The current time of the node's clock, seconds.
+        The current time of the instance's clock, seconds.
     policy : RoutingPolicy, default=DEFAULT_POLICY
         The limits and preferences that apply.
 
@@ -107,7 +107,7 @@
     Returns
     -------
     float
-        A time of the node's clock, seconds.
+        A time of the instance's clock, seconds.
     """
     if request.token is None:
         return request.arrived_at
--- a/beryltrack/routing/messages.py
+++ b/beryltrack/routing/messages.py
@@ -9,7 +9,7 @@
 
 
 class StatementKind(Enum):
-    """What a statement does, as far as its text tells."""
+    """What a statement does, as far as its text shows."""
 
     EMPTY = "empty"
     """There is nothing to run."""
@@ -47,7 +47,7 @@
     Parameters
     ----------
     arrived_at : float
-        When it arrived, by the node's clock, seconds.
+        When it arrived, by the instance's clock, seconds.
     token : LogPosition or None
         The last position its session has written in the group; None if unknown.
     max_age : float
@@ -55,7 +55,7 @@
     reads : str
         `READS_ANY` or `READS_PRIMARY`.
     zone : str
-        Availability zone of this node; empty if zones do not matter.
+        Availability zone of this instance; empty if zones do not matter.
     sample : LogPosition or None
         A position of the primary that was sampled, with its term confirmed by
         a majority, after `arrived_at`; None if there is none.
@@ -64,11 +64,11 @@
     excluded : tuple of str
         Databases that refused it.
     deadline : float
-        When it must have been answered, by the node's clock, seconds.
+        When it must have been answered, by the instance's clock, seconds.
     sequence : int
-        Number of the request on this node, for round robin among equal targets.
+        Number of the request on this instance, for round robin among equal targets.
     written_at : float
-        When its session last wrote, by the node's clock, seconds.
+        When its session last wrote, by the instance's clock, seconds.
     needed : LogPosition or None
         A position that includes all writes acknowledged before the needed time,
         for databases that check positions; None if none is proven.
@@ -108,7 +108,7 @@
     Parameters
     ----------
     arrived_at : float
-        When it arrived, by the node's clock, seconds.
+        When it arrived, by the instance's clock, seconds.
     sampled : bool
         True if a majority has confirmed the primary's term since `arrived_at`.
     excluded : tuple of str
@@ -133,9 +133,9 @@
     zone : str
         Its availability zone.
     outstanding : int
-        Requests of this node that run there or are queued for it.
+        Requests of this instance that run there or are queued for it.
     limit : int
-        Requests that this node can run there concurrently.
+        Requests that this instance can run there concurrently.
     wait : float
         Expected queueing time there, by the owners' reports, seconds; 0 if unknown.
     service_time : float
--- a/beryltrack/routing/policy.py
+++ b/beryltrack/routing/policy.py
@@ -44,12 +44,12 @@
         True if reads that another instance passes on may run at the primary in parallel
         with the proof that it leads.
     prefers_near : bool
-        True if replicas in the node's own availability zone are preferred.
+        True if replicas in the instance's own availability zone are preferred.
     prefers_account_replica : bool
         True if the reads of an account prefer one replica instead (affinity), as
         connections belong to accounts and a new one costs as much as a read. It is in
         the zone of the instance that runs the reads, if that zone has a replica and
-        `prefers_near` is true; else it is the same one on all nodes.
+        `prefers_near` is true; else it is the same one on all instances.
     ranks_by_time : bool
         True if targets are ranked by the expected completion time of a read, where
         their load is known.
--- a/beryltrack/routing/ranking.py
+++ b/beryltrack/routing/ranking.py
@@ -1,7 +1,7 @@
 """Ranking of the replicas that can serve a read (load balancing).
 
 Where owners report the databases' load, replicas are ranked by the expected completion
-time of the read, else by this node's own outstanding requests.
+time of the read, else by this instance's own outstanding requests.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,7 +21,7 @@
 WAIT_JITTER = 2.0
 """Maximum random addition to a replica's expected time, as a multiple of the longest
 wait at the replicas that can serve the read. It is zero while there are no waits, so
-that idle replicas are ranked by distance alone. Reads of 40 simulated nodes waited
+that idle replicas are ranked by distance alone. Reads of 40 simulated instances waited
 0.029 s on average with it, 0.045 s without."""
 
 DEFAULT_SERVICE_TIME = 0.02
@@ -45,7 +45,7 @@
     Parameters
     ----------
     loads : sequence of TargetLoad
-        The loads, with this node's own outstanding requests.
+        The loads, with this instance's own outstanding requests.
     owner_loads : OwnerLoads
         Estimates from the owners' reports.
     owner : str
@@ -126,7 +126,7 @@
     loads: tuple[TargetLoad, ...],
     policy: RoutingPolicy,
 ) -> IsFar:
-    """Return a function that tells whether a read prefers another database.
+    """Return a function that returns whether a read prefers another database.
 
     An account's read runs on a connection of its owner, so its answer crosses zones
     between database and owner too, unless the database is in the owner's zone.
@@ -142,7 +142,7 @@
 
 
 def _rank_by_outstanding(load: TargetLoad, is_far: IsFar) -> Rank:
-    """Return the rank by this node's queue and outstanding requests, then distance.
+    """Return the rank by this instance's queue and outstanding requests, then distance.
 
     A far database counts as if it had one more outstanding request, since a request
     there costs about as much more as one that waits for a slot.
@@ -156,11 +156,11 @@
 ) -> Rank:
     """Return the rank by the expected completion time of a read, then distance.
 
-    Owners' reports are as old as their last message and include this node's own
+    Owners' reports are as old as their last message and include this instance's own
     requests in part, so the longer of the two waits counts. `default_time` is the
     service time where a database's is unknown, seconds. `jitter`, seconds, is drawn for
-    each read: many nodes get the same reports, and without it they would all choose the
-    same replica at once (herd effect).
+    each read: many instances get the same reports, and without it they would all choose
+    the same replica at once (herd effect).
     """
     service_time = load.service_time or default_time
     wait = max(load.wait, _count_full_rounds(load) * service_time)
@@ -169,7 +169,7 @@
 
 
 def _count_full_rounds(load: TargetLoad) -> int:
-    """Return how many times this node's requests fill its concurrency limit there."""
+    """Return how many times this instance's requests fill its limit there."""
     return load.outstanding // max(load.limit, 1)
 
 
--- a/beryltrack/sessions/rules.py
+++ b/beryltrack/sessions/rules.py
@@ -1,6 +1,6 @@
 """Selection of the operators' rule that applies to a request.
 
-Each node holds the rules of all teams, thousands of them in a large fleet, and
+Each instance holds the rules of all teams, thousands of them in a large fleet, and
 matches each statement against them. The rules of a group are therefore selected once
 and cached until the settings change.
 """
--- a/beryltrack/sessions/variables.py
+++ b/beryltrack/sessions/variables.py
@@ -10,7 +10,7 @@
 from beryltrack.findings import Finding
 
 ALL_SETTINGS = "all"
-"""The name that stands for every setting in ``RESET ALL`` and ``SHOW ALL``."""
+"""The name that means every setting in ``RESET ALL`` and ``SHOW ALL``."""
 
 MAX_VALUE_LENGTH = 8192
 """Longest statement that is parsed, characters, which bounds the value too."""
--- a/beryltrack/settings/transitions.py
+++ b/beryltrack/settings/transitions.py
@@ -29,7 +29,7 @@
     """Return names and endpoints of a group's databases, None for no group.
 
     A database at another endpoint counts as another member, since the settings do
-    not tell whether it holds the same data.
+    not show whether it holds the same data.
     """
     try:
         return frozenset(
--- a/tests/daemon/test_restored_store.py
+++ b/tests/daemon/test_restored_store.py
@@ -4,7 +4,7 @@
 revisions alone order the store's answers, instances that know a higher revision ignore
 each new list as outdated and watch from a revision that does not exist yet: they list
 and watch seven times a second and learn of no confirmed change. If the known revision
-has been reused meanwhile, the watch goes on as if nothing had happened, and changes
+has been reused meanwhile, the watch continues as if nothing had happened, and changes
 before that revision are missed.
 
 So a version consists of the store's era, the number of its restores, and the revision
@@ -147,7 +147,7 @@
 
 
 def test_nothing_is_missed_if_the_known_revision_is_reused(make_site):
-    """A watch that the restore does not end goes on as if nothing had happened."""
+    """A watch that the restore does not end continues as if nothing had happened."""
     in_force = {}
     for written_again in (1, 2, 3, 4, 9):
         site = make_site()
--- a/tests/groups/test_restarts.py
+++ b/tests/groups/test_restarts.py
@@ -28,7 +28,7 @@
 
 
 class RestartingDatabases(PollOnlyDatabases):
-    """Databases that can restart empty; each name stands for one incarnation."""
+    """Databases that can restart empty; each name is one incarnation."""
 
     def __init__(self, clock):
         super().__init__(clock)
--- a/tests/load/test_storm.py
+++ b/tests/load/test_storm.py
@@ -1,7 +1,7 @@
 """A retry storm in simulated time: many instances send to one owner that is full.
 
 Guards against callers whose retries fill the owner's time with refusals, and against
-instances that go on refusing by the reports of a process that has been killed.
+instances that keep refusing by the reports of a process that has been killed.
 """
 
 import heapq
--- a/tests/settings/test_lost_watch.py
+++ b/tests/settings/test_lost_watch.py
@@ -5,7 +5,7 @@
 instance that must have a change in force within 15 s receives it after 35 s, and its
 log shows a line such as
 
-    objects: No answer for config for 17.1 s (unknown): no answer within 17 s.
+    objects: No answer for config for 17.1 s (unknown): no answer within 17 s; retrying.
 """
 
 import random
