--- a/beryltrack/daemon/fleet.py
+++ b/beryltrack/daemon/fleet.py
@@ -73,7 +73,7 @@
         self.peers = self.service.peers
         self._name = settings.name
         self._known_members: tuple[Member, ...] = ()
-        self._nodes: tuple[str, ...] = ()
+        self._live_instances: tuple[str, ...] = ()
         self._groups = groups
         self.budget = BudgetService(
             reactor,
@@ -93,16 +93,16 @@
         self._refresh_loop.clock = reactor
 
     @property
-    def nodes(self) -> tuple[str, ...]:
+    def live_instances(self) -> tuple[str, ...]:
         """Names of the live instances, this one among them."""
         members = self.peers.members
         # All groups read this at each change; the peers keep one tuple between changes.
         if members is not self._known_members:
             self._known_members = members
-            self._nodes = tuple(
+            self._live_instances = tuple(
                 member.name for member in members if member.state in _ACTIVE_STATES
             )
-        return self._nodes
+        return self._live_instances
 
     def start(self) -> None:
         """Discover peers and start to share group views."""
@@ -150,7 +150,7 @@
 
     def _get_live_owners(self, group: str) -> tuple[str, ...]:
         """Return the live holders of a group's seats, best rank first."""
-        live = self.nodes
+        live = self.live_instances
         names = map(get_holder_name, self.budget.task.get_owners(group))
         return tuple(name for name in names if name in live)
 
--- a/tests/daemon/test_fleet.py
+++ b/tests/daemon/test_fleet.py
@@ -31,11 +31,11 @@
         # It does not watch a group that it does not own.
         assert not run(lambda: proxy.groups.get("main").is_started)
         nodes = ("proxy-1", "proxy-2", "proxy-3")
-        wait_until(lambda: all(p.fleet.nodes == nodes for p in local.proxies))
+        wait_until(lambda: all(p.fleet.live_instances == nodes for p in local.proxies))
 
 
 def test_an_instance_that_leaves_is_removed_at_once():
     with run_proxies(count=2) as local:
-        wait_until(lambda: len(local.proxies[0].fleet.nodes) == 2)
+        wait_until(lambda: len(local.proxies[0].fleet.live_instances) == 2)
         run(local.proxies[1].fleet.leave)
-        wait_until(lambda: local.proxies[0].fleet.nodes == ("proxy-1",))
+        wait_until(lambda: local.proxies[0].fleet.live_instances == ("proxy-1",))
--- a/tests/daemon/test_pages.py
+++ b/tests/daemon/test_pages.py
@@ -44,7 +44,7 @@
     assert "timestamp" in line
 
 
-def test_health_tells_the_balancer_when_the_instance_leaves():
+def test_health_shows_the_balancer_when_the_instance_leaves():
     assert get_page(b"health") == (200, b"live\n")
     assert get_page(b"health", live=False)[0] == 503
 
--- a/tests/objects/test_eras.py
+++ b/tests/objects/test_eras.py
@@ -151,7 +151,7 @@
     assert len(site.calls) == 2
 
 
-def test_a_store_that_tells_no_era_has_revisions_as_versions():
+def test_a_store_that_reports_no_era_has_revisions_as_versions():
     done = {"meta": {"name": "a", "revision": 9}}
     site = EraSite((None, 200, make_page(8, "a")), (None, 200, done))
     found, written = run(site, ("list", "permits"), ("put", "permits/a", {}, 8))
