--- a/beryltrack/daemon/caller_bounds.py
+++ b/beryltrack/daemon/caller_bounds.py
@@ -3,7 +3,7 @@
 from beryltrack.daemon import node_options as options
 
 
-class CallerBounds:
+class CallerConnectionLimits:
     """Limits on callers' connections; see `CallerLimits`."""
 
     stall_timeout = options.STALL_LIMIT
@@ -18,7 +18,7 @@
         return self._get_site().transaction_idle
 
 
-class RelayBounds(CallerBounds):
+class RelayConnectionLimits(CallerConnectionLimits):
     """Limits on the sessions of other instances; see `CallerLimits`."""
 
     stall_timeout = options.RELAY_STALL_LIMIT
--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -18,7 +18,10 @@
 
 from beryltrack.clock import get_monotonic_clock
 from beryltrack.daemon import node_options as options
-from beryltrack.daemon.caller_bounds import CallerBounds, RelayBounds
+from beryltrack.daemon.caller_bounds import (
+    CallerConnectionLimits,
+    RelayConnectionLimits,
+)
 from beryltrack.daemon.configuration import ConfigurationRead, ConfigurationTask
 from beryltrack.daemon.copies import FleetCopies
 from beryltrack.daemon.group_connections import GroupConnections
@@ -220,8 +223,8 @@
         )
         self._group_factory.set_retry_budget(self._services.retries)
         handler = RequestTask(self._services, self._get_site, self._find_group)
-        bounds = CallerBounds(self._get_site)
-        self._callers = LineCallerFactory(reactor, handler, bounds)
+        limits = CallerConnectionLimits(self._get_site)
+        self._callers = LineCallerFactory(reactor, handler, limits)
         self._relay = RelayHandler(
             reactor.seconds,
             self._connections.get_lender,
@@ -232,7 +235,7 @@
             self._connections.owns,
         )
         self._relays = LineRelayFactory(
-            reactor, self._relay, RelayBounds(self._get_site)
+            reactor, self._relay, RelayConnectionLimits(self._get_site)
         )
         self._feeds = [
             FeedTask(
--- a/beryltrack/load/owner_loads.py
+++ b/beryltrack/load/owner_loads.py
@@ -88,7 +88,7 @@
             When the answered statement was sent, by this instance's clock: the report
             was made later.
         """
-        dated_at = self._date_report(owner, timed_report, sent_at)
+        dated_at = self._estimate_report_time(owner, timed_report, sent_at)
         received = self._received.setdefault(database, {})
         last = received.get(owner)
         if dated_at is not None and (
@@ -132,7 +132,7 @@
         )
         return newest[1]
 
-    def _date_report(
+    def _estimate_report_time(
         self, owner: str, timed_report: TimedReport, sent_at: float
     ) -> float | None:
         """Return the estimated time of a report by this instance's clock.
--- a/beryltrack/objects/http.py
+++ b/beryltrack/objects/http.py
@@ -92,7 +92,7 @@
             self.done.errback(ValueError(text))
             self.transport.abortConnection()
 
-    def _give_up(self, done: Deferred) -> None:
+    def _abort_answer(self, done: Deferred) -> None:
         """Abort an answer that was cancelled."""
         self.transport.abortConnection()
 
@@ -127,9 +127,9 @@
     def connect(self, factory) -> Deferred:
         """Connect, and set the socket options of the connection."""
         began_at = self.seconds()
-        return self.endpoint.connect(factory).addCallback(self._tune, began_at)
+        return self.endpoint.connect(factory).addCallback(self._set_keepalive, began_at)
 
-    def _tune(self, protocol, began_at: float):
+    def _set_keepalive(self, protocol, began_at: float):
         """Set keepalive options, so that the kernel detects a lost service in seconds.
 
         A process that was paused handles the established connection before its own
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Limits of the adapter: its outer names stand nowhere else, and it decides nothing."""
+"""Limits of the adapter: its outer names occur nowhere else, and it decides nothing."""
 
 import ast
 import re
--- a/tests/routing/test_ranking.py
+++ b/tests/routing/test_ranking.py
@@ -107,10 +107,10 @@
 
 
 def simulate(jitter, monkeypatch, seed=1, nodes=40):
-    """Return the longest and the mean wait at two databases that many nodes use.
+    """Return the longest and the mean wait at two databases that many instances use.
 
-    Each node receives a report every 0.35 s, at times of its own; the offered load is
-    0.9 of the capacity of both databases.
+    Each instance receives a report every 0.35 s, at times of its own; the offered load
+    is 0.9 of the capacity of both databases.
     """
     monkeypatch.setattr("beryltrack.routing.ranking.WAIT_JITTER", jitter)
     rng, step, slots = random.Random(seed), 0.01, 4
