--- a/beryltrack/requests/admission.py
+++ b/beryltrack/requests/admission.py
@@ -194,12 +194,12 @@
         if now - self._adjusted_at < self._policy.adjust_period:
             return
         self._adjusted_at = now
-        most, least = self._policy.max_requests, self._policy.min_requests
+        upper, lower = self._policy.max_requests, self._policy.min_requests
         if self._late_since is None:
-            self._bound = min(most, self._bound + most / 32)
+            self._bound = min(upper, self._bound + upper / 32)
         elif now - self._late_since >= self._policy.shrink_after:
-            base = min(self._bound, max(len(self._admitted), least))
-            self._bound = max(least, base * SHRINK_FACTOR)
+            base = min(self._bound, max(len(self._admitted), lower))
+            self._bound = max(lower, base * SHRINK_FACTOR)
 
     def _choose_victim(self, team: str) -> str | None:
         """Return the team that loses a waiting request to `team`, or None."""
--- a/beryltrack/requests/admission_task.py
+++ b/beryltrack/requests/admission_task.py
@@ -87,7 +87,7 @@
             self._waiting = None
 
     def evict(self, error: SqlError) -> None:
-        """End the request's wait with an error; a running request goes on."""
+        """End the request's wait with an error; a running request continues."""
         self._error = error
         if self._waiting is not None:
             self._waiting.cancel()
--- a/beryltrack/requests/at_most_once.py
+++ b/beryltrack/requests/at_most_once.py
@@ -295,7 +295,7 @@
 
 
 COMMIT_FINGERPRINT = "commit"
-"""Fingerprint of an at-most-once transaction: only its ``COMMIT`` is known."""
+"""Fingerprint of any at-most-once transaction: only its ``COMMIT`` is identified."""
 
 
 async def resolve_commit(context: RequestContext) -> None:
--- a/beryltrack/requests/flow.py
+++ b/beryltrack/requests/flow.py
@@ -48,9 +48,9 @@
 REPLACED_TEXT = "the primary was replaced"
 
 MAX_ATTEMPTS = 4
-"""Attempts after which a refusal as over an account's limit is the answer. That allows
-for one in each availability zone with a quota share of the account, in most cases, and
-for one that failed otherwise."""
+"""Attempts after which a refusal as over the account's limit is final. In most cases
+they allow for one in each availability zone with a quota share of the account, and for
+one that failed otherwise."""
 
 
 class RequestFlow:
@@ -161,7 +161,7 @@
         """Return whether another instance may run a unit refused as over a limit.
 
         The unit was not run, and the other instance has its own quota share. It is
-        rerouted at once and without the retry budget, as no instance is asked twice.
+        rerouted at once and without the retry budget, as each instance is tried once.
         """
         if isinstance(result, RunLost) or result.error is None:
             return False
@@ -211,7 +211,7 @@
             if target.after is not None and not target.connection.broken:
                 task.observe_lagging(target.database, target.after)
         elif error.sqlstate == READ_ONLY_REFUSAL:
-            # It was replaced, and this instance has not learnt of that yet.
+            # The database was replaced as primary; this view does not show that yet.
             task.suspect(target.database, self._sent_at)
 
     def _exclude(self, target: FoundTarget) -> None:
@@ -354,7 +354,7 @@
         return True
 
     def _make_refusal(self, refusal: SqlError) -> SqlError:
-        """Return the error for a unit that is given up between two runs.
+        """Return the error for a unit that fails between two runs.
 
         Only a run without effect is followed by another. A unit that has run before
         is reported as rolled back, since "not run" would be false.
--- a/beryltrack/requests/forward_flow.py
+++ b/beryltrack/requests/forward_flow.py
@@ -34,7 +34,7 @@
     """The stream of a forwarded request."""
 
     def consume(self, size: int) -> None:
-        """Grant the sender `size` more bytes: so many have gone to the caller."""
+        """Grant the sender `size` more bytes, as many as were sent to the caller."""
 
     def cancel(self) -> None:
         """Cancel the request; its outcome still comes."""
@@ -118,7 +118,7 @@
         self._grant()
 
     def _grant(self) -> None:
-        """Grant as many bytes as have gone to the caller."""
+        """Grant as many bytes as were sent to the caller."""
         if self._ungranted and not self._is_paused and self.stream is not None:
             size, self._ungranted = self._ungranted, 0
             self.stream.consume(size)
--- a/beryltrack/requests/losses.py
+++ b/beryltrack/requests/losses.py
@@ -1,10 +1,10 @@
 """Closes the connections to databases that do not answer any more.
 
 When a database's host is lost, its connections stay open and silent. As statements
-have no time limit, requests on them would wait for ever. The control requests of the
+have no time limit, requests on them would wait forever. The control requests of the
 group's task do have one, and serve as failure detector: a database that answers them
 is slow at most, one that does not is lost. Closing its connections ends each request
-on them by the rules for a lost answer.
+on them as after a lost answer.
 """
 
 import logging
@@ -91,7 +91,7 @@
         return False
     silence = now - item.seen_at
     if item.role == PRIMARY and view.primary not in ("", item.name):
-        # Its successor is at work, whether this process was paused or not.
+        # Its successor leads, whether this process was paused or not.
         return not item.reachable or silence >= policy.replaced_grace
     return (
         not item.reachable and silence - get_paused_time(item.seen_at) >= policy.grace
--- a/beryltrack/requests/outcomes.py
+++ b/beryltrack/requests/outcomes.py
@@ -12,7 +12,7 @@
 from beryltrack.transactions.decider import CommitOutcome
 
 READ_ONLY_REFUSAL = "25006"
-"""SQLSTATE with which a database that is no primary refuses a write."""
+"""SQLSTATE with which a database that is not the primary refuses a write."""
 
 
 REPEATABLE_REFUSALS = frozenset((CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS))
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -2,8 +2,8 @@
 
 A periodic check of all connections costs less than a timer for each request. A late
 statement makes its database suspect, so that the group's task probes it. The connection
-of a statement past its time limit is closed, and its request goes on by the rules for
-a lost answer.
+of a statement past its time limit is closed, and its request is handled as after a
+lost answer.
 """
 
 from collections.abc import Callable, Iterable
@@ -89,7 +89,7 @@
     def _check_connection(
         self, connection: PooledConnection, runtime: GroupRuntime, database: str
     ) -> None:
-        """Give up a statement past its limit; suspect the database of a late one."""
+        """Abort a statement past its limit; suspect the database of a late one."""
         since = connection.run_since
         ran = self._seconds() - since - self._pause_aware_clock.get_paused_time(since)
         is_past_limit = ran > connection.run_until - since
--- a/beryltrack/requests/runtime.py
+++ b/beryltrack/requests/runtime.py
@@ -98,8 +98,8 @@
             Returns the pool of a new member.
         """
         names = {item.name for item in settings.databases}
-        gone = [name for name in self.pools if name not in names]
-        for name in gone:
+        removed = [name for name in self.pools if name not in names]
+        for name in removed:
             self.pools.pop(name).drain()
             self._drained.discard(name)
         self.settings = settings
--- a/beryltrack/requests/target_settings.py
+++ b/beryltrack/requests/target_settings.py
@@ -44,13 +44,13 @@
         wanted = get_target_settings(caller)
         if applied == wanted:
             return ""
-        gone = (f"RESET {name}" for name in applied if name not in wanted)
+        resets = (f"RESET {name}" for name in applied if name not in wanted)
         changed = (
             f"SET {name} TO {quote_literal(value)}"
             for name, value in wanted.items()
             if applied.get(name) != value
         )
-        return "; ".join([*gone, *changed])
+        return "; ".join([*resets, *changed])
 
     def record_applied(self, connection: TargetConnection, caller: Caller) -> None:
         """Record that a connection has a caller's settings."""
--- a/beryltrack/requests/targets.py
+++ b/beryltrack/requests/targets.py
@@ -152,8 +152,10 @@
             refusal = refused.refusal
         now = services.seconds()
         # After a replica's refusal another database is chosen without a wait.
-        may_go_on = now < search.give_up_at if use.is_replica else search.may_wait(now)
-        if refusal.reason not in _TRANSIENT or not may_go_on:
+        may_continue = (
+            now < search.give_up_at if use.is_replica else search.may_wait(now)
+        )
+        if refusal.reason not in _TRANSIENT or not may_continue:
             return Failure(
                 make_refusal(
                     refusal.reason.value, refusal.retry_after, refusal.sqlstate
@@ -309,7 +311,7 @@
 
 
 def _clear_refusals(request: TargetRequest) -> TargetRequest:
-    """Return the request without what held for the former view of the group."""
+    """Return the request without the proof and refusals of the former view."""
     if isinstance(request, WriteRequest):
         return request._replace(sampled=False, excluded=())
     return request._replace(excluded=())
--- a/beryltrack/requests/task.py
+++ b/beryltrack/requests/task.py
@@ -18,7 +18,7 @@
 from beryltrack.sessions.rules import RuleSelector
 from beryltrack.settings.messages import SiteSettings
 
-CALLER_GONE = make_not_run_error("the caller has disconnected")
+CALLER_DISCONNECTED = make_not_run_error("the caller has disconnected")
 
 SESSION = "session"
 STATEMENT = "statement"
@@ -152,7 +152,7 @@
         # A statement of an open transaction runs even if it is not admitted: its
         # refusal would keep the transaction's connection in use for longer.
         ticket = admitted.value_or(Ticket(UNADMITTED, services.admission))
-        caller.set_close_callback(lambda: ticket.evict(CALLER_GONE))
+        caller.set_close_callback(lambda: ticket.evict(CALLER_DISCONNECTED))
         version = self._get_settings().revision
         if session.pinned is None:
             session.opened_by = plan.request_id
