--- a/beryltrack/routing/messages.py
+++ b/beryltrack/routing/messages.py
@@ -9,7 +9,7 @@
 
 
 class StatementKind(Enum):
-    """What a statement does, as far as its text tells."""
+    """What a statement does, as far as its text shows."""
 
     EMPTY = "empty"
     """There is nothing to run."""
--- a/beryltrack/routing/policy.py
+++ b/beryltrack/routing/policy.py
@@ -28,13 +28,13 @@
         its arrival. Its reads are answered before its commit is confirmed, and a
         replaced primary that still runs would answer them with stale data.
     retry_after : float
-        Seconds after which a refused caller is told to retry.
+        Seconds after which a refused caller may retry, as its refusal states.
     checks_positions : bool
         True if databases check the required position themselves, so that a replica
         can be tried without a proof of the position it has applied.
     usual_lag : float
         Seconds within which replicas typically apply a write. For that time after its
-        last write a session reads only at replicas known to show what it needs.
+        last write a session reads only at replicas that are proven to show it.
     lagging_pause : float
         Minimum seconds for which a replica that was behind is not tried.
     samples_position : bool
