--- a/beryltrack/callers/batches.py
+++ b/beryltrack/callers/batches.py
@@ -39,7 +39,7 @@
     name : str or None
         Statement name that changes in the caller's table; None for none.
     statement : PreparedStatement or None
-        The statement that the caller's name then stands for; None if the name is
+        The statement that the caller's name then refers to; None if the name is
         dropped.
     """
 
--- a/beryltrack/callers/caller.py
+++ b/beryltrack/callers/caller.py
@@ -23,7 +23,7 @@
 from beryltrack.wire.responses import ResponseReader
 
 # Seconds that a caller may leave a response unread before its connection is aborted.
-# It holds a target connection all that time.
+# Meanwhile it holds a target connection.
 STALL_TIMEOUT = 30.0
 
 _READY_WIRES = {
--- a/beryltrack/callers/factory.py
+++ b/beryltrack/callers/factory.py
@@ -120,13 +120,16 @@
         """Return the protocol of a new connection; None closes it."""
         if len(self._connections) >= _HARD_LIMIT_FACTOR * self.options.max_callers:
             log.warning(
-                "callers: closed a new connection without an error: too many are open"
+                "callers: closed a new connection without an error response: too many"
+                " connections are open (%d times the limit of %d callers)",
+                _HARD_LIMIT_FACTOR,
+                self.options.max_callers,
             )
             return None
         return CallerProtocol(self)
 
     def get_refusal(self) -> SqlError | None:
-        """Return the error that refuses further callers; None if there is room."""
+        """Return the error that refuses further callers; None below the limit."""
         if self.leaving:
             return make_fatal_error(CANNOT_CONNECT_NOW, "the proxy is shutting down")
         if len(self._connections) > self.options.max_callers:
--- a/beryltrack/callers/startup.py
+++ b/beryltrack/callers/startup.py
@@ -134,6 +134,6 @@
 
 
 def _make_option_error(argument: str) -> SqlError:
-    """Return the error of an argument that is no valid setting."""
+    """Return the error of an argument that is not a valid setting."""
     text = f"invalid command-line argument for server process: {argument[:80]}"
     return make_fatal_error(PROTOCOL_VIOLATION, text)
