--- a/beryltrack/platform/boot.py
+++ b/beryltrack/platform/boot.py
@@ -14,7 +14,7 @@
 )
 
 READY_PATH = b"/api/readiness"
-"""HTTP path that the platform requests each second: does the instance take callers?"""
+"""HTTP path of the readiness probe, which the platform requests each second."""
 
 PATH_VARIABLE = "BERYLTRACK_BOOT"
 """Environment variable that holds the path of the file."""
--- a/beryltrack/platform/codes.py
+++ b/beryltrack/platform/codes.py
@@ -72,7 +72,7 @@
 
 
 def encode_refusal(error: SqlError) -> bytes:
-    """Return the ERROR line by which another instance learns that nothing ran."""
+    """Return the ERROR line that reports to an instance that nothing was run."""
     codes = {CANNOT_CONNECT_NOW: UNREACHABLE, CONFIGURATION_LIMIT_EXCEEDED: OVER_LIMIT}
     code = codes.get(error.sqlstate)
     if code is None:
--- a/beryltrack/platform/group.py
+++ b/beryltrack/platform/group.py
@@ -151,7 +151,7 @@
         return await self._call(database, b"RESUME")
 
     def set_allowed_vias(self, vias: tuple[str, ...]) -> None:
-        """Replace the connections that go through another owner than `vias` name."""
+        """Replace the connections through owners that are not in `vias`."""
         self._calls.set_allowed_vias(vias)
 
     def close(self) -> None:
--- a/beryltrack/platform/lines.py
+++ b/beryltrack/platform/lines.py
@@ -28,7 +28,7 @@
 
 
 class LineError(MalformedMessage):
-    """Raised when received bytes are no valid message of the protocol."""
+    """Raised when received bytes are not a valid message of the protocol."""
 
 
 class ReadyState(NamedTuple):
--- a/beryltrack/platform/protocol.py
+++ b/beryltrack/platform/protocol.py
@@ -141,7 +141,7 @@
     ) -> RunResult:
         """Give a connection the caller's session state, and run a statement on it."""
         policy = plan.policy
-        # An owner that works is slow only due to its queue. To cancel a read there
+        # A working owner is slow only because of its queue. Cancelling a read there
         # wastes its work and opens another connection to a full database.
         is_repeatable = plan.is_read and not (caller.in_transaction or connection.via)
         limit = policy.read_timeout if is_repeatable else policy.run_timeout
--- a/beryltrack/platform/settings.py
+++ b/beryltrack/platform/settings.py
@@ -114,7 +114,7 @@
         return row
     keys = row[KEYS] if isinstance(row[KEYS], list) else None
     is_valid = keys is not None and all(isinstance(key, str) for key in keys)
-    # A value that is no list of keys is dropped; it gives a finding when it is read.
+    # A value that is not a list of keys is dropped and gives a finding when read.
     return row | {KEYS: [*map(digest_key, keys)] if is_valid else None}
 
 
--- a/beryltrack/platform/store.py
+++ b/beryltrack/platform/store.py
@@ -142,9 +142,9 @@
     ) -> tuple[tuple[PlatformObject, ...], int, bool]:
         """Return the objects of a page, the store's version, and if more follow."""
         items = [self._decode(kind, item, era) for item in answer["items"]]
-        known = tuple(item for item in items if item is not None)
+        decoded = tuple(item for item in items if item is not None)
         at = make_version(era, int(answer["current_rev"]))
-        return known, at, bool(answer.get("has_more"))
+        return decoded, at, bool(answer.get("has_more"))
 
     def _parse_events(self, kind: str, answer: dict, era: int) -> ObjectList:
         """Return the objects that changed."""
@@ -153,8 +153,8 @@
             for event in answer["events"]
             if isinstance(event, dict)
         ]
-        known = tuple(item for item in items if item is not None)
-        return ObjectList(make_version(era, int(answer["current_rev"])), known)
+        decoded = tuple(item for item in items if item is not None)
+        return ObjectList(make_version(era, int(answer["current_rev"])), decoded)
 
     def _decode_one(self, kind: str, item: object, era: int) -> PlatformObject:
         """Return the requested object; raise `ValueError` if it cannot be decoded."""
