--- a/beryltrack/command/commands.py
+++ b/beryltrack/command/commands.py
@@ -346,7 +346,7 @@
 async def show_instances(
     context: CommandContext, endpoints: tuple[Endpoint, ...]
 ) -> Report:
-    """Show the instances at known addresses."""
+    """Show the instances at the given addresses."""
     fleet = build_fleet_status(await query_endpoints(endpoints, context.fetch))
     return Report(ExitCode.OK, fleet, format_fleet(fleet))
 
@@ -390,9 +390,9 @@
         if found.deciding is not None:
             reason = found.deciding.get("reason") or "no error"
             self.line(f"decided: {found.deciding.get('step')} ({reason})")
-            verdict = explain_refusal(found.deciding)
-            if verdict:
-                self.line(verdict)
+            refusal = explain_refusal(found.deciding)
+            if refusal:
+                self.line(refusal)
         return ExitCode.OK
 
 
--- a/beryltrack/command/fleet.py
+++ b/beryltrack/command/fleet.py
@@ -29,11 +29,11 @@
     state : str
         The state that it reports, or why there is no report.
     settings_revision : int
-        Highest version of a settings object that it knows.
+        Highest version among the settings objects that it has received.
     settings : tuple of ObjectVersion
-        The settings objects that it knows.
+        The settings objects that it has received.
     behind : tuple of ObjectVersion
-        Objects of which another instance knows a higher version, with that version.
+        Objects of which another instance has a higher version, with that version.
     """
 
     name: str
@@ -46,14 +46,14 @@
 
 
 class GroupSummary(NamedTuple):
-    """Status of one group, as the instances that know the highest term report it.
+    """Status of one group, as the instances with the highest term report it.
 
     Parameters
     ----------
     name : str
         Its name.
     term : int
-        The highest term that an instance knows.
+        The highest term that an instance reports.
     primary : str
         The primary of that term.
     seen_by, instances : int
@@ -118,7 +118,7 @@
 
 
 def _get_newest_versions(reports: list[InstanceStatus]) -> dict[str, int]:
-    """Return the highest version of each settings object that any instance knows."""
+    """Return the highest version of each settings object that any instance has."""
     newest = defaultdict(int)
     for item in (item for report in reports for item in report.settings):
         newest[item.path] = max(newest[item.path], item.version)
--- a/beryltrack/command/instances.py
+++ b/beryltrack/command/instances.py
@@ -103,7 +103,7 @@
 async def query_endpoints(
     endpoints: Iterable[Endpoint], fetch: FetchStatus
 ) -> tuple[InstanceAnswer, ...]:
-    """Query instances at known addresses, without the platform."""
+    """Query the instances at the given addresses, without the platform."""
     unqueried = (
         InstanceAnswer(f"{item.host}:{item.port}", "", "", NO_ANSWER, None, item)
         for item in endpoints
--- a/beryltrack/command/runner.py
+++ b/beryltrack/command/runner.py
@@ -47,8 +47,8 @@
 def run_in_reactor(platform_url: str, action: Action) -> Report:
     """Run an action in the reactor of this process.
 
-    Faults of the tool are raised. An action that the operator interrupts may have
-    taken effect, so its outcome is unknown.
+    Internal errors of the tool are raised. An action that the operator interrupts may
+    have taken effect, so its outcome is unknown.
     """
     from twisted.internet import reactor
 
--- a/beryltrack/command/waiting.py
+++ b/beryltrack/command/waiting.py
@@ -1,7 +1,7 @@
 """Waits until changes are in force on each instance, by polling the instances.
 
-The platform is asked once for the list. After that, only the instances that do not have
-the changes yet are polled, with exponential backoff.
+The platform is queried once for the list. After that, only the instances that do not
+have the changes yet are polled, with exponential backoff.
 """
 
 from collections.abc import Iterable
