--- a/beryltrack/sessions/tokens.py
+++ b/beryltrack/sessions/tokens.py
@@ -71,7 +71,7 @@
 """The token of a session that has written nothing."""
 
 UNKNOWN_TOKEN = SessionToken((), False)
-"""The token of a session of which nothing is known."""
+"""The token of a session whose writes are unknown."""
 
 
 def get_position(token: SessionToken, group: str) -> LogPosition | None:
@@ -161,7 +161,7 @@
     Returns
     -------
     str
-        ``new``, an empty text for a session of which nothing is known, or the
+        ``new``, an empty text for a session whose writes are unknown, or the
         versioned form of at most `MAX_TEXT_LENGTH` characters.
     """
     if not token.positions:
@@ -180,7 +180,7 @@
     Parameters
     ----------
     text : str
-        The text that the caller sent; empty if it knows no token.
+        The text that the caller sent; empty if it has no token.
 
     Returns
     -------
--- a/beryltrack/sessions/variables.py
+++ b/beryltrack/sessions/variables.py
@@ -65,8 +65,8 @@
     change : SettingChange or None
         The change; None if there are findings.
     findings : list of Finding
-        Why the statement is no change of one setting; to be answered with
-        SQLSTATE 42601.
+        Why the statement does not change exactly one setting; to be answered
+        with SQLSTATE 42601.
     """
     if len(statement) > MAX_VALUE_LENGTH:
         return None, [Finding("statement", "", "is too long for a setting")]
