--- a/beryltrack/wire/line_buffer.py
+++ b/beryltrack/wire/line_buffer.py
@@ -6,7 +6,7 @@
 
 
 class MalformedMessage(Exception):
-    """Raised when a peer sends bytes that are no valid message of the protocol."""
+    """Raised when a peer sends bytes that are not a valid message."""
 
 
 class LineBuffer:
--- a/beryltrack/wire/responses.py
+++ b/beryltrack/wire/responses.py
@@ -142,8 +142,8 @@
         Raises
         ------
         ProtocolError
-            If the bytes are no valid response to the request. The connection must
-            be closed then.
+            If the bytes are not a valid response to the request. The connection
+            must then be closed.
         """
         if self._passing_size and self._passing_size >= len(data):
             self._passing_size -= len(data)
@@ -253,7 +253,7 @@
             self._error_frame = frame
 
     def _count_completion(self) -> bool:
-        """Count a ParseComplete or CloseComplete; return whether it stays as it is."""
+        """Count a completion that passes unchanged; return False for any other."""
         index = self._completed_count
         if not self.running:
             return False
