--- a/beryltrack/transactions/decider.py
+++ b/beryltrack/transactions/decider.py
@@ -26,7 +26,7 @@
 from beryltrack.groups.positions import has_entry
 from beryltrack.groups.view import compute_majority
 
-# Maximal number of terms in the history that a database reports; it omits older ones.
+# Maximum number of terms in the history that a database reports; it omits older ones.
 MAX_HISTORY_TERMS = 32
 # Number of most recent terms for which a database's receipts are retained.
 MAX_RECEIPT_TERMS = 4
@@ -126,7 +126,7 @@
 
         Returns
         -------
-        Decision or None
+        CommitDecision or None
             None if the commit stays pending.
         """
         decision = self._decide(key, position)
@@ -196,8 +196,8 @@
 
     def _advance_committed_prefix(self, status: DatabaseStatus) -> None:
         """Advance the prefix to a term's first entry once a majority received it."""
-        known = self._committed.end.term if self._committed else 0
-        if status.received.term != status.term or status.term <= known:
+        committed = self._committed.end.term if self._committed else 0
+        if status.received.term != status.term or status.term <= committed:
             return
         if not status.history or status.history[-1].term != status.term:
             return
