--- a/beryltrack/events/explain.py
+++ b/beryltrack/events/explain.py
@@ -77,7 +77,7 @@
 
 
 def _concerns(line: dict, request: str) -> bool:
-    """Return whether a line is about a request, its transaction, or many with it."""
+    """Return whether a line is about a request or transaction, alone or with others."""
     identifiers = (line.get("request"), line.get("opened_by"))
     return request in identifiers or request in line.get("requests", ())
 
@@ -110,7 +110,7 @@
 def explain_refusal(line: dict) -> str:
     """Return one sentence on why a request was refused, with the values behind it.
 
-    Empty for a line of no refusal, or without a known reason.
+    Empty if the line has no refusal reason that `REFUSAL_TEXTS` lists.
     """
     reason = REFUSAL_TEXTS.get(line.get("verdict"))
     if reason is None:
--- a/beryltrack/events/log.py
+++ b/beryltrack/events/log.py
@@ -111,8 +111,8 @@
     def reserve_line(self, step: RequestStep) -> bool:
         """Reserve a line of the budget; return whether there was one left.
 
-        Called before an event is built: that is most of the cost of a served request's
-        line, and only one such line per second is written.
+        Called before an event is built: building it is most of the cost of a served
+        request's line, and only one such line per second is written.
         """
         now = self._seconds()
         if now >= self._summary_at:
@@ -134,7 +134,7 @@
         """Record a request's identifier for a line that it shares with others.
 
         Served requests are left out. Without shared lines 243 refusals of one instance
-        in ten seconds left no trace in the log.
+        in ten seconds were missing from the log.
         """
         if shared.step is RequestStep.SERVED or self._shared_count >= MAX_SHARED_IDS:
             return
