--- a/beryltrack/metrics/messages.py
+++ b/beryltrack/metrics/messages.py
@@ -160,7 +160,7 @@
     def record_wait_by_priority(
         self, priority: int, has_account: bool, seconds: float
     ) -> None:
-        """Record the same by priority and account class, also without a connection."""
+        """Record how many seconds a request waited, even if it got no connection."""
 
     def record_confirm_wait(self, seconds: float) -> None:
         """Record how many seconds a commit waited for a majority to receive it."""
--- a/beryltrack/metrics/prometheus.py
+++ b/beryltrack/metrics/prometheus.py
@@ -96,7 +96,7 @@
     def record_wait_by_priority(
         self, priority: int, has_account: bool, seconds: float
     ) -> None:
-        """Record a wait by priority and account class, also without a connection."""
+        """Record how many seconds a request waited, even if it got no connection."""
         self._classes[priority, has_account].waited += seconds
 
     def record_queue_time(self, seconds: float) -> None:
