--- a/beryltrack/clock.py
+++ b/beryltrack/clock.py
@@ -1,6 +1,6 @@
 """The monotonic time of a node, in seconds.
 
-Ages, timeouts and leases are measured by it, so it must not follow corrections of the
+Ages, timeouts and leases are measured by it, so it must not follow adjustments of the
 wall clock, as the reactor's own `seconds` does.
 """
 
--- a/beryltrack/pause_aware_clock.py
+++ b/beryltrack/pause_aware_clock.py
@@ -142,8 +142,10 @@
     def is_resuming(self) -> bool:
         """True if a pause ended less than `RESUME_GRACE` ago."""
         self.record_tick()
-        is_known = bool(self._pauses)
-        return is_known and self._seconds() - self._pauses[-1].resumed_at < RESUME_GRACE
+        has_paused = bool(self._pauses)
+        return (
+            has_paused and self._seconds() - self._pauses[-1].resumed_at < RESUME_GRACE
+        )
 
     def start_detection(self) -> None:
         """Detect pauses until `stop_detection` has been called as often as this."""
@@ -158,7 +160,7 @@
             self._tick_at = None
 
     def subscribe(self, callback: PauseCallback) -> None:
-        """Call `callback` after each pause, before anything is concluded from it."""
+        """Call `callback` after each pause, before the clock returns a later time."""
         self._callbacks.append(callback)
 
     def unsubscribe(self, callback: PauseCallback) -> None:
--- a/beryltrack/ranks.py
+++ b/beryltrack/ranks.py
@@ -1,7 +1,7 @@
 """Ranks by rendezvous (highest-random-weight) hashing.
 
-Instances that know the same names order them alike for a role, without a message. A
-name that is added or removed does not change the order of the others.
+Instances with the same set of names order them alike for a role, without communication.
+A name that is added or removed does not change the order of the others.
 """
 
 from functools import lru_cache
