--- a/beryltrack/requests/answers.py
+++ b/beryltrack/requests/answers.py
@@ -42,7 +42,7 @@
 """Refusal reason of requests that the admission control of an instance refuses."""
 
 OTHER_REASON = "other"
-"""Refusal reason given by no pool and no owner, for example if no primary is known."""
+"""Any other refusal reason, for example that no primary is known."""
 
 _REFUSALS = {each.value: each.name.lower() for each in RefusalReason} | {
     each.value: ADMISSION for each in AdmissionReason
@@ -77,7 +77,7 @@
     ticket : Ticket
         Its admission ticket.
     settings_version : int
-        Version of the settings with which its plan was made.
+        Version of the settings that its plan is based on.
     opened_by : str
         Identifier of the request that opened its transaction; its own outside of one.
     """
--- a/beryltrack/requests/overdue.py
+++ b/beryltrack/requests/overdue.py
@@ -2,8 +2,8 @@
 
 A periodic check of all connections costs less than a timer for each request. A late
 statement makes its database suspect, so that the group's task probes it. The connection
-of a statement past its time limit is closed, and its request is handled by the rules
-for a lost answer.
+of a statement past its time limit is closed, and its request is handled as after a
+lost answer.
 """
 
 from collections.abc import Callable, Iterable
--- a/beryltrack/routing/ranking.py
+++ b/beryltrack/routing/ranking.py
@@ -25,7 +25,7 @@
 0.029 s on average with it, 0.045 s without."""
 
 DEFAULT_SERVICE_TIME = 0.02
-"""Assumed service time, seconds, where none is known of any replica."""
+"""Assumed service time, seconds, if the service time of no replica is known."""
 
 HASH_COUNT = 2**64
 """Number of values of the 64-bit hash."""
@@ -126,7 +126,7 @@
     loads: tuple[TargetLoad, ...],
     policy: RoutingPolicy,
 ) -> IsFar:
-    """Return a function that returns whether a read prefers another database.
+    """Return a check of whether a database is far for a read.
 
     An account's read runs on a connection of its owner, so its answer crosses zones
     between database and owner too, unless the database is in the owner's zone.
