--- a/beryltrack/failover/primary_records.py
+++ b/beryltrack/failover/primary_records.py
@@ -17,7 +17,8 @@
 from beryltrack.objects.eras import RESTORE_SPREAD
 from beryltrack.objects.messages import PlatformError, PlatformObject
 
-log = logging.getLogger(__name__)
+# Operators filter by the log field `logger`, so it keeps the name of earlier releases.
+log = logging.getLogger("beryltrack.failover.hints")
 
 PATH_PREFIX = "status/groups/"
 MAX_ATTEMPTS = 8
