--- a/beryltrack/daemon/node.py
+++ b/beryltrack/daemon/node.py
@@ -349,7 +349,9 @@
         self._members.start()
         log.info("daemon: Instance %s is starting.", self.settings.name)
         for mechanism in sorted(each.value for each in self.settings.disabled):
-            log.warning("daemon: Mechanism %s is disabled by the settings.", mechanism)
+            log.warning(
+                "daemon: Mechanism %s is disabled by the environment.", mechanism
+            )
 
     async def leave(self) -> None:
         """Shut down without cutting off a request in flight.
